--- a/bench/AgreementBench.cpp
+++ b/bench/AgreementBench.cpp
@@ -158,7 +158,7 @@
     const MonotonicTime start = Now();
     this->host.Module().Propose(
       ControlGroupId(),
-      MachinePart::Configuration,
+      StateMachineId::Configuration,
       std::string(kCommandBytes, 'x'),
       kProposalTimeout,
       [this, start](const Result<std::string>& aAnswer) { this->Finish(start, aAnswer); });
--- a/bench/AgreementHosts.h
+++ b/bench/AgreementHosts.h
@@ -34,7 +34,7 @@
 };
 
 // Counts its commands.
-class CountMachine final : public ReplicatedMachine
+class CountMachine final : public ReplicatedStateMachine
 {
 public:
   std::string Apply(const ApplyContext& /*aContext*/, std::string_view /*aCommand*/) override
@@ -68,7 +68,7 @@
                this->network,  this->views, this->publisher, this->phase }
     , module(this->context)
   {
-    this->module.AddMachine(ControlGroupId(), MachinePart::Configuration, this->machine);
+    this->module.AddMachine(ControlGroupId(), StateMachineId::Configuration, this->machine);
     this->control.Add(Channel::Agreement, this->module);
   }
 
--- a/bench/ConfigurationBench.cpp
+++ b/bench/ConfigurationBench.cpp
@@ -229,13 +229,13 @@
   void Beat(std::size_t aIndex)
   {
     Node& node = *this->nodes[aIndex];
-    if (!node.membership.TakeTurn()) {
+    if (!node.membership.AdvanceIfDue()) {
       return;
     }
     Heartbeat beat = node.membership.MakeHeartbeat();
     beat.revision = node.spread.Tree().Current();
     beat.confirmedAge = node.spread.ConfirmedAge();
-    const std::size_t to = this->IndexOf(node.membership.Partner());
+    const std::size_t to = this->IndexOf(node.membership.CurrentPeer());
     this->Count(aIndex, to, Channel::Membership, EncodeHeartbeat(beat));
     this->nodes[to]->membership.OnHeartbeat(node.settings.host, beat);
     this->nodes[to]->spread.OnPeerRevision(node.settings.host, beat.revision, beat.confirmedAge);
--- a/include/damasklink/coordination/ConfigMachine.h
+++ b/include/damasklink/coordination/ConfigMachine.h
@@ -27,8 +27,8 @@
 // Accepts changes one after the other and remembers what it answered.
 //
 //   ConfigMachine machine;
-//   replicator.AddMachine(ControlGroupId(), MachinePart::Configuration, machine);
-//   replicator.Propose(ControlGroupId(), MachinePart::Configuration, PackConfigChange(change),
+//   replicator.AddMachine(ControlGroupId(), StateMachineId::Configuration, machine);
+//   replicator.Propose(ControlGroupId(), StateMachineId::Configuration, PackConfigChange(change),
 //   ...);
 //
 // - Of changes made from the same version exactly one is accepted; the others' Conflict names the
@@ -38,7 +38,7 @@
 // - A change that widens what its parent allows, or takes a key that another workspace holds, is
 //   refused. Accepted means: the answer came back from a committed command.
 // - The history keeps the last kKeptHistory accepted changes.
-class ConfigMachine final : public ReplicatedMachine
+class ConfigMachine final : public ReplicatedStateMachine
 {
 public:
   static constexpr std::size_t kKeptHistory = 20'000;
--- a/include/damasklink/coordination/GroupFormation.h
+++ b/include/damasklink/coordination/GroupFormation.h
@@ -23,10 +23,10 @@
   struct Outcome
   {
     // Queries to send.
-    std::vector<HostId> ask;
+    std::vector<HostId> queriedHosts;
     FormationQuery query;
     // Set when this replica is to found the group with these voters.
-    Membership found;
+    Membership formWith;
     // Set when another has founded it.
     FormationId adopt;
   };
@@ -42,26 +42,30 @@
   Outcome Receive(const AgreementMessage& aMessage, const FormationAnswer& aAnswer);
 
   // Makes all answers to earlier queries void.
-  void ForgetRound();
+  void CancelRound();
 
   // Makes this replica one that only asks: the group was formed before, whatever its disk holds.
-  void NeverFound() { this->mayFound = false; }
+  void DisableForming() { this->mayFormGroup = false; }
 
-  // Asks one host more. Requires NeverFound(): a founder needs the word of the listed hosts alone.
-  void AskAlso(const HostId& aHost) { this->listed.push_back(aHost); }
+  // Asks one host more. Requires DisableForming(): a founder needs the word of the listed hosts
+  // alone.
+  void AddQueriedHost(const HostId& aHost) { this->listed.push_back(aHost); }
 
   // Returns what this replica founds the group as, should it do so.
-  FormationId Proposed() const { return this->proposed; }
+  FormationId ProposedFormation() const { return this->proposed; }
 
 private:
-  bool MayFound() const { return this->mayFound && this->listed.front() == this->self.host; }
+  bool MayFormGroup() const
+  {
+    return this->mayFormGroup && this->listed.front() == this->self.host;
+  }
 
   const Clock& clock;
   Member self;
   std::vector<HostId> listed;
   std::mt19937_64 random;
   FormationId proposed;
-  bool mayFound = true;
+  bool mayFormGroup = true;
   std::uint64_t nonce = 0;
   MonotonicTime nextRound;
   std::map<HostId, ReplicaId> neverFormed;
--- a/include/damasklink/coordination/GroupLife.h
+++ b/include/damasklink/coordination/GroupIncarnation.h
@@ -16,26 +16,27 @@
 namespace damasklink {
 
 // One founding of a group. A zero incarnation is not known yet, or was superseded by another.
-struct Founding
+struct GroupIncarnation
 {
   Incarnation incarnation;
-  WallTime foundedAt;
+  WallTime formedAt;
 
-  bool operator==(const Founding&) const = default;
+  bool operator==(const GroupIncarnation&) const = default;
 };
 
 std::string
-EncodeFounding(const Founding& aFounding);
-Result<Founding>
-DecodeFounding(std::string_view aBytes);
+EncodeGroupIncarnation(const GroupIncarnation& aFounding);
+Result<GroupIncarnation>
+DecodeGroupIncarnation(std::string_view aBytes);
 
 // Returns the command by which a group's leader makes its formation known to the control group.
 std::string
 EncodeRegistration(const GroupId& aGroup, FormationId aFormation);
 
 // Machine of the control group: the foundings of all groups. Answers a registration with the
-// group's Founding, the same one each time; a formation that another has superseded gets zero.
-class GroupCatalogue final : public ReplicatedMachine
+// group's GroupIncarnation, the same one each time; a formation that another has superseded gets
+// zero.
+class GroupRegistry final : public ReplicatedStateMachine
 {
 public:
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
@@ -43,31 +44,31 @@
   Result<void> Load(std::string_view aSnapshot) override;
 
   // Returns the newest founding of a group, a zero one when none is known.
-  Founding Newest(const GroupId& aGroup) const;
+  GroupIncarnation Newest(const GroupId& aGroup) const;
 
 private:
   struct Record
   {
     FormationId formation;
-    Founding founding;
+    GroupIncarnation founding;
   };
 
   // Oldest first.
   std::map<GroupId, std::vector<Record>> groups;
 };
 
-// Machine of a claims group: takes its own Founding as a command, once.
-class GroupLife final : public ReplicatedMachine
+// Machine of a claims group: takes its own GroupIncarnation as a command, once.
+class IncarnationMachine final : public ReplicatedStateMachine
 {
 public:
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
   std::string Save() const override;
   Result<void> Load(std::string_view aSnapshot) override;
 
-  const Founding& Current() const { return this->founding; }
+  const GroupIncarnation& Current() const { return this->founding; }
 
 private:
-  Founding founding;
+  GroupIncarnation founding;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/GroupReplica.h
+++ b/include/damasklink/coordination/GroupReplica.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "damasklink/coordination/GroupFormation.h"
-#include "damasklink/coordination/GroupMachines.h"
+#include "damasklink/coordination/GroupStateMachines.h"
 #include "damasklink/coordination/MembershipRepair.h"
 #include "damasklink/coordination/RaftCore.h"
 
@@ -19,9 +19,9 @@
   std::vector<HostId> listedVoters;
   // Whether this replica may found the group; false where it is known to have been formed before,
   // so that a host with a lost disk waits for those that remember.
-  bool mayFound = true;
+  bool mayFormGroup = true;
   // Set where hosts are learnt while they run, not listed: how many of them vote. Odd.
-  std::optional<std::size_t> mostVoters;
+  std::optional<std::size_t> maxVoters;
   // Applied entries, or bytes of commands, after which a snapshot is taken.
   std::uint64_t snapshotEntries = 10'000;
   std::uint64_t snapshotBytes = std::uint64_t{ 4 } * 1024 * 1024;
@@ -38,7 +38,7 @@
 // Drives one replica. Without I/O; the same calls in the same order give the same actions.
 //
 //   GroupReplica replica(clock, options, recovered);
-//   replica.Machines().Add(MachinePart::Claims, ledger);
+//   replica.Machines().Add(StateMachineId::Claims, ledger);
 //   replica.Receive(message);
 //   replica.Tick();
 //   GroupActions actions = replica.TakeActions();
@@ -48,7 +48,7 @@
   GroupReplica(const Clock& aClock, GroupOptions aOptions, RecoveredLog aRecovered);
 
   // Requires that all machines are added before the first TakeActions().
-  GroupMachines& Machines() { return this->machines; }
+  GroupStateMachines& Machines() { return this->machines; }
 
   // Takes any message of this group; drops what is not for this replica or another formation.
   void Receive(const AgreementMessage& aMessage);
@@ -64,10 +64,10 @@
   GroupActions TakeActions();
 
   // Asks this host too, from now on, whether the group was formed and to be taken in.
-  void KnowHost(const HostId& aHost);
+  void AddDiscoveredHost(const HostId& aHost);
 
   // Gives up leadership in favour of another voter.
-  void HandOver() { this->core.HandOver(); }
+  void TransferLeadership() { this->core.TransferLeadership(); }
 
   GroupStatus Status() const;
   const RaftCore& Core() const { return this->core; }
@@ -80,7 +80,7 @@
   void Stop(Error aReason) { this->failure = std::move(aReason); }
 
 private:
-  struct Waiter
+  struct PendingAnswer
   {
     HostId host;
     ReplicaId replica;
@@ -88,7 +88,7 @@
   };
 
   // How far a proposer's sendings were seen.
-  struct SeenAttempts
+  struct AttemptHistory
   {
     std::uint64_t proposer = 0;
     Sequence last;
@@ -96,31 +96,31 @@
 
   using ProposalKey = std::pair<std::uint64_t, Sequence>;
 
-  void AnswerForEarlier(const AgreementMessage& aMessage, const PreVoteRequest& aRequest);
-  void AnswerQuery(const AgreementMessage& aMessage, const FormationQuery& aQuery);
-  void Follow(const GroupFormation::Outcome& aOutcome);
-  void TakeProposal(const AgreementMessage& aMessage, const ForwardedProposal& aProposal);
+  void AnswerForLostReplica(const AgreementMessage& aMessage, const PreVoteRequest& aRequest);
+  void AnswerFormationQuery(const AgreementMessage& aMessage, const FormationQuery& aQuery);
+  void ApplyOutcome(const GroupFormation::Outcome& aOutcome);
+  void OnProposal(const AgreementMessage& aMessage, const ForwardedProposal& aProposal);
   void Refuse(const AgreementMessage& aMessage, const ForwardedProposal& aProposal);
-  void Answer(const Waiter& aWaiter, const ProposalId& aProposal, std::string aAnswer);
-  void AskToJoin();
+  void Answer(const PendingAnswer& aPending, const ProposalId& aProposal, std::string aAnswer);
+  void SendJoinRequests();
   void Apply(const LogEntry& aEntry);
   void TakeSnapshot();
   void Load(const Snapshot& aSnapshot);
-  bool WasEverFormed() const { return this->core.Log().LastIndex() != LogIndex(); }
-  AgreementMessage Address(const HostId& aTo, ReplicaId aReplica, AgreementBody aBody) const;
+  bool HasLog() const { return this->core.Log().LastIndex() != LogIndex(); }
+  AgreementMessage MakeMessage(const HostId& aTo, ReplicaId aReplica, AgreementBody aBody) const;
 
   const Clock& clock;
   GroupOptions options;
   RaftCore core;
-  GroupMachines machines;
+  GroupStateMachines machines;
   GroupFormation formation;
   MembershipRepair repair;
   std::optional<Error> failure;
 
-  std::map<ProposalKey, Waiter> waiters;
-  std::map<HostId, SeenAttempts> attempts;
-  MonotonicTime nextJoin;
-  MonotonicTime nextWaiterCheck;
+  std::map<ProposalKey, PendingAnswer> pendingAnswers;
+  std::map<HostId, AttemptHistory> attempts;
+  MonotonicTime nextJoinRequest;
+  MonotonicTime nextExpiryCheck;
   LogIndex appliedIndex;
   Term appliedTerm;
   WallTime appliedAt;
--- a/include/damasklink/coordination/GroupMachines.h
+++ b/include/damasklink/coordination/GroupStateMachines.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "damasklink/coordination/GroupLife.h"
-#include "damasklink/coordination/ProposalTable.h"
+#include "damasklink/coordination/GroupIncarnation.h"
+#include "damasklink/coordination/ProposerSessions.h"
 #include "damasklink/coordination/Replication.h"
 #include "damasklink/state/LogEntry.h"
 
@@ -21,22 +21,22 @@
   std::optional<std::string> answer;
 };
 
-class GroupMachines
+class GroupStateMachines
 {
 public:
-  explicit GroupMachines(GroupId aGroup)
+  explicit GroupStateMachines(GroupId aGroup)
     : group(std::move(aGroup))
   {
   }
 
   // Requires that aMachine outlives this object.
-  void Add(MachinePart aPart, ReplicatedMachine& aMachine);
+  void Add(StateMachineId aPart, ReplicatedStateMachine& aMachine);
 
-  // Lets commands see which founding of the group they belong to. Requires that aLife outlives this
-  // object.
-  void SetLife(const GroupLife& aLife) { this->life = &aLife; }
+  // Lets commands see which founding of the group they belong to. Requires that aMachine outlives
+  // this object.
+  void SetIncarnation(const IncarnationMachine& aMachine) { this->incarnationMachine = &aMachine; }
 
-  bool Has(MachinePart aPart) const { return this->machines.contains(aPart); }
+  bool Has(StateMachineId aPart) const { return this->machines.contains(aPart); }
 
   // Applies one entry; nothing comes back for entries that are no commands.
   std::optional<AppliedProposal> Apply(const LogEntry& aEntry);
@@ -44,7 +44,7 @@
   // Returns the kept answer of an applied proposal.
   std::optional<std::string> FindAnswer(const ProposalId& aProposal) const
   {
-    return this->proposals.Find(aProposal);
+    return this->sessions.FindAnswer(aProposal);
   }
 
   // Returns the state of all machines, of those of another program version too.
@@ -55,11 +55,11 @@
 
 private:
   GroupId group;
-  const GroupLife* life = nullptr;
-  std::map<MachinePart, ReplicatedMachine*> machines;
+  const IncarnationMachine* incarnationMachine = nullptr;
+  std::map<StateMachineId, ReplicatedStateMachine*> machines;
   // States of parts that this program does not know; kept so that no snapshot loses them.
-  std::map<MachinePart, std::string> unknown;
-  ProposalTable proposals;
+  std::map<StateMachineId, std::string> unknown;
+  ProposerSessions sessions;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/HostMembership.h
+++ b/include/damasklink/coordination/HostMembership.h
@@ -43,7 +43,7 @@
 // Tells hosts that are up from those that are silent or leaving.
 //
 //   HostMembership membership(clock, settings, incarnation);
-//   if (membership.TakeTurn()) { send membership.MakeHeartbeat() to membership.Partner(); }
+//   if (membership.AdvanceIfDue()) { send membership.MakeHeartbeat() to membership.CurrentPeer(); }
 //   membership.OnHeartbeat(from, heartbeat);
 //
 // One heartbeat an interval goes to one peer in turn, whatever the number of hosts; what it says of
@@ -53,17 +53,17 @@
 {
 public:
   static constexpr Duration kInterval = std::chrono::seconds(1);
-  static constexpr Duration kSilence = std::chrono::seconds(8);
+  static constexpr Duration kFailureTimeout = std::chrono::seconds(8);
   // Sightings in one heartbeat; where there are more hosts they take turns.
-  static constexpr std::size_t kMostSightings = 16;
+  static constexpr std::size_t kMaxSightings = 16;
 
   HostMembership(const Clock& aClock, const HostSettings& aSettings, Incarnation aIncarnation);
 
   // Returns whether a heartbeat is due, and if so begins the next interval with the next partner.
-  bool TakeTurn();
+  bool AdvanceIfDue();
 
   // Returns the peer whose turn it is, empty when there is none.
-  HostId Partner() const;
+  HostId CurrentPeer() const;
 
   // Returns this host's next heartbeat; revision and confirmedAge are for the caller to fill.
   Heartbeat MakeHeartbeat();
@@ -73,14 +73,14 @@
   // Makes all later heartbeats say that this host is leaving.
   void Leave() { this->leaving = true; }
 
-  // Returns whether the host was heard of within kSilence and is not leaving. A host is taken for
-  // up for the first kSilence of this process, before anything was heard.
+  // Returns whether the host was heard of within kFailureTimeout and is not leaving. A host is
+  // taken for up for the first kFailureTimeout of this process, before anything was heard.
   bool IsUp(const HostId& aHost) const;
 
   // Returns the host after this one in the order of (zone, host) that is up, empty when alone.
-  HostId NextUp() const;
+  HostId NextHostUp() const;
 
-  Incarnation Own() const { return this->incarnation; }
+  Incarnation OwnIncarnation() const { return this->incarnation; }
 
 private:
   struct Entry
@@ -89,7 +89,7 @@
     Incarnation incarnation;
     Sequence sequence;
     bool leaving = false;
-    MonotonicTime heard;
+    MonotonicTime heardAt;
   };
 
   void Merge(const HostSighting& aSighting);
@@ -99,8 +99,8 @@
   Incarnation incarnation;
   Sequence sequence;
   bool leaving = false;
-  MonotonicTime nextTurn;
-  std::size_t turn = 0;
+  MonotonicTime nextHeartbeatAt;
+  std::size_t peerPosition = 0;
   std::size_t nextSighting = 0;
   // All other hosts, in the order that follows this one around the ring of (zone, host).
   std::vector<Entry> others;
--- a/include/damasklink/coordination/MembershipRepair.h
+++ b/include/damasklink/coordination/MembershipRepair.h
@@ -25,18 +25,18 @@
   {
   }
 
-  // Makes the repair one for hosts that are learnt. Requires that aMostVoters is odd.
-  void LearnHosts(std::size_t aMostVoters) { this->mostVoters = aMostVoters; }
+  // Makes the repair one for hosts that are learnt. Requires that aMaxVoters is odd.
+  void EnableDiscovery(std::size_t aMaxVoters) { this->maxVoters = aMaxVoters; }
 
   // Notes that a replica asks to be taken in; hosts that are neither listed nor learnt are ignored.
-  void NoteJoin(const HostId& aHost, ReplicaId aReplica);
+  void OnJoinRequest(const HostId& aHost, ReplicaId aReplica);
 
   // Returns the membership to propose next, nothing while all is as it should be.
   std::optional<Membership> Next(const RaftCore& aCore);
 
 private:
   bool IsListed(const HostId& aHost) const;
-  bool MayVote(const Membership& aNow, const RaftCore& aCore) const;
+  bool MayAddVoter(const Membership& aNow, const RaftCore& aCore) const;
   std::optional<Membership> RemoveRetired(const Membership& aNow, const RaftCore& aCore) const;
   std::optional<Membership> Promote(const Membership& aNow, const RaftCore& aCore) const;
   std::optional<Membership> RemoveReplaced(const Membership& aNow) const;
@@ -44,7 +44,7 @@
 
   std::vector<HostId> listed;
   // Set where hosts are learnt.
-  std::optional<std::size_t> mostVoters;
+  std::optional<std::size_t> maxVoters;
   std::map<HostId, ReplicaId> joining;
 };
 
--- a/include/damasklink/coordination/OrdersMachine.h
+++ b/include/damasklink/coordination/OrdersMachine.h
@@ -26,12 +26,12 @@
 
 // Gives each order a fencing number above all former ones.
 //
-//   replicator.AddMachine(ControlGroupId(), MachinePart::Orders, machine);
+//   replicator.AddMachine(ControlGroupId(), StateMachineId::Orders, machine);
 //   Propose(PackIssueOrder(target)) -> UnpackFencing(answer)
 //
 // Numbers rise over all targets, terms and leaders. A proposal whose answer was lost leaves a gap,
 // which harms nobody.
-class OrdersMachine final : public ReplicatedMachine
+class OrdersMachine final : public ReplicatedStateMachine
 {
 public:
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
--- a/include/damasklink/coordination/ProposalTracker.h
+++ b/include/damasklink/coordination/ProposalForwarder.h
@@ -14,23 +14,23 @@
 namespace damasklink {
 
 // Sends proposals to where the leader is believed to be, and again elsewhere when that host
-// refuses or is silent. Copies of one proposal are applied once (ProposalTable.h), so it may do so
-// as long as the proposer asks for the answer.
+// refuses or is silent. Copies of one proposal are applied once (ProposerSessions.h), so it may do
+// so as long as the proposer asks for the answer.
 //
-//   ProposalTracker tracker(clock, host, processTag);
-//   tracker.Start(group, voters, part, command, timeout, done);
-//   tracker.Tick();
-//   for (AgreementMessage& message : tracker.TakeMessages()) { ... }
-class ProposalTracker
+//   ProposalForwarder forwarder(clock, host, processTag);
+//   forwarder.Start(group, voters, part, command, timeout, done);
+//   forwarder.Tick();
+//   for (AgreementMessage& message : forwarder.TakeMessages()) { ... }
+class ProposalForwarder
 {
 public:
   // Requires that aProposer is random for each process and not zero.
-  ProposalTracker(const Clock& aClock, HostId aHost, std::uint64_t aProposer);
+  ProposalForwarder(const Clock& aClock, HostId aHost, std::uint64_t aProposer);
 
   // aVoters are the hosts that may lead the group; aDone comes at once when there are none.
   void Start(const GroupId& aGroup,
              const std::vector<HostId>& aVoters,
-             MachinePart aPart,
+             StateMachineId aPart,
              std::string aCommand,
              Duration aTimeout,
              ProposalDone aDone);
@@ -40,7 +40,7 @@
 
   // Sends what is pending to a leader that this host has learnt of otherwise; does nothing when it
   // is empty or known.
-  void NoteLeader(const GroupId& aGroup, const HostId& aLeader);
+  void ReportLeader(const GroupId& aGroup, const HostId& aLeader);
 
   void Tick();
 
@@ -52,14 +52,14 @@
 private:
   struct Pending
   {
-    MachinePart part;
+    StateMachineId part;
     std::string command;
     ProposalDone done;
     MonotonicTime deadline;
     MonotonicTime nextAttempt;
     // Sendings that were not refused: any of them may have been applied.
-    std::set<Sequence> unsettled;
-    int hintsFollowed = 0;
+    std::set<Sequence> openAttempts;
+    int redirectsFollowed = 0;
   };
 
   struct Group
@@ -68,15 +68,15 @@
     std::size_t nextVoter = 0;
     // Empty: try the voters in turn.
     HostId leader;
-    // The one that NoteLeader() named last.
-    HostId notedLeader;
+    // The one that ReportLeader() named last.
+    HostId reportedLeader;
     Sequence lastSequence;
     std::map<Sequence, Pending> pending;
   };
 
   void Send(const GroupId& aGroup, Group& aState, Sequence aSequence, Pending& aPending);
-  void TakeAnswer(Group& aState, const AgreementMessage& aMessage, const ProposalAnswer& aAnswer);
-  void TakeRefusal(const GroupId& aGroup, Group& aState, const ProposalRefusal& aRefusal);
+  void OnAnswer(Group& aState, const AgreementMessage& aMessage, const ProposalAnswer& aAnswer);
+  void OnRefusal(const GroupId& aGroup, Group& aState, const ProposalRefusal& aRefusal);
   void TickGroup(const GroupId& aGroup, Group& aState);
 
   const Clock& clock;
--- a/include/damasklink/coordination/ProposalRetrier.h
+++ b/include/damasklink/coordination/ProposalRetrier.h
@@ -1,4 +1,4 @@
-// Repeats a proposal to a group until it is answered or its time is over.
+// Repeats a proposal to a group until it is answered or its time is expired.
 #pragma once
 
 #include <functional>
@@ -14,13 +14,13 @@
 struct Proposal
 {
   GroupId group;
-  MachinePart part = MachinePart::Claims;
+  StateMachineId part = StateMachineId::Claims;
   std::string command;
   MonotonicTime deadline;
 };
 
 // How a proposal ended.
-struct ProposalEnd
+struct ProposalOutcome
 {
   Result<std::string> reply;
   // Whether a failed one may have been applied, now or later.
@@ -31,21 +31,21 @@
 // repeats by the id inside it. Lives on the control thread.
 //
 //   ProposalRetrier retrier(clock, replicator, { std::chrono::milliseconds(500), pause });
-//   retrier.Start(proposal, [](ProposalEnd aEnd) { ... });
+//   retrier.Start(proposal, [](ProposalOutcome aEnd) { ... });
 //   retrier.OnTick(now);   // On every tick.
 //
 // Each proposal ends exactly once, at its deadline at the latest; an answer after that is dropped.
 class ProposalRetrier
 {
 public:
-  using Done = std::function<void(ProposalEnd)>;
+  using Done = std::function<void(ProposalOutcome)>;
 
   struct Options
   {
     // Longest wait for one try.
-    Duration tryTimeout = std::chrono::milliseconds(500);
+    Duration attemptTimeout = std::chrono::milliseconds(500);
     // Between two tries.
-    Duration pause = std::chrono::milliseconds(50);
+    Duration retryDelay = std::chrono::milliseconds(50);
   };
 
   ProposalRetrier(const Clock& aClock, Replicator& aReplicator, Options aOptions)
@@ -59,20 +59,20 @@
   void OnTick(MonotonicTime aNow);
 
   // Returns how many proposals have not ended.
-  std::size_t Pending() const { return this->running.size(); }
+  std::size_t Pending() const { return this->pending.size(); }
 
 private:
-  struct Running
+  struct PendingProposal
   {
     Proposal proposal;
     Done done;
     // When to try again; empty while a try is out.
-    std::optional<MonotonicTime> tryAt;
+    std::optional<MonotonicTime> retryAt;
     bool mayBeApplied = false;
     Error lastError;
   };
 
-  void Try(std::uint64_t aId);
+  void SendAttempt(std::uint64_t aId);
   void OnAnswer(std::uint64_t aId, Result<std::string> aReply);
   void End(std::uint64_t aId, Result<std::string> aReply);
 
@@ -80,7 +80,7 @@
   Replicator& replicator;
   Options options;
   std::uint64_t lastId = 0;
-  std::map<std::uint64_t, Running> running;
+  std::map<std::uint64_t, PendingProposal> pending;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/ProposalTable.h
+++ b/include/damasklink/coordination/ProposerSessions.h
@@ -12,30 +12,30 @@
 namespace damasklink {
 
 // The same on every replica: changed by committed entries only, and part of each snapshot.
-class ProposalTable
+class ProposerSessions
 {
 public:
   // What is known of a proposal before it is applied.
-  enum class Standing
+  enum class ProposalState
   {
-    Fresh,   // To be applied now.
-    Applied, // Find() has its answer.
+    New,     // To be applied now.
+    Applied, // FindAnswer() has its answer.
     Expired, // The proposer has given it up; it must not be applied any more.
   };
 
   // Takes note of the proposer's floor and returns how the proposal stands. aIndex is that of the
   // entry. Beyond 4,096 proposers the one that has been silent for the longest is forgotten; each
   // is the life of one process, so nothing of it can be under way any more.
-  Standing Note(const ProposalId& aProposal, LogIndex aIndex);
+  ProposalState Register(const ProposalId& aProposal, LogIndex aIndex);
 
   // Keeps the answer of a proposal that was fresh.
-  void Keep(const ProposalId& aProposal, std::string aAnswer);
+  void SaveAnswer(const ProposalId& aProposal, std::string aAnswer);
 
-  // Returns the kept answer, nothing when it was not applied or is not kept any more.
-  std::optional<std::string> Find(const ProposalId& aProposal) const;
+  // Returns the index2 answer, nothing when it was not applied or is not index2 any more.
+  std::optional<std::string> FindAnswer(const ProposalId& aProposal) const;
 
   std::string Save() const;
-  // Fails with Corrupt and then leaves the table as it was.
+  // Fails with Corrupt and then leaves the sessions as it was.
   Result<void> Load(std::string_view aBytes);
 
 private:
@@ -46,7 +46,7 @@
     std::map<Sequence, std::string> answers;
   };
 
-  void ForgetOldest();
+  void EvictOldest();
 
   std::map<std::uint64_t, Proposer> proposers;
 };
--- a/include/damasklink/coordination/RaftCore.h
+++ b/include/damasklink/coordination/RaftCore.h
@@ -22,8 +22,8 @@
   Duration heartbeat = std::chrono::milliseconds(500);
   // A replica that heard its leader within this time helps no other into office; the leader's
   // lease is a tenth shorter, which bears clocks that differ by that much in rate.
-  Duration electionLeast = std::chrono::milliseconds(1000);
-  Duration electionMost = std::chrono::milliseconds(2000);
+  Duration electionTimeoutMin = std::chrono::milliseconds(1000);
+  Duration electionTimeoutMax = std::chrono::milliseconds(2000);
 };
 
 struct RaftOptions
@@ -35,7 +35,7 @@
   // Seeds the election timeouts.
   std::uint64_t seed = 1;
   // Longest snapshot piece and, roughly, longest append.
-  std::size_t mostMessageBytes = std::size_t{ 256 } * 1024;
+  std::size_t maxMessageBytes = std::size_t{ 256 } * 1024;
   // Entries kept in memory behind a snapshot.
   std::uint64_t trailingEntries = 1024;
 };
@@ -76,10 +76,10 @@
   RaftCore(const Clock& aClock, RaftOptions aOptions, RecoveredLog aRecovered);
 
   // Founds the group with these voters, this replica among them. Requires an empty log.
-  void Found(FormationId aFormation, const Membership& aVoters);
+  void FormGroup(FormationId aFormation, const Membership& aVoters);
 
   // Takes the formation of a group that another replica founded. Requires an empty log.
-  void Adopt(FormationId aFormation);
+  void AdoptFormation(FormationId aFormation);
 
   // Takes a message of this formation to this replica.
   void Receive(const AgreementMessage& aMessage);
@@ -100,7 +100,7 @@
   void Compact(SnapshotPtr aSnapshot);
 
   // Gives up the lease and lets the most advanced voter call an election.
-  void HandOver();
+  void TransferLeadership();
 
   // Answers a message of the same group once all that has changed so far is synced.
   void ReplyWhenPersisted(const AgreementMessage& aTo, AgreementBody aBody);
@@ -117,16 +117,16 @@
   // Returns the host of the leader, empty while unknown.
   HostId LeaderHost() const;
   LogIndex Committed() const { return this->committed; }
-  LogIndex HandedOut() const { return this->handedOut; }
+  LogIndex DeliveredIndex() const { return this->deliveredIndex; }
   const RaftLog& Log() const { return this->log; }
   bool IsVoter() const { return this->log.NewestMembership().IsVoter(this->options.replica); }
   // Returns whether a leader was heard within the longest election timeout.
-  bool HasFreshLeader() const;
+  bool HasRecentLeader() const;
   // Returns up to where the member's log is known to be equal. Only a leader knows.
   LogIndex MatchOf(ReplicaId aReplica) const;
   // Returns whether the member answered within the longest election timeout; true for this replica.
   // Only a leader knows.
-  bool HeardFrom(ReplicaId aReplica) const;
+  bool HeardRecentlyFrom(ReplicaId aReplica) const;
 
 private:
   struct Progress
@@ -146,14 +146,14 @@
     MonotonicTime heardAt;
   };
 
-  struct HeldMessage
+  struct DeferredMessage
   {
     std::uint64_t afterBatch = 0;
     AgreementMessage message;
   };
 
   // A batch that was handed out and is not synced yet.
-  struct BatchUnderWay
+  struct PendingBatch
   {
     std::uint64_t number = 0;
     // The end of the log once it is synced.
@@ -170,32 +170,32 @@
   void ResetElectionTimer();
   void StartPreVote();
   void StartElection(bool aHandover, bool aAllLeaderless = false);
-  void AskWhileLeaderless();
-  Duration LeaderlessPause();
+  void CheckAllLeaderless();
+  Duration LeaderlessRetryDelay();
   bool IsLeaderless() const;
   void CountLeaderless(ReplicaId aVoter);
   void CountVote(ReplicaId aVoter);
   void BecomeFollower(Term aTerm, ReplicaId aLeader);
   void BecomeLeader();
   bool IsUpToDate(LogIndex aLastIndex, Term aLastTerm) const;
-  bool HeardLeaderLately() const;
+  bool HeardLeaderRecently() const;
 
   // As a follower (RaftFollower.cpp).
   void Handle(const AgreementMessage& aMessage, const AppendRequest& aBody);
   void Handle(const AgreementMessage& aMessage, const SnapshotPiece& aBody);
   void AcceptLeader(const AgreementMessage& aMessage);
-  void TakeEntries(const AppendRequest& aBody);
-  void CutUnsynced(LogIndex aLast);
+  void StoreEntries(const AppendRequest& aBody);
+  void TruncatePending(LogIndex aLast);
   LogIndex RetryHint(const AppendRequest& aBody) const;
   void InstallSnapshot(const AgreementMessage& aMessage, const SnapshotPiece& aBody);
 
   // As a leader (RaftLeader.cpp).
   void Handle(const AgreementMessage& aMessage, const AppendAnswer& aBody);
   void Handle(const AgreementMessage& aMessage, const SnapshotAnswer& aBody);
-  Progress* FindAnswering(const AgreementMessage& aMessage, std::uint64_t aSentAt);
-  bool IsFresh(const Progress& aProgress) const;
-  void AppendOwn(LogEntry aEntry);
-  void MatchProgressToMembership();
+  Progress* RecordAnswer(const AgreementMessage& aMessage, std::uint64_t aSentAt);
+  bool HeardRecently(const Progress& aProgress) const;
+  void AppendAsLeader(LogEntry aEntry);
+  void UpdateProgressMembers();
   void SendNewEntries();
   void SendHeartbeats();
   void SendAppend(ReplicaId aTo, Progress& aProgress, bool aHeartbeat);
@@ -203,8 +203,8 @@
   void SendSnapshotPiece(ReplicaId aTo, Progress& aProgress);
   void AdvanceCommitted();
   void CheckQuorum();
-  bool DiskHangs() const;
-  void FinishHandOver();
+  bool IsDiskHung() const;
+  void SendTimeoutNowWhenReady();
   // Returns the value that a quorum of voters reaches; aOwn stands for this replica.
   template<typename Value, typename Field>
   Value QuorumValue(Value aOwn, Field aField) const;
@@ -215,13 +215,13 @@
   {
   }
 
-  AgreementMessage Address(ReplicaId aTo, const HostId& aHost, AgreementBody aBody) const;
-  void SendNow(ReplicaId aTo, const HostId& aHost, AgreementBody aBody);
+  AgreementMessage MakeMessage(ReplicaId aTo, const HostId& aHost, AgreementBody aBody) const;
+  void SendImmediately(ReplicaId aTo, const HostId& aHost, AgreementBody aBody);
   // Sends once all that has changed so far is synced.
   void SendWhenPersisted(ReplicaId aTo, const HostId& aHost, AgreementBody aBody);
   void SendToOtherVoters(const AgreementBody& aBody, bool aWhenPersisted);
   std::optional<PersistBatch> TakeBatch();
-  void HandOutCommitted(RaftActions& aActions);
+  void DeliverCommitted(RaftActions& aActions);
 
   const Clock& clock;
   RaftOptions options;
@@ -239,41 +239,41 @@
   MonotonicTime leaderHeardAt;
   MonotonicTime startedAt;
   // When a replica that is leaderless since it started asks the others next.
-  MonotonicTime nextLeaderlessAsk;
+  MonotonicTime nextLeaderlessCheck;
   // Whether it has led or heard a leader since it started.
   bool hadLeader = false;
 
   std::map<ReplicaId, Progress> progress;
   MonotonicTime heartbeatAt;
-  LogIndex termStart;
-  bool handingOver = false;
-  bool handoverSent = false;
-  MonotonicTime handoverEnds;
+  LogIndex termStartIndex;
+  bool transferringLeadership = false;
+  bool timeoutNowSent = false;
+  MonotonicTime transferDeadline;
   std::shared_ptr<const std::string> encodedSnapshot;
   LogIndex encodedSnapshotIndex;
 
   // The snapshot that is being received.
-  std::string incoming;
+  std::string incomingSnapshot;
   LogIndex incomingIndex;
   Term incomingTerm;
 
   LogIndex committed;
-  LogIndex handedOut;
-  SnapshotPtr toInstall;
+  LogIndex deliveredIndex;
+  SnapshotPtr snapshotToInstall;
 
   // What is not yet in any batch.
   bool hardStateChanged = false;
   SnapshotPtr snapshotToPersist;
   bool snapshotReplacesLog = false;
-  LogIndex unwrittenFrom;
+  LogIndex firstUnwritten;
   std::uint64_t batchesTaken = 0;
   std::uint64_t batchesSynced = 0;
-  std::deque<BatchUnderWay> batchesUnderWay;
+  std::deque<PendingBatch> pendingBatches;
   LogIndex persistedIndex;
 
   std::vector<AgreementMessage> outbox;
-  std::vector<AgreementMessage> waitingForBatch;
-  std::deque<HeldMessage> held;
+  std::vector<AgreementMessage> awaitingBatch;
+  std::deque<DeferredMessage> deferred;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/Replication.h
+++ b/include/damasklink/coordination/Replication.h
@@ -12,7 +12,7 @@
 namespace damasklink {
 
 // Which machine of a group a command is for. The numbers stand in log files: never reuse one.
-enum class MachinePart : std::uint8_t
+enum class StateMachineId : std::uint8_t
 {
   Groups = 1,        // Membership of groups: the catalogue, voters, incarnations.
   Configuration = 2, // The tree and its change ids (control group).
@@ -43,15 +43,15 @@
   // once, and so on; zero until the control group has told. Always 1 in the control group.
   Incarnation incarnation = Incarnation(1);
   // What came before this time was lost when the incarnation is above 1.
-  WallTime foundedAt;
+  WallTime formedAt;
 };
 
 // State that a group replicates. Apply() must give the same answer and state on every replica:
 // no clock, no randomness, no order of hash tables.
-class ReplicatedMachine
+class ReplicatedStateMachine
 {
 public:
-  virtual ~ReplicatedMachine() = default;
+  virtual ~ReplicatedStateMachine() = default;
 
   // Applies a committed command and returns its answer.
   virtual std::string Apply(const ApplyContext& aContext, std::string_view aCommand) = 0;
@@ -91,12 +91,12 @@
   // control thread starts; the machine must outlive the replicator. Does nothing on a host that
   // holds no replica of the group.
   virtual void AddMachine(const GroupId& aGroup,
-                          MachinePart aPart,
-                          ReplicatedMachine& aMachine) = 0;
+                          StateMachineId aPart,
+                          ReplicatedStateMachine& aMachine) = 0;
 
   // Commits a command on any host of the system, passing it on to the group's leader.
   virtual void Propose(const GroupId& aGroup,
-                       MachinePart aPart,
+                       StateMachineId aPart,
                        std::string aCommand,
                        Duration aTimeout,
                        ProposalDone aDone) = 0;
--- a/include/damasklink/coordination/ServingMachine.h
+++ b/include/damasklink/coordination/ServingMachine.h
@@ -84,7 +84,7 @@
 Result<ServingStanding>
 DecodeServingStanding(std::string_view aAnswer);
 
-class ServingMachine final : public ReplicatedMachine
+class ServingMachine final : public ReplicatedStateMachine
 {
 public:
   // Refused requests that are kept; the one that was refused first makes room.
--- a/include/damasklink/coordination/StoreLeases.h
+++ b/include/damasklink/coordination/StoreLeases.h
@@ -43,12 +43,12 @@
 // owner must count its lease from before it asked, on its own monotonic clock, and stop earlier.
 //
 //   StoreLeases leases;
-//   replicator.AddMachine(ClaimsGroupId(zone), MachinePart::Leases, leases);
+//   replicator.AddMachine(ClaimsGroupId(zone), StateMachineId::Leases, leases);
 //   replicator.Propose(..., EncodeLeaseCommand({ store, host, seconds(5) }), ..., done);
 //
 // The answer is the lease as it now stands; the asking host owns it when it is named there. Each
 // change of owner, and each grant after a lapse, has a higher fencing number.
-class StoreLeases final : public ReplicatedMachine
+class StoreLeases final : public ReplicatedStateMachine
 {
 public:
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
--- a/include/damasklink/protocol/ClaimMachine.h
+++ b/include/damasklink/protocol/ClaimMachine.h
@@ -26,10 +26,10 @@
 // Puts a ClaimLedger behind the replicated log.
 //
 //   ClaimMachine machine;
-//   replicator.AddMachine(ClaimsGroupId(zone), MachinePart::Claims, machine);
+//   replicator.AddMachine(ClaimsGroupId(zone), StateMachineId::Claims, machine);
 //
 // A command that does not decode is answered with the verdict Noted and changes nothing.
-class ClaimMachine final : public ReplicatedMachine
+class ClaimMachine final : public ReplicatedStateMachine
 {
 public:
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
--- a/include/damasklink/state/LogEntry.h
+++ b/include/damasklink/state/LogEntry.h
@@ -69,7 +69,7 @@
   EntryKind kind = EntryKind::NoOp;
   // Never lower than that of an earlier entry.
   WallTime proposedAt;
-  // Which machine; the numbers are those of MachinePart.
+  // Which machine; the numbers are those of StateMachineId.
   std::uint8_t part = 0;
   ProposalId proposal;
   std::string command;
--- a/src/coordination/ConfigSpread.cpp
+++ b/src/coordination/ConfigSpread.cpp
@@ -218,7 +218,7 @@
     return;
   }
   this->passedOn = aDelta.revision;
-  const HostId next = this->membership.NextUp();
+  const HostId next = this->membership.NextHostUp();
   if (next.Empty()) {
     return;
   }
--- /dev/null
+++ b/src/coordination/ControlHostSelector.cpp
@@ -0,0 +1,61 @@
+#include "damasklink/coordination/ControlHostSelector.h"
+
+#include <algorithm>
+
+#include "damasklink/state/Digests.h"
+#include "damasklink/state/Text.h"
+
+namespace damasklink {
+
+void
+ControlHostSelector::AddHost(const HostId& aHost, const ZoneId& aZone)
+{
+  ZoneId& knownZone = this->known[aHost];
+  if (!aZone.Empty()) {
+    knownZone = aZone;
+  }
+}
+
+bool
+ControlHostSelector::AddHosts(const ControlHostZones& aHosts)
+{
+  for (const auto& [host, hostZone] : aHosts) {
+    this->AddHost(host, hostZone);
+  }
+  return !aHosts.empty();
+}
+
+std::vector<HostId>
+ControlHostSelector::HostsByPreference() const
+{
+  std::vector<HostId> preferred;
+  std::vector<HostId> others;
+  for (const auto& [host, hostZone] : this->known) {
+    const bool own = hostZone == this->zone && preferred.size() < kMaxInOwnZone;
+    (own ? preferred : others).push_back(host);
+  }
+  // Another order for each entry host, so that their connections spread.
+  std::sort(others.begin(), others.end(), [this](const HostId& aLeft, const HostId& aRight) {
+    return ShortHash(Concat(this->self.Value(), "/", aLeft.Value())) <
+           ShortHash(Concat(this->self.Value(), "/", aRight.Value()));
+  });
+  preferred.insert(preferred.end(), others.begin(), others.end());
+  return preferred;
+}
+
+std::vector<HostId>
+ControlHostSelector::Select(const std::function<bool(const HostId&)>& aIsHealthy) const
+{
+  std::vector<HostId> selected;
+  std::size_t healthy = 0;
+  for (const HostId& host : this->HostsByPreference()) {
+    if (healthy >= kHealthyConnections) {
+      break;
+    }
+    selected.push_back(host);
+    healthy += aIsHealthy(host) ? 1 : 0;
+  }
+  return selected;
+}
+
+} // namespace damasklink
--- a/src/coordination/GroupFormation.cpp
+++ b/src/coordination/GroupFormation.cpp
@@ -25,8 +25,8 @@
 GroupFormation::Tick()
 {
   Outcome outcome;
-  if (this->listed.size() == 1 && this->MayFound()) {
-    outcome.found.members = { this->self };
+  if (this->listed.size() == 1 && this->MayFormGroup()) {
+    outcome.formWith.members = { this->self };
     return outcome;
   }
   if (this->clock.MonotonicNow() < this->nextRound) {
@@ -36,12 +36,12 @@
   this->neverFormed.clear();
   this->nonce = this->random() | 1U;
   outcome.query.nonce = this->nonce;
-  if (this->MayFound()) {
+  if (this->MayFormGroup()) {
     outcome.query.proposed = this->proposed;
   }
   for (const HostId& host : this->listed) {
     if (host != this->self.host) {
-      outcome.ask.push_back(host);
+      outcome.queriedHosts.push_back(host);
     }
   }
   return outcome;
@@ -59,19 +59,19 @@
     return outcome;
   }
   this->neverFormed[aMessage.fromHost] = aMessage.from;
-  if (!this->MayFound() || this->neverFormed.size() + 1 < this->listed.size()) {
+  if (!this->MayFormGroup() || this->neverFormed.size() + 1 < this->listed.size()) {
     return outcome;
   }
   for (const HostId& host : this->listed) {
     const bool own = host == this->self.host;
     const ReplicaId replica = own ? this->self.replica : this->neverFormed[host];
-    outcome.found.members.push_back(Member{ host, replica, true });
+    outcome.formWith.members.push_back(Member{ host, replica, true });
   }
   return outcome;
 }
 
 void
-GroupFormation::ForgetRound()
+GroupFormation::CancelRound()
 {
   this->nonce = 0;
   this->neverFormed.clear();
--- a/src/coordination/GroupLife.cpp
+++ b/src/coordination/GroupIncarnation.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/GroupLife.h"
+#include "damasklink/coordination/GroupIncarnation.h"
 
 #include <algorithm>
 
@@ -19,21 +19,21 @@
 } // namespace
 
 std::string
-EncodeFounding(const Founding& aFounding)
+EncodeGroupIncarnation(const GroupIncarnation& aFounding)
 {
   ByteWriter writer;
   writer.Number(aFounding.incarnation.Value());
-  writer.Number(EncodeWallTime(aFounding.foundedAt));
+  writer.Number(EncodeWallTime(aFounding.formedAt));
   return writer.Take();
 }
 
-Result<Founding>
-DecodeFounding(std::string_view aBytes)
+Result<GroupIncarnation>
+DecodeGroupIncarnation(std::string_view aBytes)
 {
   ByteReader reader(aBytes);
-  Founding founding;
+  GroupIncarnation founding;
   founding.incarnation = Incarnation(reader.Number());
-  founding.foundedAt = DecodeWallTime(reader.Number());
+  founding.formedAt = DecodeWallTime(reader.Number());
   if (!reader.Finished()) {
     return CorruptCommand();
   }
@@ -50,36 +50,36 @@
 }
 
 std::string
-GroupCatalogue::Apply(const ApplyContext& aContext, std::string_view aCommand)
+GroupRegistry::Apply(const ApplyContext& aContext, std::string_view aCommand)
 {
   ByteReader reader(aCommand);
   const GroupId group(reader.Text());
   const FormationId formation(reader.Number());
   if (!reader.Finished()) {
-    return EncodeFounding(Founding{});
+    return EncodeGroupIncarnation(GroupIncarnation{});
   }
   std::vector<Record>& records = this->groups[group];
   const auto known = std::find_if(records.begin(), records.end(), [&](const Record& aRecord) {
     return aRecord.formation == formation;
   });
   if (known == records.end()) {
-    const Founding founding{ Incarnation(records.size() + 1), aContext.proposedAt };
+    const GroupIncarnation founding{ Incarnation(records.size() + 1), aContext.proposedAt };
     records.push_back(Record{ formation, founding });
-    return EncodeFounding(founding);
+    return EncodeGroupIncarnation(founding);
   }
   const bool newest = known->formation == records.back().formation;
-  return EncodeFounding(newest ? known->founding : Founding{});
+  return EncodeGroupIncarnation(newest ? known->founding : GroupIncarnation{});
 }
 
-Founding
-GroupCatalogue::Newest(const GroupId& aGroup) const
+GroupIncarnation
+GroupRegistry::Newest(const GroupId& aGroup) const
 {
   const auto found = this->groups.find(aGroup);
-  return found == this->groups.end() ? Founding{} : found->second.back().founding;
+  return found == this->groups.end() ? GroupIncarnation{} : found->second.back().founding;
 }
 
 std::string
-GroupCatalogue::Save() const
+GroupRegistry::Save() const
 {
   ByteWriter writer;
   writer.Number(this->groups.size());
@@ -88,14 +88,14 @@
     writer.Number(records.size());
     for (const Record& record : records) {
       writer.Number(record.formation.Value());
-      writer.Text(EncodeFounding(record.founding));
+      writer.Text(EncodeGroupIncarnation(record.founding));
     }
   }
   return writer.Take();
 }
 
 Result<void>
-GroupCatalogue::Load(std::string_view aSnapshot)
+GroupRegistry::Load(std::string_view aSnapshot)
 {
   std::map<GroupId, std::vector<Record>> loaded;
   ByteReader reader(aSnapshot);
@@ -105,7 +105,7 @@
     const std::uint64_t foundings = reader.Number();
     for (std::uint64_t past = 0; past < foundings && reader.Ok(); ++past) {
       const FormationId formation(reader.Number());
-      auto founding = DecodeFounding(reader.Text());
+      auto founding = DecodeGroupIncarnation(reader.Text());
       if (!founding) {
         return Fail(founding.error());
       }
@@ -120,25 +120,25 @@
 }
 
 std::string
-GroupLife::Apply(const ApplyContext& /*aContext*/, std::string_view aCommand)
+IncarnationMachine::Apply(const ApplyContext& /*aContext*/, std::string_view aCommand)
 {
-  const auto told = DecodeFounding(aCommand);
+  const auto told = DecodeGroupIncarnation(aCommand);
   if (told && this->founding.incarnation == Incarnation()) {
     this->founding = told.value();
   }
-  return EncodeFounding(this->founding);
+  return EncodeGroupIncarnation(this->founding);
 }
 
 std::string
-GroupLife::Save() const
+IncarnationMachine::Save() const
 {
-  return EncodeFounding(this->founding);
+  return EncodeGroupIncarnation(this->founding);
 }
 
 Result<void>
-GroupLife::Load(std::string_view aSnapshot)
+IncarnationMachine::Load(std::string_view aSnapshot)
 {
-  auto loaded = DecodeFounding(aSnapshot);
+  auto loaded = DecodeGroupIncarnation(aSnapshot);
   if (!loaded) {
     return Fail(loaded.error());
   }
--- a/src/coordination/GroupReplica.cpp
+++ b/src/coordination/GroupReplica.cpp
@@ -8,7 +8,7 @@
 
 constexpr Duration kJoinInterval = std::chrono::seconds(1);
 // Nobody waits longer than this for the answer to a proposal.
-constexpr Duration kMostWait = std::chrono::minutes(10);
+constexpr Duration kMaxWait = std::chrono::minutes(10);
 
 } // namespace
 
@@ -23,15 +23,15 @@
               this->options.raft.seed)
   , repair(this->options.listedVoters)
 {
-  if (!this->options.mayFound) {
-    this->formation.NeverFound();
+  if (!this->options.mayFormGroup) {
+    this->formation.DisableForming();
   }
-  if (this->options.mostVoters) {
-    this->repair.LearnHosts(*this->options.mostVoters);
+  if (this->options.maxVoters) {
+    this->repair.EnableDiscovery(*this->options.maxVoters);
   }
-  if (!this->WasEverFormed() && this->core.Formation() != FormationId()) {
+  if (!this->HasLog() && this->core.Formation() != FormationId()) {
     // Adopted, or founded in a write that was cut off: only a fresh answer can tell.
-    this->core.Adopt(FormationId());
+    this->core.AdoptFormation(FormationId());
   }
 }
 
@@ -42,22 +42,22 @@
     return;
   }
   if (const auto* query = std::get_if<FormationQuery>(&aMessage.body)) {
-    this->AnswerQuery(aMessage, *query);
+    this->AnswerFormationQuery(aMessage, *query);
     return;
   }
   if (const auto* answer = std::get_if<FormationAnswer>(&aMessage.body)) {
     if (this->core.Formation() == FormationId()) {
-      this->Follow(this->formation.Receive(aMessage, *answer));
+      this->ApplyOutcome(this->formation.Receive(aMessage, *answer));
     }
     return;
   }
   if (const auto* proposal = std::get_if<ForwardedProposal>(&aMessage.body)) {
-    this->TakeProposal(aMessage, *proposal);
+    this->OnProposal(aMessage, *proposal);
     return;
   }
   const auto* asked = std::get_if<PreVoteRequest>(&aMessage.body);
   if (asked != nullptr && aMessage.to != this->options.raft.replica) {
-    this->AnswerForEarlier(aMessage, *asked);
+    this->AnswerForLostReplica(aMessage, *asked);
     return;
   }
   const bool sameGroup =
@@ -67,7 +67,7 @@
   }
   if (std::holds_alternative<JoinRequest>(aMessage.body)) {
     if (this->core.Role() == RaftRole::Leader) {
-      this->repair.NoteJoin(aMessage.fromHost, aMessage.from);
+      this->repair.OnJoinRequest(aMessage.fromHost, aMessage.from);
     }
     return;
   }
@@ -80,12 +80,12 @@
 // place on the host, where only one process can have the address. So nobody waits for the end of
 // its lease.
 void
-GroupReplica::AnswerForEarlier(const AgreementMessage& aMessage, const PreVoteRequest& aRequest)
+GroupReplica::AnswerForLostReplica(const AgreementMessage& aMessage, const PreVoteRequest& aRequest)
 {
   PreVoteAnswer answer;
   answer.candidateTerm = aRequest.candidateTerm;
   answer.leaderless = true;
-  AgreementMessage reply = this->Address(aMessage.fromHost, aMessage.from, answer);
+  AgreementMessage reply = this->MakeMessage(aMessage.fromHost, aMessage.from, answer);
   reply.from = aMessage.to;
   // This replica may not belong to the group yet.
   reply.formation = aMessage.formation;
@@ -94,50 +94,50 @@
 }
 
 void
-GroupReplica::AnswerQuery(const AgreementMessage& aMessage, const FormationQuery& aQuery)
+GroupReplica::AnswerFormationQuery(const AgreementMessage& aMessage, const FormationQuery& aQuery)
 {
   FormationAnswer answer{ aQuery.nonce, FormationId() };
-  if (this->WasEverFormed()) {
+  if (this->HasLog()) {
     answer.formed = this->core.Formation();
   } else if (aQuery.proposed != FormationId()) {
     // The asker may found the group on this answer, so no earlier founding may be joined any more.
-    this->formation.ForgetRound();
+    this->formation.CancelRound();
     const FormationId adopted = this->core.Formation();
     if (adopted != FormationId() && adopted != aQuery.proposed) {
-      this->core.Adopt(FormationId());
+      this->core.AdoptFormation(FormationId());
     }
   }
   this->core.ReplyWhenPersisted(aMessage, answer);
 }
 
 void
-GroupReplica::Follow(const GroupFormation::Outcome& aOutcome)
+GroupReplica::ApplyOutcome(const GroupFormation::Outcome& aOutcome)
 {
-  for (const HostId& host : aOutcome.ask) {
-    this->outbox.push_back(this->Address(host, ReplicaId(), aOutcome.query));
+  for (const HostId& host : aOutcome.queriedHosts) {
+    this->outbox.push_back(this->MakeMessage(host, ReplicaId(), aOutcome.query));
   }
   if (aOutcome.adopt != FormationId()) {
-    this->core.Adopt(aOutcome.adopt);
-  } else if (!aOutcome.found.members.empty()) {
-    this->core.Found(this->formation.Proposed(), aOutcome.found);
+    this->core.AdoptFormation(aOutcome.adopt);
+  } else if (!aOutcome.formWith.members.empty()) {
+    this->core.FormGroup(this->formation.ProposedFormation(), aOutcome.formWith);
   }
 }
 
 void
-GroupReplica::TakeProposal(const AgreementMessage& aMessage, const ForwardedProposal& aProposal)
+GroupReplica::OnProposal(const AgreementMessage& aMessage, const ForwardedProposal& aProposal)
 {
-  SeenAttempts& seen = this->attempts[aMessage.fromHost];
+  AttemptHistory& seen = this->attempts[aMessage.fromHost];
   if (seen.proposer == aProposal.proposal.proposer && aProposal.attempt <= seen.last) {
     // A late copy: the sender may have been told already that it was not taken.
     return;
   }
-  seen = SeenAttempts{ aProposal.proposal.proposer, aProposal.attempt };
-  const Waiter waiter{ aMessage.fromHost, aMessage.from, this->clock.MonotonicNow() };
+  seen = AttemptHistory{ aProposal.proposal.proposer, aProposal.attempt };
+  const PendingAnswer pending{ aMessage.fromHost, aMessage.from, this->clock.MonotonicNow() };
   if (auto known = this->machines.FindAnswer(aProposal.proposal)) {
-    this->Answer(waiter, aProposal.proposal, std::move(*known));
+    this->Answer(pending, aProposal.proposal, std::move(*known));
     return;
   }
-  if (!this->machines.Has(static_cast<MachinePart>(aProposal.part))) {
+  if (!this->machines.Has(static_cast<StateMachineId>(aProposal.part))) {
     this->Refuse(aMessage, aProposal);
     return;
   }
@@ -146,7 +146,7 @@
     this->Refuse(aMessage, aProposal);
     return;
   }
-  this->waiters[{ aProposal.proposal.proposer, aProposal.proposal.sequence }] = waiter;
+  this->pendingAnswers[{ aProposal.proposal.proposer, aProposal.proposal.sequence }] = pending;
 }
 
 void
@@ -155,14 +155,16 @@
   const HostId leader = this->core.LeaderHost();
   const bool other = leader != this->options.raft.host;
   const ProposalRefusal refusal{ aProposal.proposal, aProposal.attempt, other ? leader : HostId() };
-  this->outbox.push_back(this->Address(aMessage.fromHost, aMessage.from, refusal));
+  this->outbox.push_back(this->MakeMessage(aMessage.fromHost, aMessage.from, refusal));
 }
 
 void
-GroupReplica::Answer(const Waiter& aWaiter, const ProposalId& aProposal, std::string aAnswer)
+GroupReplica::Answer(const PendingAnswer& aPending,
+                     const ProposalId& aProposal,
+                     std::string aAnswer)
 {
-  this->outbox.push_back(
-    this->Address(aWaiter.host, aWaiter.replica, ProposalAnswer{ aProposal, std::move(aAnswer) }));
+  this->outbox.push_back(this->MakeMessage(
+    aPending.host, aPending.replica, ProposalAnswer{ aProposal, std::move(aAnswer) }));
 }
 
 void
@@ -172,7 +174,7 @@
     return;
   }
   if (this->core.Formation() == FormationId()) {
-    this->Follow(this->formation.Tick());
+    this->ApplyOutcome(this->formation.Tick());
   }
   this->core.Tick();
   if (this->core.Role() == RaftRole::Leader) {
@@ -181,39 +183,39 @@
     }
   }
   const MonotonicTime now = this->clock.MonotonicNow();
-  if (!this->core.HasFreshLeader() && now >= this->nextJoin) {
-    this->nextJoin = now + kJoinInterval;
-    this->AskToJoin();
+  if (!this->core.HasRecentLeader() && now >= this->nextJoinRequest) {
+    this->nextJoinRequest = now + kJoinInterval;
+    this->SendJoinRequests();
   }
-  if (now >= this->nextWaiterCheck) {
-    this->nextWaiterCheck = now + kMostWait;
-    std::erase_if(this->waiters,
-                  [&](const auto& aItem) { return aItem.second.since + kMostWait < now; });
+  if (now >= this->nextExpiryCheck) {
+    this->nextExpiryCheck = now + kMaxWait;
+    std::erase_if(this->pendingAnswers,
+                  [&](const auto& aItem) { return aItem.second.since + kMaxWait < now; });
   }
 }
 
 void
-GroupReplica::KnowHost(const HostId& aHost)
+GroupReplica::AddDiscoveredHost(const HostId& aHost)
 {
   std::vector<HostId>& known = this->options.listedVoters;
   if (std::find(known.begin(), known.end(), aHost) != known.end()) {
     return;
   }
   known.push_back(aHost);
-  if (!this->options.mayFound) {
-    this->formation.AskAlso(aHost);
+  if (!this->options.mayFormGroup) {
+    this->formation.AddQueriedHost(aHost);
   }
 }
 
 void
-GroupReplica::AskToJoin()
+GroupReplica::SendJoinRequests()
 {
   if (this->core.Formation() == FormationId()) {
     return;
   }
   for (const HostId& host : this->options.listedVoters) {
     if (host != this->options.raft.host) {
-      this->outbox.push_back(this->Address(host, ReplicaId(), JoinRequest{}));
+      this->outbox.push_back(this->MakeMessage(host, ReplicaId(), JoinRequest{}));
     }
   }
 }
@@ -268,15 +270,15 @@
   if (!applied) {
     return;
   }
-  const auto waiter =
-    this->waiters.find({ applied->proposal.proposer, applied->proposal.sequence });
-  if (waiter == this->waiters.end()) {
+  const auto pending =
+    this->pendingAnswers.find({ applied->proposal.proposer, applied->proposal.sequence });
+  if (pending == this->pendingAnswers.end()) {
     return;
   }
   if (applied->answer) {
-    this->Answer(waiter->second, applied->proposal, std::move(*applied->answer));
+    this->Answer(pending->second, applied->proposal, std::move(*applied->answer));
   }
-  this->waiters.erase(waiter);
+  this->pendingAnswers.erase(pending);
 }
 
 void
@@ -317,7 +319,7 @@
 }
 
 AgreementMessage
-GroupReplica::Address(const HostId& aTo, ReplicaId aReplica, AgreementBody aBody) const
+GroupReplica::MakeMessage(const HostId& aTo, ReplicaId aReplica, AgreementBody aBody) const
 {
   AgreementMessage message;
   message.group = this->options.raft.group;
--- a/src/coordination/GroupMachines.cpp
+++ b/src/coordination/GroupStateMachines.cpp
@@ -1,50 +1,53 @@
-#include "damasklink/coordination/GroupMachines.h"
+#include "damasklink/coordination/GroupStateMachines.h"
 
 #include "damasklink/state/Bytes.h"
 
 namespace damasklink {
 
 void
-GroupMachines::Add(MachinePart aPart, ReplicatedMachine& aMachine)
+GroupStateMachines::Add(StateMachineId aPart, ReplicatedStateMachine& aMachine)
 {
   this->machines[aPart] = &aMachine;
 }
 
 std::optional<AppliedProposal>
-GroupMachines::Apply(const LogEntry& aEntry)
+GroupStateMachines::Apply(const LogEntry& aEntry)
 {
   if (aEntry.kind != EntryKind::Command) {
     return std::nullopt;
   }
-  const auto standing = this->proposals.Note(aEntry.proposal, aEntry.index);
-  if (standing == ProposalTable::Standing::Expired) {
+  const auto state = this->sessions.Register(aEntry.proposal, aEntry.index);
+  if (state == ProposerSessions::ProposalState::Expired) {
     return AppliedProposal{ aEntry.proposal, std::nullopt };
   }
-  if (standing == ProposalTable::Standing::Applied) {
-    return AppliedProposal{ aEntry.proposal, this->proposals.Find(aEntry.proposal) };
+  if (state == ProposerSessions::ProposalState::Applied) {
+    return AppliedProposal{ aEntry.proposal, this->sessions.FindAnswer(aEntry.proposal) };
   }
   std::string answer;
-  const auto machine = this->machines.find(static_cast<MachinePart>(aEntry.part));
+  const auto machine = this->machines.find(static_cast<StateMachineId>(aEntry.part));
   if (machine != this->machines.end()) {
     ApplyContext context{ this->group, aEntry.index, aEntry.term, aEntry.proposedAt, {}, {} };
-    context.incarnation =
-      this->life == nullptr ? Incarnation(1) : this->life->Current().incarnation;
-    context.foundedAt = this->life == nullptr ? WallTime() : this->life->Current().foundedAt;
+    context.incarnation = this->incarnationMachine == nullptr
+                            ? Incarnation(1)
+                            : this->incarnationMachine->Current().incarnation;
+    context.formedAt = this->incarnationMachine == nullptr
+                         ? WallTime()
+                         : this->incarnationMachine->Current().formedAt;
     answer = machine->second->Apply(context, aEntry.command);
   }
-  this->proposals.Keep(aEntry.proposal, answer);
+  this->sessions.SaveAnswer(aEntry.proposal, answer);
   return AppliedProposal{ aEntry.proposal, std::move(answer) };
 }
 
 std::string
-GroupMachines::Save() const
+GroupStateMachines::Save() const
 {
-  std::map<MachinePart, std::string> states = this->unknown;
+  std::map<StateMachineId, std::string> states = this->unknown;
   for (const auto& [part, machine] : this->machines) {
     states[part] = machine->Save();
   }
   ByteWriter writer;
-  writer.Text(this->proposals.Save());
+  writer.Text(this->sessions.Save());
   writer.Number(states.size());
   for (const auto& [part, state] : states) {
     writer.Byte(static_cast<std::uint8_t>(part));
@@ -54,14 +57,14 @@
 }
 
 Result<void>
-GroupMachines::Load(std::string_view aBytes)
+GroupStateMachines::Load(std::string_view aBytes)
 {
   ByteReader reader(aBytes);
   const std::string kept = reader.Text();
   const std::uint64_t count = reader.Number();
-  std::map<MachinePart, std::string> states;
+  std::map<StateMachineId, std::string> states;
   for (std::uint64_t index = 0; index < count && reader.Ok(); ++index) {
-    const auto part = static_cast<MachinePart>(reader.Byte());
+    const auto part = static_cast<StateMachineId>(reader.Byte());
     states[part] = reader.Text();
   }
   if (!reader.Finished()) {
@@ -69,7 +72,7 @@
                 "the machines' part of a snapshot cannot be read",
                 "replace this host's data folder by an empty one; see docs/STATE.md");
   }
-  if (auto loaded = this->proposals.Load(kept); !loaded) {
+  if (auto loaded = this->sessions.Load(kept); !loaded) {
     return loaded;
   }
   this->unknown.clear();
--- a/src/coordination/HostMembership.cpp
+++ b/src/coordination/HostMembership.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 bool
-StandsBefore(const PeerSettings& aLeft, const PeerSettings& aRight)
+PrecedesInRing(const PeerSettings& aLeft, const PeerSettings& aRight)
 {
   return std::tie(aLeft.zone, aLeft.host) < std::tie(aRight.zone, aRight.host);
 }
@@ -28,37 +28,37 @@
   : clock(aClock)
   , self(aSettings.host)
   , incarnation(aIncarnation)
-  , nextTurn(aClock.MonotonicNow())
+  , nextHeartbeatAt(aClock.MonotonicNow())
 {
   std::vector<PeerSettings> ring = aSettings.peers;
-  std::sort(ring.begin(), ring.end(), StandsBefore);
+  std::sort(ring.begin(), ring.end(), PrecedesInRing);
   const auto isSelf = [&](const PeerSettings& aPeer) { return aPeer.host == this->self; };
   const auto own = std::find_if(ring.begin(), ring.end(), isSelf);
   std::rotate(ring.begin(), own, ring.end());
   for (const PeerSettings& peer : ring) {
     if (peer.host != this->self) {
       this->byHash[HashOfHost(peer.host)] = this->others.size();
-      this->others.push_back(Entry{ peer.host, {}, {}, false, this->nextTurn });
+      this->others.push_back(Entry{ peer.host, {}, {}, false, this->nextHeartbeatAt });
     }
   }
 }
 
 bool
-HostMembership::TakeTurn()
+HostMembership::AdvanceIfDue()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  if (this->others.empty() || now < this->nextTurn) {
+  if (this->others.empty() || now < this->nextHeartbeatAt) {
     return false;
   }
-  this->nextTurn = now + kInterval;
-  this->turn = (this->turn + 1) % this->others.size();
+  this->nextHeartbeatAt = now + kInterval;
+  this->peerPosition = (this->peerPosition + 1) % this->others.size();
   return true;
 }
 
 HostId
-HostMembership::Partner() const
+HostMembership::CurrentPeer() const
 {
-  return this->others.empty() ? HostId() : this->others[this->turn].host;
+  return this->others.empty() ? HostId() : this->others[this->peerPosition].host;
 }
 
 Heartbeat
@@ -69,7 +69,7 @@
   beat.incarnation = this->incarnation;
   beat.sequence = this->sequence;
   beat.leaving = this->leaving;
-  const std::size_t count = std::min(this->others.size(), kMostSightings);
+  const std::size_t count = std::min(this->others.size(), kMaxSightings);
   for (std::size_t taken = 0; taken < count; ++taken) {
     const Entry& entry = this->others[this->nextSighting];
     this->nextSighting = (this->nextSighting + 1) % this->others.size();
@@ -108,11 +108,11 @@
   if (seen <= std::tie(entry.incarnation, entry.sequence)) {
     return;
   }
-  const bool sameLife = aSighting.incarnation == entry.incarnation;
-  entry.leaving = aSighting.leaving || (sameLife && entry.leaving);
+  const bool sameIncarnation = aSighting.incarnation == entry.incarnation;
+  entry.leaving = aSighting.leaving || (sameIncarnation && entry.leaving);
   entry.incarnation = aSighting.incarnation;
   entry.sequence = aSighting.sequence;
-  entry.heard = this->clock.MonotonicNow();
+  entry.heardAt = this->clock.MonotonicNow();
 }
 
 bool
@@ -126,11 +126,11 @@
     return false;
   }
   const Entry& entry = this->others[found->second];
-  return !entry.leaving && this->clock.MonotonicNow() - entry.heard < kSilence;
+  return !entry.leaving && this->clock.MonotonicNow() - entry.heardAt < kFailureTimeout;
 }
 
 HostId
-HostMembership::NextUp() const
+HostMembership::NextHostUp() const
 {
   for (const Entry& entry : this->others) {
     if (this->IsUp(entry.host)) {
--- a/src/coordination/HostRoster.cpp
+++ b/src/coordination/HostRegistry.cpp
@@ -1,9 +1,9 @@
-#include "damasklink/coordination/HostRoster.h"
+#include "damasklink/coordination/HostRegistry.h"
 
 namespace damasklink {
 
 bool
-HostRoster::LearnControlHost(const HostId& aHost, const ZoneId& aZone)
+HostRegistry::AddControlHost(const HostId& aHost, const ZoneId& aZone)
 {
   if (aHost == this->self) {
     return false;
@@ -18,7 +18,7 @@
 }
 
 ControlHostZones
-HostRoster::AllControlHosts() const
+HostRegistry::AllControlHosts() const
 {
   ControlHostZones all = this->controlHosts;
   all[this->self] = this->zone;
@@ -26,45 +26,45 @@
 }
 
 void
-HostRoster::OnEntryHost(const HostId& aHost)
+HostRegistry::OnEntryHostConnected(const HostId& aHost)
 {
-  this->together.reset();
+  this->allEntryHosts.reset();
   const bool isNew = this->entryHosts.insert(aHost).second;
   this->entryHostsChanged = this->entryHostsChanged || isNew;
 }
 
 void
-HostRoster::OnLost(const HostId& aHost)
+HostRegistry::OnDisconnected(const HostId& aHost)
 {
-  this->together.reset();
+  this->allEntryHosts.reset();
   const bool wasEntryHost = this->entryHosts.erase(aHost) > 0;
   this->entryHostsChanged = this->entryHostsChanged || wasEntryHost;
-  this->entryHostsOfOthers.erase(aHost);
+  this->entryHostsByPeer.erase(aHost);
 }
 
 void
-HostRoster::TakeList(const HostId& aFrom, const EntryHostList& aList)
+HostRegistry::SetEntryHostsOf(const HostId& aFrom, const EntryHostList& aList)
 {
-  this->together.reset();
-  this->entryHostsOfOthers[aFrom] = aList.hosts;
+  this->allEntryHosts.reset();
+  this->entryHostsByPeer[aFrom] = aList.hosts;
 }
 
 EntryHostList
-HostRoster::OwnList() const
+HostRegistry::MakeEntryHostList() const
 {
   return EntryHostList{ { this->entryHosts.begin(), this->entryHosts.end() } };
 }
 
 const std::set<HostId>&
-HostRoster::AllEntryHosts() const
+HostRegistry::AllEntryHosts() const
 {
-  if (!this->together) {
-    this->together = this->entryHosts;
-    for (const auto& [host, others] : this->entryHostsOfOthers) {
-      this->together->insert(others.begin(), others.end());
+  if (!this->allEntryHosts) {
+    this->allEntryHosts = this->entryHosts;
+    for (const auto& [host, others] : this->entryHostsByPeer) {
+      this->allEntryHosts->insert(others.begin(), others.end());
     }
   }
-  return *this->together;
+  return *this->allEntryHosts;
 }
 
 } // namespace damasklink
--- a/src/coordination/MembershipRepair.cpp
+++ b/src/coordination/MembershipRepair.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 // A learner this close to the leader's commitment catches up within the change itself.
-constexpr std::uint64_t kCaughtUpWithin = 256;
+constexpr std::uint64_t kMaxCatchUpLag = 256;
 
 bool
 IsCaughtUp(const Member& aMember, const RaftCore& aCore)
 {
   const LogIndex match = aCore.MatchOf(aMember.replica);
-  return match > LogIndex() && aCore.HeardFrom(aMember.replica) &&
-         match.Value() + kCaughtUpWithin >= aCore.Committed().Value();
+  return match > LogIndex() && aCore.HeardRecentlyFrom(aMember.replica) &&
+         match.Value() + kMaxCatchUpLag >= aCore.Committed().Value();
 }
 
 } // namespace
@@ -21,12 +21,12 @@
 bool
 MembershipRepair::IsListed(const HostId& aHost) const
 {
-  return this->mostVoters.has_value() ||
+  return this->maxVoters.has_value() ||
          std::find(this->listed.begin(), this->listed.end(), aHost) != this->listed.end();
 }
 
 void
-MembershipRepair::NoteJoin(const HostId& aHost, ReplicaId aReplica)
+MembershipRepair::OnJoinRequest(const HostId& aHost, ReplicaId aReplica)
 {
   if (this->IsListed(aHost)) {
     this->joining[aHost] = aReplica;
@@ -53,29 +53,29 @@
 // learnt, an even number of voters bears no more losses than the odd one below it, so voters are
 // added in pairs, and one alone only in place of a voter that is silent.
 bool
-MembershipRepair::MayVote(const Membership& aNow, const RaftCore& aCore) const
+MembershipRepair::MayAddVoter(const Membership& aNow, const RaftCore& aCore) const
 {
-  if (!this->mostVoters) {
+  if (!this->maxVoters) {
     return true;
   }
   const std::size_t voters = aNow.VoterCount();
   if (voters % 2 == 0) {
-    return voters < *this->mostVoters;
+    return voters < *this->maxVoters;
   }
   const auto& members = aNow.members;
   const bool voterSilent = std::any_of(members.begin(), members.end(), [&](const Member& aMember) {
-    return aMember.voter && !aCore.HeardFrom(aMember.replica);
+    return aMember.voter && !aCore.HeardRecentlyFrom(aMember.replica);
   });
   const auto ready = std::count_if(members.begin(), members.end(), [&](const Member& aMember) {
     return !aMember.voter && IsCaughtUp(aMember, aCore);
   });
-  return voterSilent || (ready >= 2 && voters + 2 <= *this->mostVoters);
+  return voterSilent || (ready >= 2 && voters + 2 <= *this->maxVoters);
 }
 
 std::optional<Membership>
 MembershipRepair::Promote(const Membership& aNow, const RaftCore& aCore) const
 {
-  if (!this->MayVote(aNow, aCore)) {
+  if (!this->MayAddVoter(aNow, aCore)) {
     return std::nullopt;
   }
   for (std::size_t position = 0; position < aNow.members.size(); ++position) {
@@ -112,12 +112,12 @@
 std::optional<Membership>
 MembershipRepair::RemoveRetired(const Membership& aNow, const RaftCore& aCore) const
 {
-  const bool tooManyVoters = this->mostVoters && aNow.VoterCount() % 2 == 0;
+  const bool tooManyVoters = this->maxVoters && aNow.VoterCount() % 2 == 0;
   const auto retired =
     std::find_if(aNow.members.begin(), aNow.members.end(), [&](const Member& aMember) {
       const bool surplus =
-        this->mostVoters ? !aMember.voter || tooManyVoters : !this->IsListed(aMember.host);
-      return surplus && !aCore.HeardFrom(aMember.replica);
+        this->maxVoters ? !aMember.voter || tooManyVoters : !this->IsListed(aMember.host);
+      return surplus && !aCore.HeardRecentlyFrom(aMember.replica);
     });
   if (retired == aNow.members.end()) {
     return std::nullopt;
--- a/src/coordination/ProposalTracker.cpp
+++ b/src/coordination/ProposalForwarder.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ProposalTracker.h"
+#include "damasklink/coordination/ProposalForwarder.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,16 +11,16 @@
 // How long one host may be silent before another is tried.
 constexpr Duration kAttemptTimeout = std::chrono::seconds(1);
 // The pause after a refusal that named no leader.
-constexpr Duration kRefusalPause = std::chrono::milliseconds(100);
+constexpr Duration kRefusalRetryDelay = std::chrono::milliseconds(100);
 // So shortly before its deadline, what was refused everywhere is not sent again.
-constexpr Duration kLastAttempt = std::chrono::milliseconds(200);
+constexpr Duration kMinAttemptTime = std::chrono::milliseconds(200);
 // Named leaders that are asked at once, one after the other.
-constexpr int kMostHints = 3;
+constexpr int kMaxRedirects = 3;
 // Replicas forget who waits for an answer after twice this (GroupReplica.cpp).
-constexpr Duration kMostTimeout = std::chrono::minutes(5);
+constexpr Duration kMaxTimeout = std::chrono::minutes(5);
 
 Error
-GivenUp(const GroupId& aGroup, bool aMayBeApplied)
+TimeoutError(const GroupId& aGroup, bool aMayBeApplied)
 {
   if (aMayBeApplied) {
     return Error{ ErrorKind::DeadlineExceeded,
@@ -34,7 +34,7 @@
 
 } // namespace
 
-ProposalTracker::ProposalTracker(const Clock& aClock, HostId aHost, std::uint64_t aProposer)
+ProposalForwarder::ProposalForwarder(const Clock& aClock, HostId aHost, std::uint64_t aProposer)
   : clock(aClock)
   , host(std::move(aHost))
   , proposer(aProposer)
@@ -42,12 +42,12 @@
 }
 
 void
-ProposalTracker::Start(const GroupId& aGroup,
-                       const std::vector<HostId>& aVoters,
-                       MachinePart aPart,
-                       std::string aCommand,
-                       Duration aTimeout,
-                       ProposalDone aDone)
+ProposalForwarder::Start(const GroupId& aGroup,
+                         const std::vector<HostId>& aVoters,
+                         StateMachineId aPart,
+                         std::string aCommand,
+                         Duration aTimeout,
+                         ProposalDone aDone)
 {
   if (aVoters.empty()) {
     aDone(Fail(ErrorKind::Unavailable,
@@ -62,21 +62,21 @@
   pending.part = aPart;
   pending.command = std::move(aCommand);
   pending.done = std::move(aDone);
-  pending.deadline = this->clock.MonotonicNow() + std::min<Duration>(aTimeout, kMostTimeout);
+  pending.deadline = this->clock.MonotonicNow() + std::min<Duration>(aTimeout, kMaxTimeout);
   this->Send(aGroup, state, state.lastSequence, pending);
 }
 
 void
-ProposalTracker::Send(const GroupId& aGroup, Group& aState, Sequence aSequence, Pending& aPending)
+ProposalForwarder::Send(const GroupId& aGroup, Group& aState, Sequence aSequence, Pending& aPending)
 {
   if (aState.leader.Empty()) {
     // Its own replica knows most, so it is asked first.
     const auto own = std::find(aState.voters.begin(), aState.voters.end(), this->host);
-    const bool askOwn = own != aState.voters.end() && aPending.unsettled.empty();
+    const bool askOwn = own != aState.voters.end() && aPending.openAttempts.empty();
     aState.leader = askOwn ? this->host : aState.voters[aState.nextVoter++ % aState.voters.size()];
   }
   this->lastAttempt = this->lastAttempt.Next();
-  aPending.unsettled.insert(this->lastAttempt);
+  aPending.openAttempts.insert(this->lastAttempt);
   aPending.nextAttempt = this->clock.MonotonicNow() + kAttemptTimeout;
   ForwardedProposal proposal;
   proposal.attempt = this->lastAttempt;
@@ -92,21 +92,21 @@
 }
 
 void
-ProposalTracker::Receive(const AgreementMessage& aMessage)
+ProposalForwarder::Receive(const AgreementMessage& aMessage)
 {
   const auto found = this->groups.find(aMessage.group);
   if (found == this->groups.end()) {
     return;
   }
   if (const auto* answer = std::get_if<ProposalAnswer>(&aMessage.body)) {
-    this->TakeAnswer(found->second, aMessage, *answer);
+    this->OnAnswer(found->second, aMessage, *answer);
   } else if (const auto* refusal = std::get_if<ProposalRefusal>(&aMessage.body)) {
-    this->TakeRefusal(aMessage.group, found->second, *refusal);
+    this->OnRefusal(aMessage.group, found->second, *refusal);
   }
 }
 
 void
-ProposalTracker::TakeAnswer(Group& aState,
+ProposalForwarder::OnAnswer(Group& aState,
                             const AgreementMessage& aMessage,
                             const ProposalAnswer& aAnswer)
 {
@@ -121,36 +121,36 @@
 }
 
 void
-ProposalTracker::TakeRefusal(const GroupId& aGroup, Group& aState, const ProposalRefusal& aRefusal)
+ProposalForwarder::OnRefusal(const GroupId& aGroup, Group& aState, const ProposalRefusal& aRefusal)
 {
   const auto found = aState.pending.find(aRefusal.proposal.sequence);
   if (aRefusal.proposal.proposer != this->proposer || found == aState.pending.end()) {
     return;
   }
   Pending& pending = found->second;
-  pending.unsettled.erase(aRefusal.attempt);
-  const bool listed =
+  pending.openAttempts.erase(aRefusal.attempt);
+  const bool isVoter =
     std::find(aState.voters.begin(), aState.voters.end(), aRefusal.leader) != aState.voters.end();
-  if (listed && pending.unsettled.empty() && pending.hintsFollowed < kMostHints) {
-    ++pending.hintsFollowed;
+  if (isVoter && pending.openAttempts.empty() && pending.redirectsFollowed < kMaxRedirects) {
+    ++pending.redirectsFollowed;
     aState.leader = aRefusal.leader;
     this->Send(aGroup, aState, found->first, pending);
     return;
   }
   // Hosts that name each other are asked again after a pause only.
-  pending.hintsFollowed = 0;
+  pending.redirectsFollowed = 0;
   aState.leader = HostId();
-  pending.nextAttempt = this->clock.MonotonicNow() + kRefusalPause;
+  pending.nextAttempt = this->clock.MonotonicNow() + kRefusalRetryDelay;
 }
 
 void
-ProposalTracker::NoteLeader(const GroupId& aGroup, const HostId& aLeader)
+ProposalForwarder::ReportLeader(const GroupId& aGroup, const HostId& aLeader)
 {
   const auto found = this->groups.find(aGroup);
-  if (found == this->groups.end() || aLeader.Empty() || found->second.notedLeader == aLeader) {
+  if (found == this->groups.end() || aLeader.Empty() || found->second.reportedLeader == aLeader) {
     return;
   }
-  found->second.notedLeader = aLeader;
+  found->second.reportedLeader = aLeader;
   if (found->second.leader == aLeader) {
     return;
   }
@@ -161,7 +161,7 @@
 }
 
 void
-ProposalTracker::Tick()
+ProposalForwarder::Tick()
 {
   for (auto& [group, state] : this->groups) {
     this->TickGroup(group, state);
@@ -169,14 +169,14 @@
 }
 
 void
-ProposalTracker::TickGroup(const GroupId& aGroup, Group& aState)
+ProposalForwarder::TickGroup(const GroupId& aGroup, Group& aState)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  std::vector<Sequence> ended;
+  std::vector<Sequence> expired;
   for (auto& [sequence, pending] : aState.pending) {
     if (now >= pending.deadline) {
-      ended.push_back(sequence);
-    } else if (pending.unsettled.empty() && pending.deadline - now < kLastAttempt) {
+      expired.push_back(sequence);
+    } else if (pending.openAttempts.empty() && pending.deadline - now < kMinAttemptTime) {
       // A further attempt would have no time to be refused and so make the outcome unknown.
       continue;
     } else if (now >= pending.nextAttempt) {
@@ -184,14 +184,14 @@
       this->Send(aGroup, aState, sequence, pending);
     }
   }
-  for (const Sequence sequence : ended) {
+  for (const Sequence sequence : expired) {
     auto node = aState.pending.extract(sequence);
-    node.mapped().done(Fail(GivenUp(aGroup, !node.mapped().unsettled.empty())));
+    node.mapped().done(Fail(TimeoutError(aGroup, !node.mapped().openAttempts.empty())));
   }
 }
 
 HostId
-ProposalTracker::LastLeader(const GroupId& aGroup) const
+ProposalForwarder::LastLeader(const GroupId& aGroup) const
 {
   const auto found = this->groups.find(aGroup);
   return found == this->groups.end() ? HostId() : found->second.leader;
--- a/src/coordination/ProposalTable.cpp
+++ b/src/coordination/ProposerSessions.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ProposalTable.h"
+#include "damasklink/coordination/ProposerSessions.h"
 
 #include <algorithm>
 
@@ -7,28 +7,29 @@
 namespace damasklink {
 namespace {
 
-constexpr std::size_t kMostProposers = 4096;
+constexpr std::size_t kMaxProposers = 4096;
 
 } // namespace
 
-ProposalTable::Standing
-ProposalTable::Note(const ProposalId& aProposal, LogIndex aIndex)
+ProposerSessions::ProposalState
+ProposerSessions::Register(const ProposalId& aProposal, LogIndex aIndex)
 {
-  if (!this->proposers.contains(aProposal.proposer) && this->proposers.size() >= kMostProposers) {
-    this->ForgetOldest();
+  if (!this->proposers.contains(aProposal.proposer) && this->proposers.size() >= kMaxProposers) {
+    this->EvictOldest();
   }
   Proposer& proposer = this->proposers[aProposal.proposer];
   proposer.lastIndex = aIndex;
   proposer.floor = std::max(proposer.floor, aProposal.floor);
   proposer.answers.erase(proposer.answers.begin(), proposer.answers.lower_bound(proposer.floor));
   if (aProposal.sequence < proposer.floor) {
-    return Standing::Expired;
+    return ProposalState::Expired;
   }
-  return proposer.answers.contains(aProposal.sequence) ? Standing::Applied : Standing::Fresh;
+  return proposer.answers.contains(aProposal.sequence) ? ProposalState::Applied
+                                                       : ProposalState::New;
 }
 
 void
-ProposalTable::ForgetOldest()
+ProposerSessions::EvictOldest()
 {
   const auto oldest =
     std::min_element(this->proposers.begin(), this->proposers.end(), [](auto& aOne, auto& aOther) {
@@ -38,13 +39,13 @@
 }
 
 void
-ProposalTable::Keep(const ProposalId& aProposal, std::string aAnswer)
+ProposerSessions::SaveAnswer(const ProposalId& aProposal, std::string aAnswer)
 {
   this->proposers[aProposal.proposer].answers[aProposal.sequence] = std::move(aAnswer);
 }
 
 std::optional<std::string>
-ProposalTable::Find(const ProposalId& aProposal) const
+ProposerSessions::FindAnswer(const ProposalId& aProposal) const
 {
   const auto proposer = this->proposers.find(aProposal.proposer);
   if (proposer == this->proposers.end()) {
@@ -58,7 +59,7 @@
 }
 
 std::string
-ProposalTable::Save() const
+ProposerSessions::Save() const
 {
   ByteWriter writer;
   writer.Number(this->proposers.size());
@@ -76,7 +77,7 @@
 }
 
 Result<void>
-ProposalTable::Load(std::string_view aBytes)
+ProposerSessions::Load(std::string_view aBytes)
 {
   std::map<std::uint64_t, Proposer> loaded;
   ByteReader reader(aBytes);
@@ -86,14 +87,14 @@
     proposer.floor = Sequence(reader.Number());
     proposer.lastIndex = LogIndex(reader.Number());
     const std::uint64_t answers = reader.Number();
-    for (std::uint64_t kept = 0; kept < answers && reader.Ok(); ++kept) {
+    for (std::uint64_t index2 = 0; index2 < answers && reader.Ok(); ++index2) {
       const Sequence sequence(reader.Number());
       proposer.answers[sequence] = reader.Text();
     }
   }
   if (!reader.Finished()) {
     return Fail(ErrorKind::Corrupt,
-                "the answers kept in a snapshot cannot be read",
+                "the answers index2 in a snapshot cannot be read",
                 "replace this host's data folder by an empty one; see docs/STATE.md");
   }
   this->proposers = std::move(loaded);
--- a/src/coordination/RaftCore.cpp
+++ b/src/coordination/RaftCore.cpp
@@ -14,19 +14,19 @@
   , hardState(aRecovered.hardState)
 {
   this->committed = this->log.BaseIndex();
-  this->handedOut = this->log.BaseIndex();
+  this->deliveredIndex = this->log.BaseIndex();
   this->persistedIndex = this->log.LastIndex();
-  this->unwrittenFrom = this->log.LastIndex().Next();
-  this->toInstall = aRecovered.snapshot;
+  this->firstUnwritten = this->log.LastIndex().Next();
+  this->snapshotToInstall = aRecovered.snapshot;
   // It may have promised a leader its loyalty just before the restart.
   this->startedAt = this->clock.MonotonicNow();
   this->leaderHeardAt = this->startedAt;
-  this->nextLeaderlessAsk = this->startedAt + this->LeaderlessPause();
+  this->nextLeaderlessCheck = this->startedAt + this->LeaderlessRetryDelay();
   this->ResetElectionTimer();
 }
 
 void
-RaftCore::Found(FormationId aFormation, const Membership& aVoters)
+RaftCore::FormGroup(FormationId aFormation, const Membership& aVoters)
 {
   assert(this->log.LastIndex() == LogIndex());
   this->hardState.formation = aFormation;
@@ -36,11 +36,11 @@
   LogEntry entry;
   entry.kind = EntryKind::Membership;
   entry.membership = aVoters;
-  this->AppendOwn(std::move(entry));
+  this->AppendAsLeader(std::move(entry));
 }
 
 void
-RaftCore::Adopt(FormationId aFormation)
+RaftCore::AdoptFormation(FormationId aFormation)
 {
   assert(this->log.LastIndex() == LogIndex());
   // Term and vote stay: no formation may get a second vote in one term.
@@ -70,7 +70,7 @@
   if (this->IsVoter() && (now >= this->electionAt || alone)) {
     this->StartPreVote();
   } else if (this->IsVoter() && !this->hadLeader) {
-    this->AskWhileLeaderless();
+    this->CheckAllLeaderless();
   }
 }
 
@@ -79,19 +79,19 @@
 // leader since they started, there is no lease. Voters ask each other at random times, so that two
 // seldom stand for election at once; one that stands and does not win asks again.
 void
-RaftCore::AskWhileLeaderless()
+RaftCore::CheckAllLeaderless()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  const bool young = now - this->startedAt < this->options.timing.electionMost;
-  if (!young || now < this->nextLeaderlessAsk) {
+  const bool young = now - this->startedAt < this->options.timing.electionTimeoutMax;
+  if (!young || now < this->nextLeaderlessCheck) {
     return;
   }
-  this->nextLeaderlessAsk = now + this->LeaderlessPause();
+  this->nextLeaderlessCheck = now + this->LeaderlessRetryDelay();
   this->StartPreVote();
 }
 
 Duration
-RaftCore::LeaderlessPause()
+RaftCore::LeaderlessRetryDelay()
 {
   const auto most = this->options.timing.heartbeat.count();
   std::uniform_int_distribution<Duration::rep> pause(most / 4, most);
@@ -124,8 +124,8 @@
 void
 RaftCore::ResetElectionTimer()
 {
-  const auto least = this->options.timing.electionLeast.count();
-  const auto most = this->options.timing.electionMost.count();
+  const auto least = this->options.timing.electionTimeoutMin.count();
+  const auto most = this->options.timing.electionTimeoutMax.count();
   std::uniform_int_distribution<Duration::rep> timeout(least, most);
   this->electionAt = this->clock.MonotonicNow() + Duration(timeout(this->random));
 }
@@ -155,8 +155,8 @@
   this->leader = ReplicaId();
   this->ResetElectionTimer();
   // Votes must be synced before they leave, so it stands a little longer than it waits to ask.
-  this->nextLeaderlessAsk =
-    this->clock.MonotonicNow() + this->options.timing.heartbeat / 2 + this->LeaderlessPause();
+  this->nextLeaderlessCheck =
+    this->clock.MonotonicNow() + this->options.timing.heartbeat / 2 + this->LeaderlessRetryDelay();
   this->hardState.term = this->hardState.term.Next();
   this->hardState.votedFor = this->options.replica;
   this->hardStateChanged = true;
@@ -200,8 +200,8 @@
   }
   this->role = RaftRole::Follower;
   this->leader = aLeader;
-  this->handingOver = false;
-  this->handoverSent = false;
+  this->transferringLeadership = false;
+  this->timeoutNowSent = false;
   this->progress.clear();
 }
 
@@ -214,9 +214,9 @@
   this->progress.clear();
   LogEntry entry;
   entry.kind = EntryKind::NoOp;
-  this->AppendOwn(std::move(entry));
-  this->termStart = this->log.LastIndex();
-  this->MatchProgressToMembership();
+  this->AppendAsLeader(std::move(entry));
+  this->termStartIndex = this->log.LastIndex();
+  this->UpdateProgressMembers();
   this->SendHeartbeats();
   this->AdvanceCommitted();
 }
@@ -228,18 +228,18 @@
 }
 
 bool
-RaftCore::HeardLeaderLately() const
+RaftCore::HeardLeaderRecently() const
 {
   return this->role == RaftRole::Leader ||
-         this->clock.MonotonicNow() - this->leaderHeardAt < this->options.timing.electionLeast;
+         this->clock.MonotonicNow() - this->leaderHeardAt < this->options.timing.electionTimeoutMin;
 }
 
 bool
-RaftCore::HasFreshLeader() const
+RaftCore::HasRecentLeader() const
 {
   return this->role == RaftRole::Leader ||
-         (this->leader != ReplicaId() &&
-          this->clock.MonotonicNow() - this->leaderHeardAt < this->options.timing.electionMost);
+         (this->leader != ReplicaId() && this->clock.MonotonicNow() - this->leaderHeardAt <
+                                           this->options.timing.electionTimeoutMax);
 }
 
 void
@@ -247,9 +247,9 @@
 {
   const bool upToDate = this->IsUpToDate(aBody.lastIndex, aBody.lastTerm);
   const bool granted =
-    aBody.candidateTerm > this->hardState.term && !this->HeardLeaderLately() && upToDate;
+    aBody.candidateTerm > this->hardState.term && !this->HeardLeaderRecently() && upToDate;
   const bool leaderless = this->IsLeaderless() && upToDate && aMessage.term == this->hardState.term;
-  this->SendNow(
+  this->SendImmediately(
     aMessage.from, aMessage.fromHost, PreVoteAnswer{ aBody.candidateTerm, granted, leaderless });
 }
 
@@ -278,7 +278,7 @@
 RaftCore::Handle(const AgreementMessage& aMessage, const VoteRequest& aBody)
 {
   const bool noLease = aBody.handover || (aBody.allLeaderless && !this->hadLeader);
-  if (!noLease && this->HeardLeaderLately()) {
+  if (!noLease && this->HeardLeaderRecently()) {
     // The leader may hold its lease: its term must not be disturbed.
     return;
   }
@@ -321,7 +321,7 @@
 }
 
 AgreementMessage
-RaftCore::Address(ReplicaId aTo, const HostId& aHost, AgreementBody aBody) const
+RaftCore::MakeMessage(ReplicaId aTo, const HostId& aHost, AgreementBody aBody) const
 {
   AgreementMessage message;
   message.group = this->options.group;
@@ -336,15 +336,15 @@
 }
 
 void
-RaftCore::SendNow(ReplicaId aTo, const HostId& aHost, AgreementBody aBody)
+RaftCore::SendImmediately(ReplicaId aTo, const HostId& aHost, AgreementBody aBody)
 {
-  this->outbox.push_back(this->Address(aTo, aHost, std::move(aBody)));
+  this->outbox.push_back(this->MakeMessage(aTo, aHost, std::move(aBody)));
 }
 
 void
 RaftCore::SendWhenPersisted(ReplicaId aTo, const HostId& aHost, AgreementBody aBody)
 {
-  this->waitingForBatch.push_back(this->Address(aTo, aHost, std::move(aBody)));
+  this->awaitingBatch.push_back(this->MakeMessage(aTo, aHost, std::move(aBody)));
 }
 
 void
@@ -363,7 +363,7 @@
     if (aWhenPersisted) {
       this->SendWhenPersisted(member.replica, member.host, aBody);
     } else {
-      this->SendNow(member.replica, member.host, aBody);
+      this->SendImmediately(member.replica, member.host, aBody);
     }
   }
 }
@@ -371,7 +371,7 @@
 std::optional<PersistBatch>
 RaftCore::TakeBatch()
 {
-  const bool hasEntries = this->unwrittenFrom <= this->log.LastIndex();
+  const bool hasEntries = this->firstUnwritten <= this->log.LastIndex();
   if (!this->hardStateChanged && this->snapshotToPersist == nullptr && !hasEntries) {
     return std::nullopt;
   }
@@ -383,26 +383,26 @@
   batch.snapshot = std::exchange(this->snapshotToPersist, nullptr);
   batch.replacesLog = std::exchange(this->snapshotReplacesLog, false);
   if (hasEntries) {
-    batch.entries = this->log.From(this->unwrittenFrom, SIZE_MAX);
+    batch.entries = this->log.From(this->firstUnwritten, SIZE_MAX);
   }
   this->hardStateChanged = false;
-  this->unwrittenFrom = this->log.LastIndex().Next();
-  this->batchesUnderWay.push_back(
-    BatchUnderWay{ batch.number, this->log.LastIndex(), this->clock.MonotonicNow() });
+  this->firstUnwritten = this->log.LastIndex().Next();
+  this->pendingBatches.push_back(
+    PendingBatch{ batch.number, this->log.LastIndex(), this->clock.MonotonicNow() });
   return batch;
 }
 
 void
 RaftCore::OnPersisted(std::uint64_t aNumber)
 {
-  while (!this->batchesUnderWay.empty() && this->batchesUnderWay.front().number <= aNumber) {
-    this->persistedIndex = this->batchesUnderWay.front().end;
-    this->batchesUnderWay.pop_front();
+  while (!this->pendingBatches.empty() && this->pendingBatches.front().number <= aNumber) {
+    this->persistedIndex = this->pendingBatches.front().end;
+    this->pendingBatches.pop_front();
   }
   this->batchesSynced = std::max(this->batchesSynced, aNumber);
-  while (!this->held.empty() && this->held.front().afterBatch <= this->batchesSynced) {
-    AgreementMessage message = std::move(this->held.front().message);
-    this->held.pop_front();
+  while (!this->deferred.empty() && this->deferred.front().afterBatch <= this->batchesSynced) {
+    AgreementMessage message = std::move(this->deferred.front().message);
+    this->deferred.pop_front();
     if (message.term < this->hardState.term) {
       // It speaks of a term that is over.
       continue;
@@ -426,26 +426,26 @@
     this->SendNewEntries();
   }
   actions.persist = this->TakeBatch();
-  for (AgreementMessage& message : std::exchange(this->waitingForBatch, {})) {
+  for (AgreementMessage& message : std::exchange(this->awaitingBatch, {})) {
     if (this->batchesSynced == this->batchesTaken && message.to != this->options.replica) {
       this->outbox.push_back(std::move(message));
     } else {
-      this->held.push_back(HeldMessage{ this->batchesTaken, std::move(message) });
+      this->deferred.push_back(DeferredMessage{ this->batchesTaken, std::move(message) });
     }
   }
-  actions.install = std::exchange(this->toInstall, nullptr);
-  this->HandOutCommitted(actions);
+  actions.install = std::exchange(this->snapshotToInstall, nullptr);
+  this->DeliverCommitted(actions);
   actions.messages = std::exchange(this->outbox, {});
   return actions;
 }
 
 void
-RaftCore::HandOutCommitted(RaftActions& aActions)
+RaftCore::DeliverCommitted(RaftActions& aActions)
 {
   const LogIndex until = std::min(this->committed, this->persistedIndex);
-  while (this->handedOut < until) {
-    this->handedOut = this->handedOut.Next();
-    aActions.committed.push_back(this->log.At(this->handedOut));
+  while (this->deliveredIndex < until) {
+    this->deliveredIndex = this->deliveredIndex.Next();
+    aActions.committed.push_back(this->log.At(this->deliveredIndex));
   }
 }
 
--- a/src/coordination/RaftFollower.cpp
+++ b/src/coordination/RaftFollower.cpp
@@ -24,7 +24,7 @@
   answer.previousIndex = aBody.previousIndex;
   answer.sentAt = aBody.sentAt;
   if (aMessage.term < this->hardState.term) {
-    this->SendNow(aMessage.from, aMessage.fromHost, answer);
+    this->SendImmediately(aMessage.from, aMessage.fromHost, answer);
     return;
   }
   this->AcceptLeader(aMessage);
@@ -35,7 +35,7 @@
   } else if (this->log.TermAt(aBody.previousIndex) != aBody.previousTerm) {
     answer.index = this->RetryHint(aBody);
   } else {
-    this->TakeEntries(aBody);
+    this->StoreEntries(aBody);
     answer.accepted = true;
     answer.index = LogIndex(aBody.previousIndex.Value() + aBody.entries.size());
     this->committed = std::max(this->committed, std::min(aBody.committed, answer.index));
@@ -44,7 +44,7 @@
 }
 
 void
-RaftCore::TakeEntries(const AppendRequest& aBody)
+RaftCore::StoreEntries(const AppendRequest& aBody)
 {
   for (const LogEntry& entry : aBody.entries) {
     if (this->log.TermAt(entry.index) == entry.term) {
@@ -53,8 +53,8 @@
     if (entry.index <= this->log.LastIndex()) {
       assert(entry.index > this->committed);
       this->log.TruncateFrom(entry.index);
-      this->unwrittenFrom = std::min(this->unwrittenFrom, entry.index);
-      this->CutUnsynced(this->log.LastIndex());
+      this->firstUnwritten = std::min(this->firstUnwritten, entry.index);
+      this->TruncatePending(this->log.LastIndex());
     }
     this->log.Append(entry);
   }
@@ -62,10 +62,10 @@
 
 // Entries above aLast are void, also in batches that are still being written.
 void
-RaftCore::CutUnsynced(LogIndex aLast)
+RaftCore::TruncatePending(LogIndex aLast)
 {
   this->persistedIndex = std::min(this->persistedIndex, aLast);
-  for (BatchUnderWay& batch : this->batchesUnderWay) {
+  for (PendingBatch& batch : this->pendingBatches) {
     batch.end = std::min(batch.end, aLast);
   }
 }
@@ -89,7 +89,7 @@
 RaftCore::Handle(const AgreementMessage& aMessage, const SnapshotPiece& aBody)
 {
   if (aMessage.term < this->hardState.term) {
-    this->SendNow(aMessage.from, aMessage.fromHost, AppendAnswer{});
+    this->SendImmediately(aMessage.from, aMessage.fromHost, AppendAnswer{});
     return;
   }
   this->AcceptLeader(aMessage);
@@ -98,7 +98,7 @@
     this->committed = std::max(this->committed, aBody.index);
   }
   if (aBody.index <= this->committed) {
-    this->incoming.clear();
+    this->incomingSnapshot.clear();
     const AppendAnswer answer{ true, this->committed, aBody.index, aBody.sentAt };
     this->SendWhenPersisted(aMessage.from, aMessage.fromHost, answer);
     return;
@@ -106,26 +106,26 @@
   const bool continues =
     this->incomingIndex == aBody.index && this->incomingTerm == aBody.snapshotTerm;
   if (!continues) {
-    this->incoming.clear();
+    this->incomingSnapshot.clear();
     this->incomingIndex = aBody.index;
     this->incomingTerm = aBody.snapshotTerm;
   }
-  if (aBody.offset == this->incoming.size()) {
-    this->incoming.append(aBody.bytes);
+  if (aBody.offset == this->incomingSnapshot.size()) {
+    this->incomingSnapshot.append(aBody.bytes);
   }
-  if (this->incoming.size() == aBody.totalBytes) {
+  if (this->incomingSnapshot.size() == aBody.totalBytes) {
     this->InstallSnapshot(aMessage, aBody);
     return;
   }
-  const SnapshotAnswer answer{ aBody.index, this->incoming.size(), aBody.sentAt };
-  this->SendNow(aMessage.from, aMessage.fromHost, answer);
+  const SnapshotAnswer answer{ aBody.index, this->incomingSnapshot.size(), aBody.sentAt };
+  this->SendImmediately(aMessage.from, aMessage.fromHost, answer);
 }
 
 void
 RaftCore::InstallSnapshot(const AgreementMessage& aMessage, const SnapshotPiece& aBody)
 {
-  auto decoded = DecodeSnapshot(this->incoming);
-  this->incoming.clear();
+  auto decoded = DecodeSnapshot(this->incomingSnapshot);
+  this->incomingSnapshot.clear();
   this->incomingIndex = LogIndex();
   if (!decoded || decoded.value().index != aBody.index) {
     // Begun anew with the next heartbeat.
@@ -134,13 +134,13 @@
   const auto snapshot = std::make_shared<const Snapshot>(std::move(decoded.value()));
   this->log.Reset(snapshot);
   this->committed = snapshot->index;
-  this->handedOut = snapshot->index;
+  this->deliveredIndex = snapshot->index;
   this->persistedIndex = snapshot->index;
-  for (BatchUnderWay& batch : this->batchesUnderWay) {
+  for (PendingBatch& batch : this->pendingBatches) {
     batch.end = snapshot->index;
   }
-  this->unwrittenFrom = snapshot->index.Next();
-  this->toInstall = snapshot;
+  this->firstUnwritten = snapshot->index.Next();
+  this->snapshotToInstall = snapshot;
   this->snapshotToPersist = snapshot;
   this->snapshotReplacesLog = true;
   const AppendAnswer answer{ true, snapshot->index, snapshot->index, aBody.sentAt };
--- a/src/coordination/RaftLeader.cpp
+++ b/src/coordination/RaftLeader.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Entries that may be under way to one replica without an answer.
-constexpr std::uint64_t kMostInFlight = 8192;
+constexpr std::uint64_t kMaxInFlightEntries = 8192;
 
 std::uint64_t
 EncodeSentAt(MonotonicTime aTime)
@@ -31,7 +31,7 @@
 Result<LogIndex>
 RaftCore::Propose(std::uint8_t aPart, ProposalId aProposal, std::string aCommand)
 {
-  if (this->role != RaftRole::Leader || this->handingOver) {
+  if (this->role != RaftRole::Leader || this->transferringLeadership) {
     return Fail(ErrorKind::NotLeader,
                 Concat("this host does not lead ", this->options.group.Value()),
                 "ask the leader");
@@ -41,7 +41,7 @@
   entry.part = aPart;
   entry.proposal = aProposal;
   entry.command = std::move(aCommand);
-  this->AppendOwn(std::move(entry));
+  this->AppendAsLeader(std::move(entry));
   return this->log.LastIndex();
 }
 
@@ -49,20 +49,20 @@
 RaftCore::ProposeMembership(const Membership& aMembership)
 {
   const bool settled =
-    this->committed >= this->termStart && this->committed >= this->log.MembershipIndex();
-  if (this->role != RaftRole::Leader || this->handingOver || !settled) {
+    this->committed >= this->termStartIndex && this->committed >= this->log.MembershipIndex();
+  if (this->role != RaftRole::Leader || this->transferringLeadership || !settled) {
     return false;
   }
   LogEntry entry;
   entry.kind = EntryKind::Membership;
   entry.membership = aMembership;
-  this->AppendOwn(std::move(entry));
-  this->MatchProgressToMembership();
+  this->AppendAsLeader(std::move(entry));
+  this->UpdateProgressMembers();
   return true;
 }
 
 void
-RaftCore::AppendOwn(LogEntry aEntry)
+RaftCore::AppendAsLeader(LogEntry aEntry)
 {
   aEntry.index = this->log.LastIndex().Next();
   aEntry.term = this->hardState.term;
@@ -77,7 +77,7 @@
 }
 
 void
-RaftCore::MatchProgressToMembership()
+RaftCore::UpdateProgressMembers()
 {
   const Membership& membership = this->log.NewestMembership();
   std::erase_if(this->progress,
@@ -108,8 +108,8 @@
 RaftCore::SendNewEntries()
 {
   for (auto& [replica, peer] : this->progress) {
-    const bool room = peer.next.Value() - peer.match.Value() < kMostInFlight;
-    const bool sendable = !peer.probing && this->IsFresh(peer);
+    const bool room = peer.next.Value() - peer.match.Value() < kMaxInFlightEntries;
+    const bool sendable = !peer.probing && this->HeardRecently(peer);
     if (sendable && room && peer.next <= this->log.LastIndex()) {
       this->SendAppend(replica, peer, false);
     }
@@ -119,7 +119,7 @@
 void
 RaftCore::SendAppend(ReplicaId aTo, Progress& aProgress, bool aHeartbeat)
 {
-  const bool fresh = this->IsFresh(aProgress);
+  const bool fresh = this->HeardRecently(aProgress);
   const bool needsSnapshot = aProgress.next <= this->log.BaseIndex();
   if (needsSnapshot && fresh) {
     if (aHeartbeat || aProgress.snapshotBytes == nullptr) {
@@ -135,12 +135,12 @@
   request.sentAt = EncodeSentAt(this->clock.MonotonicNow());
   if (fresh && !needsSnapshot) {
     // A silent replica gets heartbeats only, so that nothing piles up on the way to it.
-    request.entries = this->log.From(aProgress.next, this->options.mostMessageBytes);
+    request.entries = this->log.From(aProgress.next, this->options.maxMessageBytes);
   }
   if (!aProgress.probing) {
     aProgress.next = LogIndex(aProgress.next.Value() + request.entries.size());
   }
-  this->SendNow(aTo, aProgress.host, std::move(request));
+  this->SendImmediately(aTo, aProgress.host, std::move(request));
 }
 
 void
@@ -170,13 +170,13 @@
   piece.offset = aProgress.snapshotOffset;
   piece.totalBytes = bytes.size();
   piece.sentAt = EncodeSentAt(this->clock.MonotonicNow());
-  piece.bytes = bytes.substr(piece.offset, this->options.mostMessageBytes);
-  this->SendNow(aTo, aProgress.host, std::move(piece));
+  piece.bytes = bytes.substr(piece.offset, this->options.maxMessageBytes);
+  this->SendImmediately(aTo, aProgress.host, std::move(piece));
 }
 
 // Returns the member that answered a request of this term and notes that it did, or null.
 RaftCore::Progress*
-RaftCore::FindAnswering(const AgreementMessage& aMessage, std::uint64_t aSentAt)
+RaftCore::RecordAnswer(const AgreementMessage& aMessage, std::uint64_t aSentAt)
 {
   const auto found = this->progress.find(aMessage.from);
   const bool current = this->role == RaftRole::Leader && aMessage.term == this->hardState.term;
@@ -192,7 +192,7 @@
 void
 RaftCore::Handle(const AgreementMessage& aMessage, const SnapshotAnswer& aBody)
 {
-  Progress* const found = this->FindAnswering(aMessage, aBody.sentAt);
+  Progress* const found = this->RecordAnswer(aMessage, aBody.sentAt);
   if (found == nullptr) {
     return;
   }
@@ -212,7 +212,7 @@
     this->BecomeFollower(aMessage.term, ReplicaId());
     return;
   }
-  Progress* const found = this->FindAnswering(aMessage, aBody.sentAt);
+  Progress* const found = this->RecordAnswer(aMessage, aBody.sentAt);
   if (found == nullptr) {
     return;
   }
@@ -235,7 +235,7 @@
     peer.snapshotBytes = nullptr;
   }
   this->AdvanceCommitted();
-  this->FinishHandOver();
+  this->SendTimeoutNowWhenReady();
 }
 
 template<typename Value, typename Field>
@@ -278,30 +278,31 @@
   const MonotonicTime now = this->clock.MonotonicNow();
   const auto heard =
     this->QuorumValue<MonotonicTime>(now, [](const Progress& aPeer) { return aPeer.heardAt; });
-  const bool handoverFailed = this->handingOver && now >= this->handoverEnds;
-  const bool quorumLost = now - heard >= this->options.timing.electionMost;
-  if (handoverFailed || quorumLost || this->DiskHangs()) {
+  const bool handoverFailed = this->transferringLeadership && now >= this->transferDeadline;
+  const bool quorumLost = now - heard >= this->options.timing.electionTimeoutMax;
+  if (handoverFailed || quorumLost || this->IsDiskHung()) {
     this->BecomeFollower(this->hardState.term, ReplicaId());
   }
 }
 
 // A leader whose disk hangs could commit through the others but never answer anyone.
 bool
-RaftCore::DiskHangs() const
+RaftCore::IsDiskHung() const
 {
-  return !this->batchesUnderWay.empty() &&
-         this->clock.MonotonicNow() - this->batchesUnderWay.front().since >=
-           this->options.timing.electionMost * 2;
+  return !this->pendingBatches.empty() &&
+         this->clock.MonotonicNow() - this->pendingBatches.front().since >=
+           this->options.timing.electionTimeoutMax * 2;
 }
 
 bool
 RaftCore::LeaseHeld() const
 {
-  if (this->role != RaftRole::Leader || this->handingOver || this->handedOut < this->termStart) {
+  if (this->role != RaftRole::Leader || this->transferringLeadership ||
+      this->deliveredIndex < this->termStartIndex) {
     return false;
   }
   constexpr int kTenths = 10;
-  const Duration lease = this->options.timing.electionLeast * (kTenths - 1) / kTenths;
+  const Duration lease = this->options.timing.electionTimeoutMin * (kTenths - 1) / kTenths;
   const MonotonicTime now = this->clock.MonotonicNow();
   const auto answered = this->QuorumValue<MonotonicTime>(
     now, [](const Progress& aPeer) { return aPeer.answeredSentAt; });
@@ -309,27 +310,28 @@
 }
 
 void
-RaftCore::HandOver()
+RaftCore::TransferLeadership()
 {
   if (this->role == RaftRole::Leader && this->log.NewestMembership().VoterCount() > 1) {
     // Never taken back within this term: the message may arrive late.
-    this->handingOver = true;
-    this->handoverEnds = this->clock.MonotonicNow() + this->options.timing.electionMost;
-    this->FinishHandOver();
+    this->transferringLeadership = true;
+    this->transferDeadline = this->clock.MonotonicNow() + this->options.timing.electionTimeoutMax;
+    this->SendTimeoutNowWhenReady();
   }
 }
 
 void
-RaftCore::FinishHandOver()
+RaftCore::SendTimeoutNowWhenReady()
 {
-  if (!this->handingOver || this->handoverSent) {
+  if (!this->transferringLeadership || this->timeoutNowSent) {
     return;
   }
   for (const auto& [replica, peer] : this->progress) {
     const bool ready = peer.match == this->log.LastIndex();
-    if (ready && this->log.NewestMembership().IsVoter(replica) && this->HeardFrom(replica)) {
-      this->handoverSent = true;
-      this->SendNow(replica, peer.host, TimeoutNow{});
+    if (ready && this->log.NewestMembership().IsVoter(replica) &&
+        this->HeardRecentlyFrom(replica)) {
+      this->timeoutNowSent = true;
+      this->SendImmediately(replica, peer.host, TimeoutNow{});
       return;
     }
   }
@@ -338,7 +340,7 @@
 void
 RaftCore::Compact(SnapshotPtr aSnapshot)
 {
-  assert(aSnapshot->index <= this->handedOut);
+  assert(aSnapshot->index <= this->deliveredIndex);
   if (aSnapshot->index <= this->log.BaseIndex()) {
     return;
   }
@@ -352,7 +354,7 @@
   if (this->role == RaftRole::Leader) {
     return this->options.host;
   }
-  return this->HasFreshLeader() ? this->leaderHost : HostId();
+  return this->HasRecentLeader() ? this->leaderHost : HostId();
 }
 
 LogIndex
@@ -363,19 +365,19 @@
 }
 
 bool
-RaftCore::HeardFrom(ReplicaId aReplica) const
+RaftCore::HeardRecentlyFrom(ReplicaId aReplica) const
 {
   if (aReplica == this->options.replica) {
     return true;
   }
   const auto found = this->progress.find(aReplica);
-  return found != this->progress.end() && this->IsFresh(found->second);
+  return found != this->progress.end() && this->HeardRecently(found->second);
 }
 
 bool
-RaftCore::IsFresh(const Progress& aProgress) const
+RaftCore::HeardRecently(const Progress& aProgress) const
 {
-  return this->clock.MonotonicNow() - aProgress.heardAt < this->options.timing.electionMost;
+  return this->clock.MonotonicNow() - aProgress.heardAt < this->options.timing.electionTimeoutMax;
 }
 
 } // namespace damasklink
--- a/src/program/AgreementModule.cpp
+++ b/src/program/AgreementModule.cpp
@@ -144,18 +144,18 @@
   options.raft.timing = this->setup.timing;
   options.raft.seed = RandomNumber();
   options.listedVoters = ListedVoters(this->setup.hosts, aGroup);
-  options.mayFound = this->setup.mayFound;
-  options.mostVoters = this->setup.mostVoters;
+  options.mayFormGroup = this->setup.mayFormGroup;
+  options.maxVoters = this->setup.mostVoters;
   HeldGroup& held = this->groups[aGroup];
   held = HeldGroup();
   held.replica =
     std::make_unique<GroupReplica>(this->setup.clock, std::move(options), std::move(aRecovered));
   if (aGroup == ControlGroupId()) {
-    held.replica->Machines().Add(MachinePart::Groups, this->catalogue);
+    held.replica->Machines().Add(StateMachineId::Groups, this->catalogue);
   } else {
-    held.life = std::make_unique<GroupLife>();
-    held.replica->Machines().Add(MachinePart::Groups, *held.life);
-    held.replica->Machines().SetLife(*held.life);
+    held.life = std::make_unique<IncarnationMachine>();
+    held.replica->Machines().Add(StateMachineId::Groups, *held.life);
+    held.replica->Machines().SetIncarnation(*held.life);
   }
   for (const Registration& added : this->registrations) {
     if (added.group == aGroup) {
@@ -210,7 +210,9 @@
 }
 
 void
-AgreementModule::AddMachine(const GroupId& aGroup, MachinePart aPart, ReplicatedMachine& aMachine)
+AgreementModule::AddMachine(const GroupId& aGroup,
+                            StateMachineId aPart,
+                            ReplicatedStateMachine& aMachine)
 {
   this->registrations.push_back(Registration{ aGroup, aPart, &aMachine });
   const auto found = this->groups.find(aGroup);
@@ -221,7 +223,7 @@
 
 void
 AgreementModule::Propose(const GroupId& aGroup,
-                         MachinePart aPart,
+                         StateMachineId aPart,
                          std::string aCommand,
                          Duration aTimeout,
                          ProposalDone aDone)
@@ -260,7 +262,7 @@
   learnt.disk = true;
   this->setup.hosts.push_back(std::move(learnt));
   for (auto& [group, held] : this->groups) {
-    held.replica->KnowHost(aHost);
+    held.replica->AddDiscoveredHost(aHost);
   }
 }
 
@@ -307,7 +309,7 @@
   this->tracker.Tick();
   for (auto& [group, held] : this->groups) {
     held.replica->Tick();
-    this->tracker.NoteLeader(group, held.replica->Status().leader);
+    this->tracker.ReportLeader(group, held.replica->Status().leader);
   }
   this->Pump();
   for (auto& [group, held] : this->groups) {
@@ -320,7 +322,7 @@
 AgreementModule::OnShutdown()
 {
   for (auto& [group, held] : this->groups) {
-    held.replica->HandOver();
+    held.replica->TransferLeadership();
   }
 }
 
@@ -443,7 +445,7 @@
   aHeld.registering = true;
   this->Propose(
     ControlGroupId(),
-    MachinePart::Groups,
+    StateMachineId::Groups,
     EncodeRegistration(aGroup, aHeld.replica->Core().Formation()),
     kRegistrationTimeout,
     [this, aGroup](const Result<std::string>& aAnswer) { this->TakeFounding(aGroup, aAnswer); });
@@ -453,7 +455,7 @@
 AgreementModule::TakeFounding(const GroupId& aGroup, const Result<std::string>& aAnswer)
 {
   const auto founding =
-    aAnswer ? DecodeFounding(aAnswer.value()) : Result<Founding>(aAnswer.error());
+    aAnswer ? DecodeGroupIncarnation(aAnswer.value()) : Result<GroupIncarnation>(aAnswer.error());
   if (!founding || founding.value().incarnation == Incarnation()) {
     this->groups.at(aGroup).registering = false;
     return;
@@ -462,7 +464,7 @@
     .With("group", aGroup)
     .With("incarnation", founding.value().incarnation);
   this->Propose(aGroup,
-                MachinePart::Groups,
+                StateMachineId::Groups,
                 aAnswer.value(),
                 kRegistrationTimeout,
                 [this, aGroup](const Result<std::string>& /*aDone*/) {
--- a/src/program/AgreementModule.h
+++ b/src/program/AgreementModule.h
@@ -9,7 +9,7 @@
 #include "HostContext.h"
 #include "LogWriter.h"
 #include "damasklink/coordination/GroupReplica.h"
-#include "damasklink/coordination/ProposalTracker.h"
+#include "damasklink/coordination/ProposalForwarder.h"
 #include "damasklink/state/DataFolder.h"
 
 namespace damasklink {
@@ -31,7 +31,7 @@
   std::vector<GroupId> groups;
   RaftTiming timing;
   // As in GroupOptions.
-  bool mayFound = true;
+  bool mayFormGroup = true;
   std::optional<std::size_t> mostVoters;
   // Where set, a replica whose disk refused a write is opened anew this long after, and again until
   // the disk takes writes; else it stays stopped.
@@ -53,9 +53,11 @@
   // with Storage when the disk refuses; after the latter it may be called again.
   Result<void> Open();
 
-  void AddMachine(const GroupId& aGroup, MachinePart aPart, ReplicatedMachine& aMachine) override;
+  void AddMachine(const GroupId& aGroup,
+                  StateMachineId aPart,
+                  ReplicatedStateMachine& aMachine) override;
   void Propose(const GroupId& aGroup,
-               MachinePart aPart,
+               StateMachineId aPart,
                std::string aCommand,
                Duration aTimeout,
                ProposalDone aDone) override;
@@ -83,7 +85,7 @@
   {
     std::unique_ptr<GroupReplica> replica;
     // The group's own machine: the catalogue in the control group, its founding elsewhere.
-    std::unique_ptr<GroupLife> life;
+    std::unique_ptr<IncarnationMachine> life;
     bool registering = false;
     bool wasLeading = false;
     Membership lastMembership;
@@ -96,8 +98,8 @@
   struct Registration
   {
     GroupId group;
-    MachinePart part;
-    ReplicatedMachine* machine;
+    StateMachineId part;
+    ReplicatedStateMachine* machine;
   };
 
   Result<void> OpenGroup(const GroupId& aGroup);
@@ -121,8 +123,8 @@
   std::unique_ptr<FileLock> lock;
   DataFolder folder;
   LogWriter writer;
-  ProposalTracker tracker;
-  GroupCatalogue catalogue;
+  ProposalForwarder tracker;
+  GroupRegistry catalogue;
   std::vector<Registration> registrations;
   std::map<GroupId, HeldGroup> groups;
   // Messages of this host to itself.
--- a/src/program/ClaimGate.cpp
+++ b/src/program/ClaimGate.cpp
@@ -95,7 +95,7 @@
 struct ClaimGate::Waiter
 {
   absl::Mutex mutex;
-  std::optional<ProposalEnd> end ABSL_GUARDED_BY(mutex);
+  std::optional<ProposalOutcome> end ABSL_GUARDED_BY(mutex);
   // The traffic thread has gone; a late grant must be given back.
   bool left ABSL_GUARDED_BY(mutex) = false;
 };
@@ -112,7 +112,7 @@
 ClaimGate::Start()
 {
   for (const ZoneId& zone : this->zones) {
-    this->groups.AddMachine(ClaimsGroupId(zone), MachinePart::Claims, this->machines[zone]);
+    this->groups.AddMachine(ClaimsGroupId(zone), StateMachineId::Claims, this->machines[zone]);
   }
   this->context.control.Add(Channel::Claims, *this);
 }
@@ -202,8 +202,9 @@
   auto waiter = std::make_shared<Waiter>();
   const bool posted = this->context.control.Post([this, waiter, aHome, aCommand, deadline] {
     this->retrier.Start(
-      Proposal{ ClaimsGroupId(aHome), MachinePart::Claims, EncodeClaimCommand(aCommand), deadline },
-      [=, this](ProposalEnd aEnd) { this->OnAsked(waiter, aHome, aCommand, std::move(aEnd)); });
+      Proposal{
+        ClaimsGroupId(aHome), StateMachineId::Claims, EncodeClaimCommand(aCommand), deadline },
+      [=, this](ProposalOutcome aEnd) { this->OnAsked(waiter, aHome, aCommand, std::move(aEnd)); });
   });
   if (!posted) {
     return Fail(ErrorKind::Overloaded, "the control thread is behind", "try again shortly");
@@ -227,7 +228,7 @@
 ClaimGate::OnAsked(const std::shared_ptr<Waiter>& aWaiter,
                    const ZoneId& aHome,
                    const ClaimCommand& aCommand,
-                   ProposalEnd aEnd)
+                   ProposalOutcome aEnd)
 {
   bool giveBack = aEnd.mayBeApplied;
   {
@@ -272,8 +273,9 @@
 {
   const MonotonicTime deadline = this->context.clock.MonotonicNow() + kSettleTime;
   this->retrier.Start(
-    Proposal{ ClaimsGroupId(aHome), MachinePart::Claims, EncodeClaimCommand(aCommand), deadline },
-    [this, aHome](const ProposalEnd& aEnd) {
+    Proposal{
+      ClaimsGroupId(aHome), StateMachineId::Claims, EncodeClaimCommand(aCommand), deadline },
+    [this, aHome](const ProposalOutcome& aEnd) {
       --this->unsettled;
       if (!aEnd.reply) {
         LogEvent(LogLevel::Warning, "claim_not_settled")
--- a/src/program/ClaimGate.h
+++ b/src/program/ClaimGate.h
@@ -110,7 +110,7 @@
   void OnAsked(const std::shared_ptr<Waiter>& aWaiter,
                const ZoneId& aHome,
                const ClaimCommand& aCommand,
-               ProposalEnd aEnd);
+               ProposalOutcome aEnd);
   void StartSettling(const ZoneId& aHome, const ClaimCommand& aCommand);
 
   const HostContext& context;
--- a/src/program/ConfigurationModule.cpp
+++ b/src/program/ConfigurationModule.cpp
@@ -18,7 +18,7 @@
   , spread(aContext.clock, aContext.settings, aMembership, this->index)
   , machine(this)
 {
-  this->groups.AddMachine(ControlGroupId(), MachinePart::Configuration, this->machine);
+  this->groups.AddMachine(ControlGroupId(), StateMachineId::Configuration, this->machine);
 }
 
 Result<void>
@@ -76,7 +76,7 @@
                             std::function<void(Result<ChangeAnswer>)> aDone)
 {
   this->groups.Propose(ControlGroupId(),
-                       MachinePart::Configuration,
+                       StateMachineId::Configuration,
                        PackConfigChange(aChange),
                        kChangeTimeout,
                        [done = std::move(aDone)](Result<std::string> aAnswer) {
@@ -94,7 +94,7 @@
                                  std::function<void(Result<std::vector<HistoryEntry>>)> aDone)
 {
   this->groups.Propose(ControlGroupId(),
-                       MachinePart::Configuration,
+                       StateMachineId::Configuration,
                        PackHistoryQuery(aName, aMost),
                        kChangeTimeout,
                        [done = std::move(aDone)](Result<std::string> aAnswer) {
@@ -123,7 +123,7 @@
   this->seeding = true;
   this->groups.Propose(
     ControlGroupId(),
-    MachinePart::Configuration,
+    StateMachineId::Configuration,
     PackConfigSeed(id, this->context.settings.host.Value(), seed),
     kChangeTimeout,
     [this, id](const Result<std::string>& aAnswer) {
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -140,7 +140,7 @@
   StoreWatcher stores;
   WeightsDesk weights;
   SettledWeights settled{ this->clock, kSettling };
-  HostRoster roster{ this->settings.host, this->settings.zone };
+  HostRegistry roster{ this->settings.host, this->settings.zone };
   CrashLedger crashes{ this->clock };
   RefusalDesk refusals{ this->loop, this->group, this->crashes };
   PictureTeller teller{ this->clock,  this->settings, this->group, this->stores, this->picture,
@@ -372,7 +372,7 @@
 ControlHost::Impl::OnPeerDown(const HostId& aPeer, LinkSide aSide)
 {
   if (aSide == LinkSide::Accepted) {
-    this->roster.OnLost(aPeer);
+    this->roster.OnDisconnected(aPeer);
     this->teller.OnLost(aPeer);
   }
 }
@@ -416,7 +416,7 @@
   } else if (const auto* question = std::get_if<DocumentQuestion>(&aMessage)) {
     this->teller.Answer(aPeer, *question);
   } else if (const auto* list = std::get_if<EntryHostList>(&aMessage)) {
-    this->roster.TakeList(aPeer, *list);
+    this->roster.SetEntryHostsOf(aPeer, *list);
   } else if (const auto* told = std::get_if<Picture>(&aMessage)) {
     for (const TargetStatement& statement : told->targets) {
       this->picture.HearSecondHand(statement.record);
@@ -428,7 +428,7 @@
 ControlHost::Impl::TakeGreeting(const HostId& aPeer, const Greeting& aGreeting)
 {
   if (aGreeting.role == HostRole::Entry) {
-    this->roster.OnEntryHost(aPeer);
+    this->roster.OnEntryHostConnected(aPeer);
     this->teller.TellAll(aPeer);
     return;
   }
@@ -450,7 +450,7 @@
 void
 ControlHost::Impl::KnowControlHost(const HostId& aHost, const ZoneId& aZone)
 {
-  if (!this->roster.LearnControlHost(aHost, aZone)) {
+  if (!this->roster.AddControlHost(aHost, aZone)) {
     return;
   }
   LogEvent(LogLevel::Info, "control_host_learnt").With("peer", aHost);
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -9,7 +9,7 @@
 #include "ConfigurationFeed.h"
 #include "Exchange.h"
 #include "MetricsPage.h"
-#include "damasklink/coordination/ControlLinks.h"
+#include "damasklink/coordination/ControlHostSelector.h"
 #include "damasklink/coordination/HubChoice.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
 #include "damasklink/protocol/ServingCodec.h"
@@ -170,7 +170,7 @@
   ChannelListener callers{ this->loop };
   ChannelListener probes{ this->loop };
   Channels open;
-  ControlLinks links{ this->settings.host, this->settings.zone };
+  ControlHostSelector links{ this->settings.host, this->settings.zone };
   // The control host that is told what this host has where.
   HubChoice hub{ this->clock, this->settings.zone };
   bool wasReady = false;
@@ -342,7 +342,7 @@
 EntryHost::Impl::HubCandidates() const
 {
   std::vector<HubCandidate> candidates;
-  for (const auto& [host, zone] : this->links.Known()) {
+  for (const auto& [host, zone] : this->links.KnownHosts()) {
     if (this->picture.HasSpoken(host)) {
       candidates.push_back(HubCandidate{ host, zone, this->picture.IsGood(host) });
     }
@@ -419,7 +419,7 @@
 EntryHost::Impl::KnowSeeds(const std::vector<HostId>& aSeeds)
 {
   for (const HostId& host : aSeeds) {
-    this->links.Know(host, ZoneId());
+    this->links.AddHost(host, ZoneId());
   }
   this->KeepControlLinks();
 }
@@ -429,15 +429,15 @@
 EntryHost::Impl::KeepControlLinks()
 {
   const auto isGood = [this](const HostId& aHost) { return this->picture.IsGood(aHost); };
-  const std::vector<HostId> wanted = this->links.Wanted(isGood);
+  const std::vector<HostId> wanted = this->links.Select(isGood);
   for (const HostId& host : wanted) {
     this->mesh.Dial(host);
   }
   const auto good = std::count_if(wanted.begin(), wanted.end(), isGood);
-  if (static_cast<std::size_t>(good) < ControlLinks::kGoodLinks) {
+  if (static_cast<std::size_t>(good) < ControlHostSelector::kHealthyConnections) {
     return;
   }
-  for (const auto& [host, zone] : this->links.Known()) {
+  for (const auto& [host, zone] : this->links.KnownHosts()) {
     if (std::find(wanted.begin(), wanted.end(), host) == wanted.end()) {
       this->mesh.Hang(host);
     }
@@ -516,7 +516,7 @@
   this->TakeCold(aTold.targets);
   this->FollowEvacuations();
   this->retries.SetHosts(this->picture.EntryHosts());
-  const bool named = this->links.KnowAll(this->picture.TakeNewControlHosts());
+  const bool named = this->links.AddHosts(this->picture.TakeNewControlHosts());
   if (named || this->picture.IsGood(aPeer) != wasGood) {
     this->KeepControlLinks();
   }
--- a/src/program/MembershipModule.cpp
+++ b/src/program/MembershipModule.cpp
@@ -31,8 +31,8 @@
 void
 MembershipModule::OnTick(MonotonicTime /*aNow*/)
 {
-  if (this->membership.TakeTurn()) {
-    this->Send(this->membership.Partner());
+  if (this->membership.AdvanceIfDue()) {
+    this->Send(this->membership.CurrentPeer());
   }
 }
 
--- a/src/program/OrdersModule.cpp
+++ b/src/program/OrdersModule.cpp
@@ -57,7 +57,7 @@
                [this, aTarget, aOutcome] { this->orders.OnSent(aTarget, aOutcome); });
            })
 {
-  this->groups.AddMachine(ControlGroupId(), MachinePart::Orders, this->machine);
+  this->groups.AddMachine(ControlGroupId(), StateMachineId::Orders, this->machine);
 }
 
 void
@@ -102,7 +102,7 @@
 OrdersModule::Issue(const TargetId& aTarget)
 {
   this->groups.Propose(ControlGroupId(),
-                       MachinePart::Orders,
+                       StateMachineId::Orders,
                        PackIssueOrder(aTarget),
                        kProposalTimeout,
                        [this, aTarget](const Result<std::string>& aAnswer) {
@@ -119,7 +119,7 @@
     .With("deployment", aStop.deployment)
     .With("reason", aStop.reason);
   this->groups.Propose(ControlGroupId(),
-                       MachinePart::Orders,
+                       StateMachineId::Orders,
                        PackStopRollout(aStop.deployment, aStop.wish, aStop.reason),
                        kProposalTimeout,
                        [this, name = aStop.deployment](const Result<std::string>& aAnswer) {
--- a/src/program/PictureTeller.cpp
+++ b/src/program/PictureTeller.cpp
@@ -32,7 +32,7 @@
                              const ServingGroup& aGroup,
                              const StoreWatcher& aStores,
                              ControlPicture& aPicture,
-                             HostRoster& aRoster,
+                             HostRegistry& aRoster,
                              CrashLedger& aCrashes,
                              PeerMesh& aMesh,
                              WorkAccount& aAccount)
@@ -75,7 +75,7 @@
     this->TellEntryHosts(Work::Pictures, changes);
   }
   if (this->roster.TakeEntryHostsChanged()) {
-    this->TellControlHosts(Work::Hosts, this->roster.OwnList());
+    this->TellControlHosts(Work::Hosts, this->roster.MakeEntryHostList());
   }
   Picture news;
   news.targets = this->picture.TakeNews();
@@ -152,7 +152,7 @@
   this->Tell(Work::Hosts, aPeer, greeting);
   // Since what was told on an earlier connection may be lost.
   this->TellAllTargets(aPeer);
-  this->Tell(Work::Hosts, aPeer, this->roster.OwnList());
+  this->Tell(Work::Hosts, aPeer, this->roster.MakeEntryHostList());
   this->TellAllReports(aPeer);
 }
 
--- a/src/program/PictureTeller.h
+++ b/src/program/PictureTeller.h
@@ -12,7 +12,7 @@
 #include "WorkAccount.h"
 #include "damasklink/coordination/CrashLedger.h"
 #include "damasklink/coordination/DocumentSource.h"
-#include "damasklink/coordination/HostRoster.h"
+#include "damasklink/coordination/HostRegistry.h"
 #include "damasklink/coordination/LimitBook.h"
 #include "damasklink/coordination/RecentHosts.h"
 #include "damasklink/coordination/SendsHub.h"
@@ -30,7 +30,7 @@
                 const ServingGroup& aGroup,
                 const StoreWatcher& aStores,
                 ControlPicture& aPicture,
-                HostRoster& aRoster,
+                HostRegistry& aRoster,
                 CrashLedger& aCrashes,
                 PeerMesh& aMesh,
                 WorkAccount& aAccount);
@@ -89,7 +89,7 @@
   const ServingGroup& group;
   const StoreWatcher& stores;
   ControlPicture& picture;
-  HostRoster& roster;
+  HostRegistry& roster;
   CrashLedger& crashes;
   PeerMesh& mesh;
   WorkAccount& account;
--- a/src/program/ReusePart.cpp
+++ b/src/program/ReusePart.cpp
@@ -35,7 +35,7 @@
 ReusePart::Start()
 {
   this->groups.AddMachine(
-    ClaimsGroupId(this->context.settings.zone), MachinePart::Leases, this->leases);
+    ClaimsGroupId(this->context.settings.zone), StateMachineId::Leases, this->leases);
   this->context.control.Add(Channel::Stores, this->module);
   this->work.Start();
   this->keeper.Start();
--- a/src/program/ServingGroup.cpp
+++ b/src/program/ServingGroup.cpp
@@ -61,7 +61,7 @@
   , applied(std::move(aApplied))
   , agreement(this->Setup(aMetrics, aPeers))
 {
-  this->agreement.AddMachine(ControlGroupId(), MachinePart::Serving, this->machine);
+  this->agreement.AddMachine(ControlGroupId(), StateMachineId::Serving, this->machine);
 }
 
 AgreementSetup
@@ -122,7 +122,7 @@
 {
   const auto answered = std::make_shared<Answered>(this->loop);
   this->agreement.Propose(ControlGroupId(),
-                          MachinePart::Serving,
+                          StateMachineId::Serving,
                           EncodeServingCommand(aCommand),
                           kCommitPatience,
                           [answered](Result<std::string> aResult) {
@@ -177,7 +177,7 @@
 ServingGroup::HearsLeader() const
 {
   const GroupReplica* replica = this->Working();
-  return replica != nullptr && replica->Core().HasFreshLeader();
+  return replica != nullptr && replica->Core().HasRecentLeader();
 }
 
 std::vector<HostId>
--- a/src/program/StoresModule.cpp
+++ b/src/program/StoresModule.cpp
@@ -239,7 +239,7 @@
   const MonotonicTime asked = this->context.clock.MonotonicNow();
   const LeaseCommand command{ aStore, this->context.settings.host, aLength };
   this->stores.groups.Propose(ClaimsGroupId(this->context.settings.zone),
-                              MachinePart::Leases,
+                              StateMachineId::Leases,
                               EncodeLeaseCommand(command),
                               kProposalTimeout,
                               [this, aStore, asked](Result<std::string> aAnswer) {
--- a/test/FakeReplicator.h
+++ b/test/FakeReplicator.h
@@ -18,13 +18,13 @@
   };
 
   void AddMachine(const GroupId& /*aGroup*/,
-                  MachinePart /*aPart*/,
-                  ReplicatedMachine& /*aMachine*/) override
+                  StateMachineId /*aPart*/,
+                  ReplicatedStateMachine& /*aMachine*/) override
   {
   }
 
   void Propose(const GroupId& aGroup,
-               MachinePart /*aPart*/,
+               StateMachineId /*aPart*/,
                std::string aCommand,
                Duration /*aTimeout*/,
                ProposalDone aDone) override
--- a/test/coordination/ConfigSpreadTest.cpp
+++ b/test/coordination/ConfigSpreadTest.cpp
@@ -110,11 +110,11 @@
     this->clock.Advance(kStep);
     for (std::size_t index = 0; index < kHosts; ++index) {
       Node& node = *this->nodes[index];
-      if (node.membership.TakeTurn()) {
+      if (node.membership.AdvanceIfDue()) {
         Heartbeat beat = node.membership.MakeHeartbeat();
         beat.revision = node.spread.InForce();
         beat.confirmedAge = node.spread.ConfirmedAge();
-        const std::size_t to = IndexOf(node.membership.Partner());
+        const std::size_t to = IndexOf(node.membership.CurrentPeer());
         if (this->Reaches(index, to) && aDeliver() > 0) {
           this->nodes[to]->membership.OnHeartbeat(HostName(index), beat);
           this->At(to).OnPeerRevision(HostName(index), beat.revision, beat.confirmedAge);
--- /dev/null
+++ b/test/coordination/ControlHostSelectorTest.cpp
@@ -0,0 +1,81 @@
+#include "damasklink/coordination/ControlHostSelector.h"
+
+#include <algorithm>
+#include <set>
+
+#include <gtest/gtest.h>
+
+namespace damasklink {
+namespace {
+
+class ControlHostSelectorTest : public testing::Test
+{
+protected:
+  ControlHostSelectorTest()
+  {
+    for (const std::string zone : { "a", "b", "c", "d" }) {
+      for (const std::string number : { "1", "2" }) {
+        this->selector.AddHost(HostId(zone + number), ZoneId(zone));
+      }
+    }
+  }
+
+  std::vector<HostId> Select() const
+  {
+    return this->selector.Select(
+      [this](const HostId& aHost) { return !this->unhealthy.contains(aHost.Value()); });
+  }
+
+  bool Selects(const std::string& aHost) const
+  {
+    const auto selected = this->Select();
+    return std::find(selected.begin(), selected.end(), HostId(aHost)) != selected.end();
+  }
+
+  ControlHostSelector selector{ HostId("e"), ZoneId("b") };
+  std::set<std::string> unhealthy;
+};
+
+TEST_F(ControlHostSelectorTest, PrefersOwnZoneAndOneHostOfAnother)
+{
+  EXPECT_EQ(this->Select().size(), ControlHostSelector::kHealthyConnections);
+  EXPECT_TRUE(this->Selects("b1"));
+  EXPECT_TRUE(this->Selects("b2"));
+}
+
+TEST_F(ControlHostSelectorTest, SelectsAnotherHostBesideAnUnhealthyOne)
+{
+  this->unhealthy = { "b1" };
+  EXPECT_EQ(this->Select().size(), ControlHostSelector::kHealthyConnections + 1);
+  EXPECT_TRUE(this->Selects("b1")) << "it may come back";
+}
+
+TEST_F(ControlHostSelectorTest, SelectsAllHostsWhenNoneIsHealthy)
+{
+  for (const auto& [host, zone] : this->selector.KnownHosts()) {
+    this->unhealthy.insert(host.Value());
+  }
+  EXPECT_EQ(this->Select().size(), 8U);
+}
+
+TEST_F(ControlHostSelectorTest, SpreadsEntryHostsOverOtherZones)
+{
+  std::set<HostId> others;
+  for (int number = 0; number < 40; ++number) {
+    ControlHostSelector other(HostId("e" + std::to_string(number)), ZoneId("b"));
+    for (const auto& [host, zone] : this->selector.KnownHosts()) {
+      other.AddHost(host, zone);
+    }
+    others.insert(other.Select([](const HostId&) { return true; }).back());
+  }
+  EXPECT_EQ(others.size(), 6U);
+}
+
+TEST_F(ControlHostSelectorTest, EmptyZoneKeepsTheKnownOne)
+{
+  this->selector.AddHost(HostId("b1"), ZoneId());
+  EXPECT_EQ(this->selector.KnownHosts().at(HostId("b1")), ZoneId("b"));
+}
+
+} // namespace
+} // namespace damasklink
--- a/test/coordination/GroupFormationTest.cpp
+++ b/test/coordination/GroupFormationTest.cpp
@@ -33,33 +33,33 @@
   GroupFormation formation{ clock, Member{ HostId("a"), ReplicaId(1), true }, kListed, 1 };
 };
 
-TEST_F(GroupFormationUnitTest, FoundsWithTheReplicasThatAnswered)
+TEST_F(GroupFormationUnitTest, FormsGroupWithTheReplicasThatAnswered)
 {
   const std::uint64_t nonce = this->formation.Tick().query.nonce;
-  EXPECT_TRUE(this->Answer("c", 3, { nonce, {} }).found.members.empty());
+  EXPECT_TRUE(this->Answer("c", 3, { nonce, {} }).formWith.members.empty());
   const Membership expected{ { Member{ HostId("a"), ReplicaId(1), true },
                                Member{ HostId("b"), ReplicaId(2), true },
                                Member{ HostId("c"), ReplicaId(3), true } } };
-  EXPECT_EQ(this->Answer("b", 2, { nonce, {} }).found, expected);
+  EXPECT_EQ(this->Answer("b", 2, { nonce, {} }).formWith, expected);
 }
 
-TEST_F(GroupFormationUnitTest, AnswersOfAnEarlierRoundDoNotCount)
+TEST_F(GroupFormationUnitTest, IgnoresAnswersToEarlierRounds)
 {
   const std::uint64_t first = this->formation.Tick().query.nonce;
   this->Answer("b", 2, { first, {} });
   this->clock.Advance(std::chrono::seconds(1));
   const std::uint64_t second = this->formation.Tick().query.nonce;
-  EXPECT_TRUE(this->Answer("c", 3, { first, {} }).found.members.empty());
-  EXPECT_TRUE(this->Answer("c", 3, { second, {} }).found.members.empty());
+  EXPECT_TRUE(this->Answer("c", 3, { first, {} }).formWith.members.empty());
+  EXPECT_TRUE(this->Answer("c", 3, { second, {} }).formWith.members.empty());
 }
 
-TEST_F(GroupFormationUnitTest, JoinsWhatAnyoneKnowsOf)
+TEST_F(GroupFormationUnitTest, AdoptsFormationThatAnyHostReports)
 {
   const std::uint64_t nonce = this->formation.Tick().query.nonce;
   EXPECT_EQ(this->Answer("c", 3, { nonce, FormationId(9) }).adopt, FormationId(9));
 }
 
-TEST(GroupFormationUnit, OnlyTheFirstListedHostFounds)
+TEST(GroupFormationFounderTest, OnlyFirstListedHostFormsGroup)
 {
   ManualClock clock;
   GroupFormation formation(clock, Member{ HostId("b"), ReplicaId(2), true }, kListed, 1);
@@ -67,7 +67,7 @@
   EXPECT_EQ(asked.query.proposed, FormationId());
   const FormationAnswer never{ asked.query.nonce, {} };
   formation.Receive(From("a", 1, never), never);
-  EXPECT_TRUE(formation.Receive(From("c", 3, never), never).found.members.empty());
+  EXPECT_TRUE(formation.Receive(From("c", 3, never), never).formWith.members.empty());
 }
 
 // A replica of host b that has never known its group.
@@ -94,14 +94,14 @@
 
 // The founder of formation 8 answered, then lost its disk and asks for formation 9; its old answer
 // comes late.
-TEST_F(EmptyReplicaTest, LateAnswerDoesNotBringBackALostFormation)
+TEST_F(EmptyReplicaTest, LateAnswerDoesNotAdoptALostFormation)
 {
   this->replica->Receive(From("a", 5, FormationQuery{ 77, FormationId(9) }));
   this->replica->Receive(From("a", 1, FormationAnswer{ this->nonce, FormationId(8) }));
   EXPECT_EQ(this->replica->Core().Formation(), FormationId());
 }
 
-TEST_F(EmptyReplicaTest, LetsGoOfAFormationWhoseFounderAsksAnew)
+TEST_F(EmptyReplicaTest, DropsAdoptedFormationWhenItsFounderAsksAgain)
 {
   this->replica->Receive(From("a", 1, FormationAnswer{ this->nonce, FormationId(8) }));
   EXPECT_EQ(this->replica->Core().Formation(), FormationId(8));
--- a/test/coordination/GroupPlacementTest.cpp
+++ b/test/coordination/GroupPlacementTest.cpp
@@ -22,20 +22,20 @@
                                         MakePeer("c", "south", true),
                                         MakePeer("d", "east", false) };
 
-TEST(GroupPlacementTest, AllDisksVoteInTheControlGroup)
+TEST(GroupPlacementTest, AllHostsWithDisksVoteInControlGroup)
 {
   EXPECT_EQ(ListedVoters(kPeers, ControlGroupId()),
             (std::vector{ HostId("a"), HostId("b"), HostId("c") }));
 }
 
-TEST(GroupPlacementTest, DisksOfAZoneVoteInItsClaimsGroup)
+TEST(GroupPlacementTest, HostsWithDisksVoteInClaimsGroupOfTheirZone)
 {
   EXPECT_EQ(ListedVoters(kPeers, ClaimsGroupId(ZoneId("north"))),
             (std::vector{ HostId("a"), HostId("b") }));
   EXPECT_TRUE(ListedVoters(kPeers, ClaimsGroupId(ZoneId("east"))).empty());
 }
 
-TEST(GroupPlacementTest, ZoneWithoutDiskIsHomedInTheNextOne)
+TEST(GroupPlacementTest, ZoneWithoutDiskUsesClaimsGroupOfNextZone)
 {
   EXPECT_EQ(ClaimsHomeGroup(kPeers, ZoneId("south")), ClaimsGroupId(ZoneId("south")));
   EXPECT_EQ(ClaimsHomeGroup(kPeers, ZoneId("east")), ClaimsGroupId(ZoneId("north")));
@@ -43,7 +43,7 @@
   EXPECT_TRUE(ClaimsHomeGroup({}, ZoneId("west")).Empty());
 }
 
-TEST(GroupPlacementTest, HostWithoutDiskHoldsNoGroup)
+TEST(GroupPlacementTest, HostWithoutDiskVotesInNoGroup)
 {
   EXPECT_TRUE(GroupsOf(kPeers, HostId("d")).empty());
   EXPECT_EQ(GroupsOf(kPeers, HostId("c")),
--- a/test/coordination/GroupReplicaLeaseTest.cpp
+++ b/test/coordination/GroupReplicaLeaseTest.cpp
@@ -15,7 +15,7 @@
 
 // A voter whose disk is gone is gone with it, and so is any lease of its: the replica that started
 // in its place says so.
-TEST(GroupReplicaLeaseTest, GroupThatStartsAnewWithLostDisksWaitsForNoLease)
+TEST(GroupReplicaLeaseTest, ElectsBeforeElectionTimeoutWhenRestartedWithLostDisks)
 {
   constexpr std::size_t kLost = 2;
   // Two that stand at once both lose, for all who are left must vote for one; then the timeouts of
@@ -38,7 +38,7 @@
         cluster.Start(node);
       }
     }
-    cluster.Run(RaftTiming().electionLeast * 3 / 4);
+    cluster.Run(RaftTiming().electionTimeoutMin * 3 / 4);
     early += cluster.Leader().has_value() ? 1 : 0;
     cluster.HealAndCheck();
   }
@@ -47,7 +47,7 @@
 
 // The voter that is missing holds a lease: it was cut off just before the others started anew. The
 // cluster asserts at each step that nobody commits in a later term meanwhile.
-TEST(GroupReplicaLeaseTest, GroupThatMissesAVoterWaitsForItsLease)
+TEST(GroupReplicaLeaseTest, WaitsForLeaseOfAMissingVoter)
 {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     GroupCluster cluster(3, seed);
@@ -60,7 +60,7 @@
         cluster.Start(node);
       }
     }
-    for (Duration passed{}; passed < RaftTiming().electionLeast; passed += kStep) {
+    for (Duration passed{}; passed < RaftTiming().electionTimeoutMin; passed += kStep) {
       cluster.Run(kStep);
       EXPECT_EQ(cluster.Leader().value_or(old), old);
     }
--- a/test/coordination/GroupReplicaTest.cpp
+++ b/test/coordination/GroupReplicaTest.cpp
@@ -219,7 +219,7 @@
 
 // A follower that was sent a snapshot got the entries too, and acknowledged more than the snapshot
 // covers before its last piece came. Found by seed 3 of the schedules.
-TEST(GroupReplicaSnapshotTest, LateSnapshotTakesBackNothingAcknowledged)
+TEST(GroupReplicaSnapshotTest, LateSnapshotKeepsAcknowledgedEntries)
 {
   GroupCluster cluster(5, 0);
   cluster.Run(std::chrono::seconds(6));
@@ -235,7 +235,7 @@
 
 // The proposer was told "not taken", so a copy of that sending must stay without effect even when
 // the host leads by then.
-TEST(GroupReplicaProposalTest, LateCopyOfARefusedSendingIsDropped)
+TEST(GroupReplicaProposalTest, LateDuplicateOfARefusedAttemptIsDropped)
 {
   ManualClock clock;
   GroupOptions options;
@@ -243,8 +243,8 @@
   options.listedVoters = { HostId("self") };
   GroupReplica replica(clock, options, RecoveredLog{});
   testing::ListMachine machine;
-  replica.Machines().Add(MachinePart::Claims, machine);
-  const auto part = static_cast<std::uint8_t>(MachinePart::Claims);
+  replica.Machines().Add(StateMachineId::Claims, machine);
+  const auto part = static_cast<std::uint8_t>(StateMachineId::Claims);
   const ForwardedProposal sent{ Sequence(1), part, { 7, Sequence(1), Sequence(1) }, "command" };
   const auto settle = [&] {
     for (int round = 0; round < 10; ++round) {
@@ -284,7 +284,7 @@
 
 // Host B has acknowledged a command that host C never saw, and loses its disk. Had B the same
 // identity still, B and C could elect C and the command would be lost.
-TEST_F(GroupReplicaTest, WipedHostDoesNotVoteAsWhatItWas)
+TEST_F(GroupReplicaTest, WipedHostDoesNotVoteWithItsFormerIdentity)
 {
   const std::size_t leader = this->Leader();
   const std::size_t wiped = (leader + 1) % 3;
@@ -301,7 +301,7 @@
   this->cluster.HealAndCheck();
 }
 
-TEST_F(GroupReplicaTest, SecondDiskLostRightAfterRepairLosesNothing)
+TEST_F(GroupReplicaTest, SecondDiskLossRightAfterRepairKeepsAcknowledgedCommands)
 {
   this->cluster.Wipe(this->Follower());
   for (int round = 0; round < 1'000 && !this->cluster.IsWhole(); ++round) {
@@ -312,7 +312,7 @@
   this->cluster.HealAndCheck();
 }
 
-TEST_F(GroupReplicaTest, CutOffLeaderLosesItsLeaseBeforeAnotherLeads)
+TEST_F(GroupReplicaTest, IsolatedLeaderLosesItsLeaseBeforeAnotherIsElected)
 {
   const std::size_t old = this->Leader();
   this->cluster.Isolate(old);
@@ -322,7 +322,7 @@
   EXPECT_NE(this->Leader(), old);
 }
 
-TEST_F(GroupReplicaTest, FrozenLeaderHoldsNoLeaseWhenItWakes)
+TEST_F(GroupReplicaTest, FrozenLeaderHoldsNoLeaseAfterItResumes)
 {
   const std::size_t old = this->Leader();
   this->cluster.Node(old).frozen = true;
@@ -331,7 +331,7 @@
 }
 
 // After a loss of power everywhere no lease stands any more; callers wait for the election.
-TEST_F(GroupReplicaTest, GroupThatStartsAnewAsAWholeWaitsForNoLease)
+TEST_F(GroupReplicaTest, ElectsBeforeElectionTimeoutWhenAllVotersRestart)
 {
   for (std::size_t node = 0; node < this->cluster.Size(); ++node) {
     this->cluster.Kill(node, true);
@@ -339,12 +339,12 @@
   for (std::size_t node = 0; node < this->cluster.Size(); ++node) {
     this->cluster.Start(node);
   }
-  this->cluster.Run(RaftTiming().electionLeast * 3 / 4);
+  this->cluster.Run(RaftTiming().electionTimeoutMin * 3 / 4);
   EXPECT_TRUE(this->cluster.Leader().has_value());
   this->cluster.HealAndCheck();
 }
 
-TEST_F(GroupReplicaTest, ReturningHostNeitherDisturbsTheLeaderNorRevertsAnything)
+TEST_F(GroupReplicaTest, ReconnectedHostCausesNoElectionAndRevertsNothing)
 {
   const Term term = this->cluster.Core(this->Leader()).CurrentTerm();
   const std::size_t away = this->Follower();
@@ -357,7 +357,7 @@
 }
 
 // It can still send, so the others never miss its heartbeats: only it can notice.
-TEST_F(GroupReplicaTest, LeaderThatHearsNobodyStepsDown)
+TEST_F(GroupReplicaTest, LeaderThatReceivesNothingStepsDown)
 {
   const std::size_t deaf = this->Leader();
   for (std::size_t node = 0; node < this->cluster.Size(); ++node) {
@@ -367,10 +367,10 @@
   EXPECT_NE(this->Leader(), deaf);
 }
 
-TEST_F(GroupReplicaTest, LeaderThatShutsDownHandsOverAtOnce)
+TEST_F(GroupReplicaTest, TransfersLeadershipAtOnce)
 {
   const std::size_t old = this->Leader();
-  this->cluster.Node(old).process->group->HandOver();
+  this->cluster.Node(old).process->group->TransferLeadership();
   EXPECT_FALSE(this->cluster.Leader().has_value());
   this->cluster.Run(std::chrono::milliseconds(300));
   EXPECT_NE(this->Leader(), old);
@@ -390,7 +390,7 @@
   EXPECT_GT(this->cluster.Core(behind).Log().BaseIndex(), LogIndex());
 }
 
-TEST_F(GroupReplicaTest, FullDiskStopsTheReplicaAndTheGroupGoesOn)
+TEST_F(GroupReplicaTest, FullDiskStopsReplicaWhileGroupContinues)
 {
   const std::size_t full = this->Leader();
   this->cluster.Node(full).disk->SetFull(true);
@@ -403,7 +403,7 @@
 }
 
 // Whoever carries out the actions asks again until there are none.
-TEST_F(GroupReplicaTest, LeaderRunsOutOfActionsWhileAReplicaIsSilent)
+TEST_F(GroupReplicaTest, ActionsRunOutWhileAReplicaIsSilent)
 {
   const std::size_t leader = this->Leader();
   this->cluster.Kill(this->Follower(), false);
@@ -415,7 +415,7 @@
   EXPECT_TRUE(group.TakeActions().messages.empty());
 }
 
-TEST_F(GroupReplicaTest, LeaderWhoseDiskHangsGivesWay)
+TEST_F(GroupReplicaTest, LeaderWithHungDiskStepsDown)
 {
   const std::size_t slow = this->Leader();
   this->cluster.Node(slow).diskHangs = true;
@@ -433,7 +433,7 @@
   EXPECT_LE(this->cluster.MessagesSent() - before, 2U * 2U * 2U * 10U + 4U);
 }
 
-TEST_F(GroupReplicaTest, MemoryStaysFlatOverManyChanges)
+TEST_F(GroupReplicaTest, LogIsCompactedOverManyCommands)
 {
   for (int round = 0; round < 500; ++round) {
     this->ProposeOnAll();
--- a/test/coordination/HostMembershipTest.cpp
+++ b/test/coordination/HostMembershipTest.cpp
@@ -37,24 +37,24 @@
 {
   this->membership.OnHeartbeat(HostId("b"), BeatAt(1, 1));
   EXPECT_TRUE(this->membership.IsUp(HostId("b")));
-  this->clock.Advance(HostMembership::kSilence);
+  this->clock.Advance(HostMembership::kFailureTimeout);
   EXPECT_FALSE(this->membership.IsUp(HostId("b")));
 }
 
-TEST_F(HostMembershipTest, SightingByAnotherHostIsASignOfLife)
+TEST_F(HostMembershipTest, NewSightingByAnotherHostMarksHostUp)
 {
-  this->clock.Advance(HostMembership::kSilence);
+  this->clock.Advance(HostMembership::kFailureTimeout);
   Heartbeat beat = BeatAt(1, 1);
   beat.others = { HostSighting{ HashOfHost(HostId("c")), Incarnation(7), Sequence(3), false } };
   this->membership.OnHeartbeat(HostId("b"), beat);
   EXPECT_TRUE(this->membership.IsUp(HostId("c")));
-  this->clock.Advance(HostMembership::kSilence);
+  this->clock.Advance(HostMembership::kFailureTimeout);
   beat.sequence = Sequence(2);
   this->membership.OnHeartbeat(HostId("b"), beat);
   EXPECT_FALSE(this->membership.IsUp(HostId("c"))) << "the same sighting again is no news";
 }
 
-TEST_F(HostMembershipTest, LeavingSticksUntilTheNextLife)
+TEST_F(HostMembershipTest, LeavingPersistsUntilNextIncarnation)
 {
   Heartbeat leaving = BeatAt(5, 9);
   leaving.leaving = true;
@@ -66,30 +66,30 @@
   EXPECT_TRUE(this->membership.IsUp(HostId("b")));
 }
 
-TEST_F(HostMembershipTest, RingSkipsHostsThatAreNotUp)
+TEST_F(HostMembershipTest, NextHostSkipsHostsThatAreDown)
 {
-  EXPECT_EQ(this->membership.NextUp(), HostId("b"));
+  EXPECT_EQ(this->membership.NextHostUp(), HostId("b"));
   Heartbeat leaving = BeatAt(5, 9);
   leaving.leaving = true;
   this->membership.OnHeartbeat(HostId("b"), leaving);
-  EXPECT_EQ(this->membership.NextUp(), HostId("c"));
+  EXPECT_EQ(this->membership.NextHostUp(), HostId("c"));
 }
 
-TEST_F(HostMembershipTest, RisesAboveAFormerLifeOfItself)
+TEST_F(HostMembershipTest, IncarnationExceedsThatOfAnEarlierRun)
 {
   Heartbeat beat = BeatAt(1, 1);
   beat.others = { HostSighting{ HashOfHost(HostId("a")), Incarnation(200), Sequence(1), true } };
   this->membership.OnHeartbeat(HostId("b"), beat);
-  EXPECT_GT(this->membership.Own(), Incarnation(200));
+  EXPECT_GT(this->membership.OwnIncarnation(), Incarnation(200));
 }
 
-TEST_F(HostMembershipTest, OneHeartbeatAnIntervalGoesRoundAllPeers)
+TEST_F(HostMembershipTest, SendsOneHeartbeatPerIntervalRoundRobin)
 {
   std::vector<HostId> partners;
   for (int turn = 0; turn < 4; ++turn) {
-    ASSERT_TRUE(this->membership.TakeTurn());
-    EXPECT_FALSE(this->membership.TakeTurn());
-    partners.push_back(this->membership.Partner());
+    ASSERT_TRUE(this->membership.AdvanceIfDue());
+    EXPECT_FALSE(this->membership.AdvanceIfDue());
+    partners.push_back(this->membership.CurrentPeer());
     this->clock.Advance(HostMembership::kInterval);
   }
   EXPECT_EQ(partners[0], partners[2]);
--- a/test/coordination/MembershipRepairTest.cpp
+++ b/test/coordination/MembershipRepairTest.cpp
@@ -48,9 +48,9 @@
   MembershipRepair repair{ { HostId("peer"), HostId("self") } };
 };
 
-TEST_F(MembershipRepairTest, NewDiskLearnsUntilItIsCaughtUp)
+TEST_F(MembershipRepairTest, NewReplicaIsLearnerUntilCaughtUp)
 {
-  this->repair.NoteJoin(HostId("peer"), kNewDisk);
+  this->repair.OnJoinRequest(HostId("peer"), kNewDisk);
   ASSERT_TRUE(this->Step());
   EXPECT_FALSE(this->Find(kNewDisk)->voter);
   EXPECT_FALSE(this->Step());
@@ -59,14 +59,14 @@
   EXPECT_TRUE(this->Find(kNewDisk)->voter);
 }
 
-TEST_F(MembershipRepairTest, ReplacedReplicaIsRemovedLast)
+TEST_F(MembershipRepairTest, RemovesReplacedReplicaAfterSuccessorVotes)
 {
-  this->repair.NoteJoin(HostId("peer"), kNewDisk);
+  this->repair.OnJoinRequest(HostId("peer"), kNewDisk);
   this->Step();
   this->Acknowledge(kNewDisk);
   this->Step();
   this->Acknowledge(kNewDisk);
-  this->repair.NoteJoin(HostId("peer"), kNewerDisk);
+  this->repair.OnJoinRequest(HostId("peer"), kNewerDisk);
   ASSERT_TRUE(this->Step());
   EXPECT_NE(this->Find(kNewDisk), nullptr);
   this->Acknowledge(kNewDisk);
@@ -80,48 +80,48 @@
   EXPECT_TRUE(this->Find(kNewerDisk)->voter);
 }
 
-TEST_F(MembershipRepairTest, LearnerThatLostItsDiskTooIsReplaced)
+TEST_F(MembershipRepairTest, ReplacesLearnerThatLostItsDisk)
 {
-  this->repair.NoteJoin(HostId("peer"), kNewDisk);
+  this->repair.OnJoinRequest(HostId("peer"), kNewDisk);
   this->Step();
-  this->repair.NoteJoin(HostId("peer"), kNewerDisk);
+  this->repair.OnJoinRequest(HostId("peer"), kNewerDisk);
   this->Step();
   this->Step();
   EXPECT_EQ(this->Find(kNewDisk), nullptr);
   EXPECT_NE(this->Find(kNewerDisk), nullptr);
 }
 
-TEST_F(MembershipRepairTest, SilentHostThatIsNotListedAnyMoreIsRemoved)
+TEST_F(MembershipRepairTest, RemovesSilentHostThatIsNoLongerListed)
 {
-  this->repair.NoteJoin(HostId("peer"), kNewDisk);
+  this->repair.OnJoinRequest(HostId("peer"), kNewDisk);
   this->Step();
   MembershipRepair without{ { HostId("self") } };
   EXPECT_FALSE(without.Next(this->core).has_value());
-  this->clock.Advance(RaftTiming().electionMost);
+  this->clock.Advance(RaftTiming().electionTimeoutMax);
   const auto next = without.Next(this->core);
   ASSERT_TRUE(next.has_value());
   EXPECT_EQ(next->Find(kNewDisk), nullptr);
   EXPECT_NE(next->Find(testing::kSelf), nullptr);
 }
 
-TEST_F(MembershipRepairTest, HostThatIsNotListedStaysOut)
+TEST_F(MembershipRepairTest, IgnoresJoinRequestOfUnlistedHost)
 {
-  this->repair.NoteJoin(HostId("stranger"), kNewDisk);
+  this->repair.OnJoinRequest(HostId("stranger"), kNewDisk);
   EXPECT_FALSE(this->Step());
 }
 
 // As above, but hosts are learnt: any host that asks is taken in.
-class LearntMembershipTest : public MembershipRepairTest
+class DiscoveredMembershipTest : public MembershipRepairTest
 {
 protected:
-  LearntMembershipTest() { this->repair.LearnHosts(5); }
+  DiscoveredMembershipTest() { this->repair.EnableDiscovery(5); }
 
   std::size_t Voters() const { return this->core.Log().NewestMembership().VoterCount(); }
 
   // Takes in a host and lets it catch up.
   void Join(const std::string& aHost, ReplicaId aReplica)
   {
-    this->repair.NoteJoin(HostId(aHost), aReplica);
+    this->repair.OnJoinRequest(HostId(aHost), aReplica);
     this->Step();
     this->joined.push_back(aReplica);
     this->AcknowledgeAll();
@@ -137,7 +137,7 @@
   std::vector<ReplicaId> joined;
 };
 
-TEST_F(LearntMembershipTest, UnlistedHostIsTakenInAsALearner)
+TEST_F(DiscoveredMembershipTest, UnlistedHostJoinsAsLearner)
 {
   this->Join("stranger", kNewDisk);
   ASSERT_NE(this->Find(kNewDisk), nullptr);
@@ -145,7 +145,7 @@
   EXPECT_EQ(this->Voters(), 1U);
 }
 
-TEST_F(LearntMembershipTest, VotersAreAddedInPairs)
+TEST_F(DiscoveredMembershipTest, VotersAreAddedInPairs)
 {
   this->Join("stranger", kNewDisk);
   this->Join("another", kNewerDisk);
@@ -157,7 +157,7 @@
   EXPECT_FALSE(this->Step());
 }
 
-TEST_F(LearntMembershipTest, HostAtAnotherAddressTakesThePlaceOfALostVoter)
+TEST_F(DiscoveredMembershipTest, ReplacesLostVoterByHostAtAnotherAddress)
 {
   this->Join("stranger", kNewDisk);
   this->Join("another", kNewerDisk);
@@ -170,7 +170,7 @@
   this->Join("successor", kSuccessor);
   EXPECT_FALSE(this->Step());
   // The voter of "stranger" is not heard any more.
-  this->clock.Advance(RaftTiming().electionMost);
+  this->clock.Advance(RaftTiming().electionTimeoutMax);
   this->AcknowledgeAll();
   ASSERT_TRUE(this->Step());
   EXPECT_TRUE(this->Find(kSuccessor)->voter);
--- a/test/coordination/ProposalTrackerTest.cpp
+++ b/test/coordination/ProposalForwarderTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ProposalTracker.h"
+#include "damasklink/coordination/ProposalForwarder.h"
 
 #include <gtest/gtest.h>
 
@@ -8,26 +8,27 @@
 const GroupId kGroup("control");
 const std::vector<HostId> kVoters{ HostId("a"), HostId("b") };
 
-class ProposalTrackerTest : public ::testing::Test
+class ProposalForwarderTest : public ::testing::Test
 {
 protected:
   void Start()
   {
-    this->tracker.Start(kGroup,
-                        kVoters,
-                        MachinePart::Configuration,
-                        "command",
-                        std::chrono::seconds(3),
-                        [this](const Result<std::string>& aAnswer) {
-                          this->ended = aAnswer ? aAnswer.value()
-                                                : std::string(ErrorKindName(aAnswer.error().kind));
-                        });
+    this->forwarder.Start(kGroup,
+                          kVoters,
+                          StateMachineId::Configuration,
+                          "command",
+                          std::chrono::seconds(3),
+                          [this](const Result<std::string>& aAnswer) {
+                            this->ended = aAnswer
+                                            ? aAnswer.value()
+                                            : std::string(ErrorKindName(aAnswer.error().kind));
+                          });
   }
 
   // Returns the only message that waits to be sent.
   AgreementMessage Sent()
   {
-    const auto messages = this->tracker.TakeMessages();
+    const auto messages = this->forwarder.TakeMessages();
     EXPECT_EQ(messages.size(), 1U);
     return messages.empty() ? AgreementMessage{} : messages.front();
   }
@@ -40,21 +41,21 @@
     refusal.group = kGroup;
     refusal.fromHost = aMessage.toHost;
     refusal.body = ProposalRefusal{ proposal.proposal, proposal.attempt, aLeader };
-    this->tracker.Receive(refusal);
+    this->forwarder.Receive(refusal);
   }
 
   void Advance(Duration aStep)
   {
     this->clock.Advance(aStep);
-    this->tracker.Tick();
+    this->forwarder.Tick();
   }
 
   ManualClock clock;
-  ProposalTracker tracker{ clock, HostId("c"), 7 };
+  ProposalForwarder forwarder{ clock, HostId("c"), 7 };
   std::string ended;
 };
 
-TEST_F(ProposalTrackerTest, AsksTheLeaderThatARefusalNames)
+TEST_F(ProposalForwarderTest, RedirectsToLeaderNamedInRefusal)
 {
   this->Start();
   const AgreementMessage first = this->Sent();
@@ -63,7 +64,7 @@
   EXPECT_EQ(this->Sent().toHost, other);
 }
 
-TEST_F(ProposalTrackerTest, SilentHostIsFollowedByAnother)
+TEST_F(ProposalForwarderTest, TriesAnotherHostAfterAttemptTimeout)
 {
   this->Start();
   const HostId first = this->Sent().toHost;
@@ -71,23 +72,23 @@
   EXPECT_NE(this->Sent().toHost, first);
 }
 
-TEST_F(ProposalTrackerTest, LeaderThatIsLearntOfOtherwiseIsAskedAtOnce)
+TEST_F(ProposalForwarderTest, ResendsAtOnceToReportedLeader)
 {
   this->Start();
   const HostId first = this->Sent().toHost;
   const HostId leader = first == kVoters[0] ? kVoters[1] : kVoters[0];
-  this->tracker.NoteLeader(kGroup, leader);
+  this->forwarder.ReportLeader(kGroup, leader);
   EXPECT_EQ(this->Sent().toHost, leader);
   // Once only: it may refuse.
-  this->tracker.NoteLeader(kGroup, leader);
-  EXPECT_TRUE(this->tracker.TakeMessages().empty());
+  this->forwarder.ReportLeader(kGroup, leader);
+  EXPECT_TRUE(this->forwarder.TakeMessages().empty());
 }
 
-TEST_F(ProposalTrackerTest, RefusedEverywhereIsSurelyNotApplied)
+TEST_F(ProposalForwarderTest, ReturnsUnavailableWhenAllHostsRefuse)
 {
   this->Start();
   for (int attempt = 0; attempt < 100 && this->ended.empty(); ++attempt) {
-    for (const AgreementMessage& message : this->tracker.TakeMessages()) {
+    for (const AgreementMessage& message : this->forwarder.TakeMessages()) {
       this->Refuse(message);
     }
     this->Advance(std::chrono::milliseconds(100));
@@ -95,22 +96,22 @@
   EXPECT_EQ(this->ended, "unavailable");
 }
 
-TEST_F(ProposalTrackerTest, OneSilentHostMakesTheOutcomeUnknown)
+TEST_F(ProposalForwarderTest, ReturnsDeadlineExceededWhenOneHostIsSilent)
 {
   this->Start();
-  this->tracker.TakeMessages();
+  this->forwarder.TakeMessages();
   this->Advance(std::chrono::seconds(1));
   this->Refuse(this->Sent());
   this->Advance(std::chrono::seconds(2));
   EXPECT_EQ(this->ended, "deadline_exceeded");
 }
 
-TEST_F(ProposalTrackerTest, HostsThatNameEachOtherAreNotAskedWithoutPause)
+TEST_F(ProposalForwarderTest, LimitsRedirectsBetweenHostsThatNameEachOther)
 {
   this->Start();
   int sent = 0;
-  for (auto messages = this->tracker.TakeMessages(); !messages.empty() && sent < 100;
-       messages = this->tracker.TakeMessages()) {
+  for (auto messages = this->forwarder.TakeMessages(); !messages.empty() && sent < 100;
+       messages = this->forwarder.TakeMessages()) {
     ++sent;
     const HostId asked = messages.front().toHost;
     this->Refuse(messages.front(), asked == kVoters[0] ? kVoters[1] : kVoters[0]);
@@ -118,7 +119,7 @@
   EXPECT_LT(sent, 10);
 }
 
-TEST_F(ProposalTrackerTest, AnswerEndsTheProposal)
+TEST_F(ProposalForwarderTest, AnswerCompletesProposal)
 {
   this->Start();
   const AgreementMessage sent = this->Sent();
@@ -126,15 +127,15 @@
   answer.group = kGroup;
   answer.fromHost = sent.toHost;
   answer.body = ProposalAnswer{ std::get<ForwardedProposal>(sent.body).proposal, "done" };
-  this->tracker.Receive(answer);
+  this->forwarder.Receive(answer);
   EXPECT_EQ(this->ended, "done");
-  EXPECT_EQ(this->tracker.LastLeader(kGroup), sent.toHost);
+  EXPECT_EQ(this->forwarder.LastLeader(kGroup), sent.toHost);
 }
 
-TEST_F(ProposalTrackerTest, GroupWithoutHostsIsRefusedAtOnce)
+TEST_F(ProposalForwarderTest, ReturnsUnavailableAtOnceWithoutVoters)
 {
-  this->tracker.Start(
-    kGroup, {}, MachinePart::Claims, "", std::chrono::seconds(1), [this](const auto& aAnswer) {
+  this->forwarder.Start(
+    kGroup, {}, StateMachineId::Claims, "", std::chrono::seconds(1), [this](const auto& aAnswer) {
       this->ended = ErrorKindName(aAnswer.error().kind);
     });
   EXPECT_EQ(this->ended, "unavailable");
--- a/test/coordination/ProposalRetrierTest.cpp
+++ b/test/coordination/ProposalRetrierTest.cpp
@@ -14,8 +14,8 @@
   {
     const MonotonicTime deadline = this->clock.MonotonicNow() + std::chrono::seconds(2);
     this->retrier.Start(
-      Proposal{ GroupId("claims/north"), MachinePart::Claims, "command", deadline },
-      [this](ProposalEnd aEnd) {
+      Proposal{ GroupId("claims/north"), StateMachineId::Claims, "command", deadline },
+      [this](ProposalOutcome aEnd) {
         ++this->ends;
         this->end = std::move(aEnd);
       });
@@ -31,10 +31,10 @@
   FakeReplicator replicator;
   ProposalRetrier retrier{ clock, replicator, ProposalRetrier::Options() };
   int ends = 0;
-  std::optional<ProposalEnd> end;
+  std::optional<ProposalOutcome> end;
 };
 
-TEST_F(ProposalRetrierTest, SendsTheSameCommandAgainWhenTheAnswerGotLost)
+TEST_F(ProposalRetrierTest, RetriesSameCommandAfterDeadlineExceeded)
 {
   this->Start();
   this->replicator.Answer(Fail(ErrorKind::DeadlineExceeded, "lost", ""));
@@ -46,7 +46,7 @@
   EXPECT_EQ(this->end->reply.value(), "granted");
 }
 
-TEST_F(ProposalRetrierTest, UnreachableGroupIsSurelyNotApplied)
+TEST_F(ProposalRetrierTest, UnreachableGroupReportsNotApplied)
 {
   this->Start();
   this->replicator.Answer(Fail(ErrorKind::Unavailable, "cut off", ""));
@@ -55,7 +55,7 @@
   EXPECT_FALSE(this->end->mayBeApplied);
 }
 
-TEST_F(ProposalRetrierTest, OneUnknownTryMakesTheWholeUnknown)
+TEST_F(ProposalRetrierTest, OneUnknownAttemptMakesOutcomeUnknown)
 {
   this->Start();
   this->replicator.Answer(Fail(ErrorKind::DeadlineExceeded, "lost", ""));
@@ -66,7 +66,7 @@
   EXPECT_TRUE(this->end->mayBeApplied);
 }
 
-TEST_F(ProposalRetrierTest, EndsAtItsDeadlineAndDropsALateAnswer)
+TEST_F(ProposalRetrierTest, EndsAtDeadlineAndIgnoresLateAnswer)
 {
   this->Start();
   this->Pass(std::chrono::seconds(2));
--- /dev/null
+++ b/test/coordination/ProposerSessionsTest.cpp
@@ -0,0 +1,69 @@
+#include "damasklink/coordination/ProposerSessions.h"
+
+#include <gtest/gtest.h>
+
+namespace damasklink {
+namespace {
+
+using ProposalState = ProposerSessions::ProposalState;
+
+ProposalId
+MakeId(std::uint64_t aSequence, std::uint64_t aFloor = 1, std::uint64_t aProposer = 7)
+{
+  return ProposalId{ aProposer, Sequence(aSequence), Sequence(aFloor) };
+}
+
+constexpr LogIndex kStart(1);
+
+TEST(ProposerSessionsTest, DuplicateGetsTheFirstAnswer)
+{
+  ProposerSessions sessions;
+  EXPECT_EQ(sessions.Register(MakeId(1), kStart), ProposalState::New);
+  sessions.SaveAnswer(MakeId(1), "first");
+  EXPECT_EQ(sessions.Register(MakeId(1), kStart), ProposalState::Applied);
+  EXPECT_EQ(sessions.FindAnswer(MakeId(1)), "first");
+}
+
+TEST(ProposerSessionsTest, AppliesProposalsOutOfSequence)
+{
+  ProposerSessions sessions;
+  sessions.Register(MakeId(2), kStart);
+  sessions.SaveAnswer(MakeId(2), "second");
+  EXPECT_EQ(sessions.Register(MakeId(1), kStart), ProposalState::New);
+}
+
+TEST(ProposerSessionsTest, ProposalBelowFloorIsExpired)
+{
+  ProposerSessions sessions;
+  sessions.Register(MakeId(3, 3), kStart);
+  EXPECT_EQ(sessions.Register(MakeId(2, 2), kStart), ProposalState::Expired);
+}
+
+TEST(ProposerSessionsTest, EvictsLeastRecentProposer)
+{
+  ProposerSessions sessions;
+  sessions.Register(MakeId(1), kStart);
+  sessions.SaveAnswer(MakeId(1), "index2");
+  for (std::uint64_t other = 100; other < 100 + 4095; ++other) {
+    sessions.Register(MakeId(1, 1, other), LogIndex(other));
+  }
+  EXPECT_TRUE(sessions.FindAnswer(MakeId(1)).has_value());
+  sessions.Register(MakeId(1, 1, 9), LogIndex(9'000));
+  EXPECT_FALSE(sessions.FindAnswer(MakeId(1)).has_value());
+}
+
+TEST(ProposerSessionsTest, SnapshotKeepsAnswersAndFloors)
+{
+  ProposerSessions sessions;
+  sessions.Register(MakeId(3, 3), kStart);
+  sessions.SaveAnswer(MakeId(3, 3), "third");
+  ProposerSessions loaded;
+  ASSERT_TRUE(loaded.Load(sessions.Save()));
+  EXPECT_EQ(loaded.FindAnswer(MakeId(3)), "third");
+  EXPECT_EQ(loaded.Register(MakeId(2), kStart), ProposalState::Expired);
+  EXPECT_FALSE(loaded.Load("damaged"));
+  EXPECT_EQ(loaded.FindAnswer(MakeId(3)), "third");
+}
+
+} // namespace
+} // namespace damasklink
--- a/test/coordination/RaftCoreTest.cpp
+++ b/test/coordination/RaftCoreTest.cpp
@@ -25,7 +25,7 @@
   WallTime wall{ std::chrono::hours(1) };
 };
 
-TEST(RaftCoreTest, EntriesNeverGoBackInTime)
+TEST(RaftCoreTest, EntryTimesStayMonotonicWhenWallClockJumpsBack)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(false));
@@ -38,7 +38,7 @@
   EXPECT_GE(core.Log().At(core.Log().LastIndex()).proposedAt, first);
 }
 
-TEST(RaftCoreTest, NothingIsCommittedBeforeItIsSynced)
+TEST(RaftCoreTest, EntryIsNotCommittedBeforeItIsSynced)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(false));
@@ -51,7 +51,7 @@
   EXPECT_GT(core.Committed(), before);
 }
 
-TEST(RaftCoreTest, VoteLeavesOnlyOnceItIsSynced)
+TEST(RaftCoreTest, VoteIsSentOnlyAfterItIsSynced)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -65,7 +65,7 @@
   EXPECT_TRUE(std::get<VoteAnswer>(actions.messages[0].body).granted);
 }
 
-TEST(RaftCoreTest, EntriesAreAcknowledgedOnlyOnceTheyAreSynced)
+TEST(RaftCoreTest, EntriesAreAcknowledgedOnlyAfterTheyAreSynced)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -86,7 +86,7 @@
 void
 Elect(RaftCore& aCore, JumpingClock& aClock)
 {
-  aClock.monotonic += RaftTiming().electionMost;
+  aClock.monotonic += RaftTiming().electionTimeoutMax;
   aCore.Tick();
   aCore.Receive(MessageFrom(kPeer, Term(1), PreVoteAnswer{ Term(2), true }));
   aCore.OnPersisted(aCore.TakeActions().persist->number);
@@ -94,7 +94,7 @@
   ASSERT_EQ(aCore.Role(), RaftRole::Leader);
 }
 
-TEST(RaftCoreTest, LeaderCountsItselfOnlyOnceItHasSynced)
+TEST(RaftCoreTest, LeaderCountsItselfTowardsQuorumOnlyAfterSync)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -106,7 +106,7 @@
   EXPECT_EQ(core.Committed(), LogIndex(2));
 }
 
-TEST(RaftCoreTest, MembershipChangesOneStepAtATime)
+TEST(RaftCoreTest, MembershipChangeIsRefusedWhileAnotherIsPending)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -122,7 +122,7 @@
 }
 
 // Raft, figure 8: an entry of an earlier term on a majority may still be overwritten.
-TEST(RaftCoreTest, EntriesOfEarlierTermsAreCommittedOnlyWithOneOfItsOwn)
+TEST(RaftCoreTest, EarlierTermEntriesAreCommittedOnlyWithACurrentTermEntry)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -134,20 +134,20 @@
   EXPECT_EQ(core.Committed(), LogIndex(2));
 }
 
-TEST(RaftCoreTest, VoterKeepsToALeaderAlsoAfterARestart)
+TEST(RaftCoreTest, RestartedVoterRefusesElectionsUntilElectionTimeout)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
   const VoteRequest request{ LogIndex(1), Term(1) };
   core.Receive(MessageFrom(kPeer, Term(2), request));
   EXPECT_EQ(core.CurrentTerm(), Term(1));
-  clock.monotonic += RaftTiming().electionLeast;
+  clock.monotonic += RaftTiming().electionTimeoutMin;
   core.Receive(MessageFrom(kPeer, Term(2), request));
   EXPECT_EQ(core.CurrentTerm(), Term(2));
 }
 
 // Other voters have said that there is no lease, but this one has heard of it since.
-TEST(RaftCoreTest, VoterThatHasHeardALeaderKeepsToItThoughOthersHadNone)
+TEST(RaftCoreTest, VoterThatHeardALeaderRefusesAllLeaderlessElection)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -158,7 +158,7 @@
   EXPECT_EQ(core.CurrentTerm(), Term(1));
 }
 
-TEST(RaftCoreTest, VoterIsLeaderlessInItsOwnTermOnly)
+TEST(RaftCoreTest, LeaderlessIsReportedOnlyWithinTheSameTerm)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -171,11 +171,11 @@
   EXPECT_FALSE(std::get<PreVoteAnswer>(actions.messages[1].body).leaderless);
 }
 
-TEST(RaftCoreTest, VotesOnceInATerm)
+TEST(RaftCoreTest, GrantsOneVotePerTerm)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
-  clock.monotonic += RaftTiming().electionLeast;
+  clock.monotonic += RaftTiming().electionTimeoutMin;
   const VoteRequest request{ LogIndex(1), Term(1) };
   core.Receive(MessageFrom(kPeer, Term(2), request));
   AgreementMessage another = MessageFrom(kPeer, Term(2), request);
--- a/test/program/AgreementModuleTest.cpp
+++ b/test/program/AgreementModuleTest.cpp
@@ -41,8 +41,8 @@
     , context{ settings, aClock, metrics, control, sender, views, publisher, phase }
     , module(context)
   {
-    this->module.AddMachine(ControlGroupId(), MachinePart::Configuration, this->configuration);
-    this->module.AddMachine(kClaims, MachinePart::Claims, this->claims);
+    this->module.AddMachine(ControlGroupId(), StateMachineId::Configuration, this->configuration);
+    this->module.AddMachine(kClaims, StateMachineId::Claims, this->claims);
   }
 
   HostSettings settings;
@@ -116,7 +116,7 @@
   }
 
   // Returns the answer, or the name of the error.
-  std::string Propose(const std::string& aHost, const GroupId& aGroup, MachinePart aPart)
+  std::string Propose(const std::string& aHost, const GroupId& aGroup, StateMachineId aPart)
   {
     std::string ended;
     this->hosts.at(HostId(aHost))
@@ -138,8 +138,8 @@
 
 TEST_F(AgreementModuleTest, HostWithoutDiskReachesEveryGroup)
 {
-  EXPECT_EQ(this->Propose("d", ControlGroupId(), MachinePart::Configuration), "command");
-  EXPECT_EQ(this->Propose("d", kClaims, MachinePart::Claims), "command");
+  EXPECT_EQ(this->Propose("d", ControlGroupId(), StateMachineId::Configuration), "command");
+  EXPECT_EQ(this->Propose("d", kClaims, StateMachineId::Claims), "command");
   EXPECT_EQ(this->Host("a").claims.commands.size(), 1U);
   EXPECT_EQ(this->Host("c").configuration.commands.size(), 1U);
   EXPECT_EQ(this->Host("d").module.Status(kClaims).leader, HostId("a"));
@@ -147,7 +147,7 @@
 
 TEST_F(AgreementModuleTest, PartThatNoHostHoldsIsSurelyNotApplied)
 {
-  EXPECT_EQ(this->Propose("d", kClaims, MachinePart::Leases), "unavailable");
+  EXPECT_EQ(this->Propose("d", kClaims, StateMachineId::Leases), "unavailable");
 }
 
 TEST_F(AgreementModuleTest, CutOffZoneGoesOnClaiming)
@@ -156,33 +156,33 @@
   this->hosts.erase(HostId("b"));
   this->hosts.erase(HostId("c"));
   this->Run(std::chrono::seconds(6));
-  EXPECT_EQ(this->Propose("d", kClaims, MachinePart::Claims), "command");
-  EXPECT_NE(this->Propose("a", ControlGroupId(), MachinePart::Configuration), "command");
+  EXPECT_EQ(this->Propose("d", kClaims, StateMachineId::Claims), "command");
+  EXPECT_NE(this->Propose("a", ControlGroupId(), StateMachineId::Configuration), "command");
   EXPECT_FALSE(this->Host("a").module.Status(ControlGroupId()).leaseHeld);
 }
 
 TEST_F(AgreementModuleTest, RestartKeepsEverything)
 {
-  this->Propose("a", kClaims, MachinePart::Claims);
+  this->Propose("a", kClaims, StateMachineId::Claims);
   this->hosts.erase(HostId("a"));
   ASSERT_TRUE(this->Start(HostId("a")));
   this->Run(std::chrono::seconds(6));
   EXPECT_EQ(this->Host("a").claims.commands.size(), 1U);
-  EXPECT_EQ(this->Propose("a", kClaims, MachinePart::Claims), "command");
+  EXPECT_EQ(this->Propose("a", kClaims, StateMachineId::Claims), "command");
   EXPECT_EQ(this->Host("a").claims.last.incarnation, Incarnation(1));
 }
 
 TEST_F(AgreementModuleTest, ClaimsGroupThatLostItsDisksKnowsThatItIsAnother)
 {
-  this->Propose("a", kClaims, MachinePart::Claims);
+  this->Propose("a", kClaims, StateMachineId::Claims);
   const WallTime before = this->clock.WallNow();
   this->hosts.erase(HostId("a"));
   this->folders.erase(HostId("a"));
   ASSERT_TRUE(this->Start(HostId("a")));
   this->Run(std::chrono::seconds(10));
-  EXPECT_EQ(this->Propose("d", kClaims, MachinePart::Claims), "command");
+  EXPECT_EQ(this->Propose("d", kClaims, StateMachineId::Claims), "command");
   EXPECT_EQ(this->Host("a").claims.last.incarnation, Incarnation(2));
-  EXPECT_GT(this->Host("a").claims.last.foundedAt, before);
+  EXPECT_GT(this->Host("a").claims.last.formedAt, before);
 }
 
 TEST_F(AgreementModuleTest, DataFolderInUseIsRefused)
@@ -196,7 +196,7 @@
 {
   this->Host("a").module.OnPeerMessage(
     HostId("b"), PeerMessage{ Channel::Agreement, ControlGroupId(), "damaged" });
-  EXPECT_EQ(this->Propose("a", ControlGroupId(), MachinePart::Configuration), "command");
+  EXPECT_EQ(this->Propose("a", ControlGroupId(), StateMachineId::Configuration), "command");
 }
 
 // Three hosts with a disk each that a test can fill; a replica waits for its disk.
@@ -221,7 +221,7 @@
                                std::chrono::seconds(1) },
                std::make_unique<testing::FullDisk>(full))
     {
-      this->module.AddMachine(ControlGroupId(), MachinePart::Serving, this->machine);
+      this->module.AddMachine(ControlGroupId(), StateMachineId::Serving, this->machine);
     }
 
     HostId self;
@@ -270,7 +270,7 @@
     const ServingCommand command = PutDocument{ Revision(aVersion), "document" };
     this->hosts.at(HostId(aHost))
       ->module.Propose(ControlGroupId(),
-                       MachinePart::Serving,
+                       StateMachineId::Serving,
                        EncodeServingCommand(command),
                        std::chrono::seconds(4),
                        [&](const Result<std::string>& aAnswer) { acknowledged = bool(aAnswer); });
--- a/test/protocol/UntrustedInputTest.cpp
+++ b/test/protocol/UntrustedInputTest.cpp
@@ -6,7 +6,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "Mutations.h"
-#include "damasklink/coordination/GroupLife.h"
+#include "damasklink/coordination/GroupIncarnation.h"
 #include "damasklink/protocol/BurnApi.h"
 #include "damasklink/protocol/CallerApi.h"
 #include "damasklink/protocol/ClaimMachine.h"
@@ -163,10 +163,10 @@
 
 RC_GTEST_PROP(UntrustedInputTest, GroupCatalogueBearsAnySnapshotAndCommand, ())
 {
-  GroupCatalogue machine;
+  GroupRegistry machine;
   const std::string command = EncodeRegistration(GroupId("claims/a"), FormationId(7));
   machine.Apply(ApplyContext{}, command);
-  AssertStaysWhole<GroupCatalogue>(machine.Save(), command);
+  AssertStaysWhole<GroupRegistry>(machine.Save(), command);
 }
 
 RC_GTEST_PROP(UntrustedInputTest, ClaimMessagesAreAValueOrAnError, ())
--- a/test/support/GroupCluster.h
+++ b/test/support/GroupCluster.h
@@ -12,7 +12,7 @@
 #include <rapidcheck.h>
 
 #include "damasklink/coordination/GroupReplica.h"
-#include "damasklink/coordination/ProposalTracker.h"
+#include "damasklink/coordination/ProposalForwarder.h"
 #include "damasklink/state/DataFolder.h"
 #include "damasklink/state/LogStore.h"
 
@@ -30,7 +30,7 @@
     std::unique_ptr<LogStore> store;
     ListMachine machine;
     std::unique_ptr<GroupReplica> group;
-    std::unique_ptr<ProposalTracker> tracker;
+    std::unique_ptr<ProposalForwarder> tracker;
     std::vector<PersistBatch> unwritten;
   };
 
@@ -82,14 +82,14 @@
     options.raft.host = node.host;
     options.raft.replica = process->replica;
     options.raft.seed = this->random();
-    options.raft.mostMessageBytes = 64;
+    options.raft.maxMessageBytes = 64;
     options.raft.trailingEntries = 3;
     options.listedVoters = this->hosts;
     options.snapshotEntries = 12;
     process->group =
       std::make_unique<GroupReplica>(this->clock, options, std::move(recovered.value()));
-    process->group->Machines().Add(MachinePart::Claims, process->machine);
-    process->tracker = std::make_unique<ProposalTracker>(this->clock, node.host, this->random());
+    process->group->Machines().Add(StateMachineId::Claims, process->machine);
+    process->tracker = std::make_unique<ProposalForwarder>(this->clock, node.host, this->random());
     node.process = std::move(process);
   }
 
@@ -159,7 +159,7 @@
       }
     };
     this->nodes[aNode].process->tracker->Start(
-      this->id, this->hosts, MachinePart::Claims, command, std::chrono::seconds(20), done);
+      this->id, this->hosts, StateMachineId::Claims, command, std::chrono::seconds(20), done);
   }
 
   void Advance(Duration aStep) { this->clock.Advance(aStep); }
@@ -170,7 +170,7 @@
     if (node.process != nullptr && !node.frozen) {
       node.process->tracker->Tick();
       node.process->group->Tick();
-      node.process->tracker->NoteLeader(this->id, node.process->group->Status().leader);
+      node.process->tracker->ReportLeader(this->id, node.process->group->Status().leader);
       this->Collect(node);
     }
   }
--- a/test/support/ListMachine.h
+++ b/test/support/ListMachine.h
@@ -11,7 +11,7 @@
 
 // Keeps the commands in the order in which they were applied, and answers each with itself.
 // Requires commands without line ends.
-class ListMachine final : public ReplicatedMachine
+class ListMachine final : public ReplicatedStateMachine
 {
 public:
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override
--- a/test/support/MemoryReplicator.h
+++ b/test/support/MemoryReplicator.h
@@ -16,13 +16,15 @@
   {
   }
 
-  void AddMachine(const GroupId& aGroup, MachinePart aPart, ReplicatedMachine& aMachine) override
+  void AddMachine(const GroupId& aGroup,
+                  StateMachineId aPart,
+                  ReplicatedStateMachine& aMachine) override
   {
     this->machines[{ aGroup, aPart }] = &aMachine;
   }
 
   void Propose(const GroupId& aGroup,
-               MachinePart aPart,
+               StateMachineId aPart,
                std::string aCommand,
                Duration /*aTimeout*/,
                ProposalDone aDone) override
@@ -53,7 +55,7 @@
 
 private:
   const Clock& clock;
-  std::map<std::pair<GroupId, MachinePart>, ReplicatedMachine*> machines;
+  std::map<std::pair<GroupId, StateMachineId>, ReplicatedStateMachine*> machines;
   LogIndex lastIndex;
 };
 
