--- a/include/damasklink/coordination/ProposerSessions.h
+++ b/include/damasklink/coordination/ProposerSessions.h
@@ -31,7 +31,7 @@
   // Keeps the answer of a proposal that was fresh.
   void SaveAnswer(const ProposalId& aProposal, std::string aAnswer);
 
-  // Returns the index2 answer, nothing when it was not applied or is not index2 any more.
+  // Returns the kept answer, nothing when it was not applied or is not kept any more.
   std::optional<std::string> FindAnswer(const ProposalId& aProposal) const;
 
   std::string Save() const;
--- a/src/coordination/ControlHostSelector.cpp
+++ b/src/coordination/ControlHostSelector.cpp
@@ -28,19 +28,19 @@
 std::vector<HostId>
 ControlHostSelector::HostsByPreference() const
 {
-  std::vector<HostId> preferred;
-  std::vector<HostId> others;
+  std::vector<HostId> near;
+  std::vector<HostId> far;
   for (const auto& [host, hostZone] : this->known) {
-    const bool own = hostZone == this->zone && preferred.size() < kMaxInOwnZone;
-    (own ? preferred : others).push_back(host);
+    const bool own = hostZone == this->zone && near.size() < kMaxInOwnZone;
+    (own ? near : far).push_back(host);
   }
   // Another order for each entry host, so that their connections spread.
-  std::sort(others.begin(), others.end(), [this](const HostId& aLeft, const HostId& aRight) {
+  std::sort(far.begin(), far.end(), [this](const HostId& aLeft, const HostId& aRight) {
     return ShortHash(Concat(this->self.Value(), "/", aLeft.Value())) <
            ShortHash(Concat(this->self.Value(), "/", aRight.Value()));
   });
-  preferred.insert(preferred.end(), others.begin(), others.end());
-  return preferred;
+  near.insert(near.end(), far.begin(), far.end());
+  return near;
 }
 
 std::vector<HostId>
--- a/src/coordination/ProposerSessions.cpp
+++ b/src/coordination/ProposerSessions.cpp
@@ -87,14 +87,14 @@
     proposer.floor = Sequence(reader.Number());
     proposer.lastIndex = LogIndex(reader.Number());
     const std::uint64_t answers = reader.Number();
-    for (std::uint64_t index2 = 0; index2 < answers && reader.Ok(); ++index2) {
+    for (std::uint64_t kept = 0; kept < answers && reader.Ok(); ++kept) {
       const Sequence sequence(reader.Number());
       proposer.answers[sequence] = reader.Text();
     }
   }
   if (!reader.Finished()) {
     return Fail(ErrorKind::Corrupt,
-                "the answers index2 in a snapshot cannot be read",
+                "the answers kept in a snapshot cannot be read",
                 "replace this host's data folder by an empty one; see docs/STATE.md");
   }
   this->proposers = std::move(loaded);
--- a/test/coordination/ControlHostSelectorTest.cpp
+++ b/test/coordination/ControlHostSelectorTest.cpp
@@ -15,15 +15,15 @@
   {
     for (const std::string zone : { "a", "b", "c", "d" }) {
       for (const std::string number : { "1", "2" }) {
-        this->selector.AddHost(HostId(zone + number), ZoneId(zone));
+        this->links.AddHost(HostId(zone + number), ZoneId(zone));
       }
     }
   }
 
   std::vector<HostId> Select() const
   {
-    return this->selector.Select(
-      [this](const HostId& aHost) { return !this->unhealthy.contains(aHost.Value()); });
+    return this->links.Select(
+      [this](const HostId& aHost) { return !this->bad.contains(aHost.Value()); });
   }
 
   bool Selects(const std::string& aHost) const
@@ -32,8 +32,8 @@
     return std::find(selected.begin(), selected.end(), HostId(aHost)) != selected.end();
   }
 
-  ControlHostSelector selector{ HostId("e"), ZoneId("b") };
-  std::set<std::string> unhealthy;
+  ControlHostSelector links{ HostId("e"), ZoneId("b") };
+  std::set<std::string> bad;
 };
 
 TEST_F(ControlHostSelectorTest, PrefersOwnZoneAndOneHostOfAnother)
@@ -45,15 +45,15 @@
 
 TEST_F(ControlHostSelectorTest, SelectsAnotherHostBesideAnUnhealthyOne)
 {
-  this->unhealthy = { "b1" };
+  this->bad = { "b1" };
   EXPECT_EQ(this->Select().size(), ControlHostSelector::kHealthyConnections + 1);
   EXPECT_TRUE(this->Selects("b1")) << "it may come back";
 }
 
 TEST_F(ControlHostSelectorTest, SelectsAllHostsWhenNoneIsHealthy)
 {
-  for (const auto& [host, zone] : this->selector.KnownHosts()) {
-    this->unhealthy.insert(host.Value());
+  for (const auto& [host, zone] : this->links.KnownHosts()) {
+    this->bad.insert(host.Value());
   }
   EXPECT_EQ(this->Select().size(), 8U);
 }
@@ -63,7 +63,7 @@
   std::set<HostId> others;
   for (int number = 0; number < 40; ++number) {
     ControlHostSelector other(HostId("e" + std::to_string(number)), ZoneId("b"));
-    for (const auto& [host, zone] : this->selector.KnownHosts()) {
+    for (const auto& [host, zone] : this->links.KnownHosts()) {
       other.AddHost(host, zone);
     }
     others.insert(other.Select([](const HostId&) { return true; }).back());
@@ -73,8 +73,8 @@
 
 TEST_F(ControlHostSelectorTest, EmptyZoneKeepsTheKnownOne)
 {
-  this->selector.AddHost(HostId("b1"), ZoneId());
-  EXPECT_EQ(this->selector.KnownHosts().at(HostId("b1")), ZoneId("b"));
+  this->links.AddHost(HostId("b1"), ZoneId());
+  EXPECT_EQ(this->links.KnownHosts().at(HostId("b1")), ZoneId("b"));
 }
 
 } // namespace
--- a/test/coordination/ProposerSessionsTest.cpp
+++ b/test/coordination/ProposerSessionsTest.cpp
@@ -17,48 +17,48 @@
 
 TEST(ProposerSessionsTest, DuplicateGetsTheFirstAnswer)
 {
-  ProposerSessions sessions;
-  EXPECT_EQ(sessions.Register(MakeId(1), kStart), ProposalState::New);
-  sessions.SaveAnswer(MakeId(1), "first");
-  EXPECT_EQ(sessions.Register(MakeId(1), kStart), ProposalState::Applied);
-  EXPECT_EQ(sessions.FindAnswer(MakeId(1)), "first");
+  ProposerSessions table;
+  EXPECT_EQ(table.Register(MakeId(1), kStart), ProposalState::New);
+  table.SaveAnswer(MakeId(1), "first");
+  EXPECT_EQ(table.Register(MakeId(1), kStart), ProposalState::Applied);
+  EXPECT_EQ(table.FindAnswer(MakeId(1)), "first");
 }
 
 TEST(ProposerSessionsTest, AppliesProposalsOutOfSequence)
 {
-  ProposerSessions sessions;
-  sessions.Register(MakeId(2), kStart);
-  sessions.SaveAnswer(MakeId(2), "second");
-  EXPECT_EQ(sessions.Register(MakeId(1), kStart), ProposalState::New);
+  ProposerSessions table;
+  table.Register(MakeId(2), kStart);
+  table.SaveAnswer(MakeId(2), "second");
+  EXPECT_EQ(table.Register(MakeId(1), kStart), ProposalState::New);
 }
 
 TEST(ProposerSessionsTest, ProposalBelowFloorIsExpired)
 {
-  ProposerSessions sessions;
-  sessions.Register(MakeId(3, 3), kStart);
-  EXPECT_EQ(sessions.Register(MakeId(2, 2), kStart), ProposalState::Expired);
+  ProposerSessions table;
+  table.Register(MakeId(3, 3), kStart);
+  EXPECT_EQ(table.Register(MakeId(2, 2), kStart), ProposalState::Expired);
 }
 
 TEST(ProposerSessionsTest, EvictsLeastRecentProposer)
 {
-  ProposerSessions sessions;
-  sessions.Register(MakeId(1), kStart);
-  sessions.SaveAnswer(MakeId(1), "index2");
+  ProposerSessions table;
+  table.Register(MakeId(1), kStart);
+  table.SaveAnswer(MakeId(1), "kept");
   for (std::uint64_t other = 100; other < 100 + 4095; ++other) {
-    sessions.Register(MakeId(1, 1, other), LogIndex(other));
+    table.Register(MakeId(1, 1, other), LogIndex(other));
   }
-  EXPECT_TRUE(sessions.FindAnswer(MakeId(1)).has_value());
-  sessions.Register(MakeId(1, 1, 9), LogIndex(9'000));
-  EXPECT_FALSE(sessions.FindAnswer(MakeId(1)).has_value());
+  EXPECT_TRUE(table.FindAnswer(MakeId(1)).has_value());
+  table.Register(MakeId(1, 1, 9), LogIndex(9'000));
+  EXPECT_FALSE(table.FindAnswer(MakeId(1)).has_value());
 }
 
 TEST(ProposerSessionsTest, SnapshotKeepsAnswersAndFloors)
 {
-  ProposerSessions sessions;
-  sessions.Register(MakeId(3, 3), kStart);
-  sessions.SaveAnswer(MakeId(3, 3), "third");
+  ProposerSessions table;
+  table.Register(MakeId(3, 3), kStart);
+  table.SaveAnswer(MakeId(3, 3), "third");
   ProposerSessions loaded;
-  ASSERT_TRUE(loaded.Load(sessions.Save()));
+  ASSERT_TRUE(loaded.Load(table.Save()));
   EXPECT_EQ(loaded.FindAnswer(MakeId(3)), "third");
   EXPECT_EQ(loaded.Register(MakeId(2), kStart), ProposalState::Expired);
   EXPECT_FALSE(loaded.Load("damaged"));
