--- a/include/damasklink/coordination/GroupStateMachines.h
+++ b/include/damasklink/coordination/GroupStateMachines.h
@@ -44,7 +44,7 @@
   // Returns the kept answer of an applied proposal.
   std::optional<std::string> FindAnswer(const ProposalId& aProposal) const
   {
-    return this->sessions.FindAnswer(aProposal);
+    return this->sessions.Find(aProposal);
   }
 
   // Returns the state of all machines, of those of another program version too.
--- a/include/damasklink/coordination/ProposerSessions.h
+++ b/include/damasklink/coordination/ProposerSessions.h
@@ -19,7 +19,7 @@
   enum class ProposalState
   {
     New,     // To be applied now.
-    Applied, // FindAnswer() has its answer.
+    Applied, // Find() has its answer.
     Expired, // The proposer has given it up; it must not be applied any more.
   };
 
@@ -29,10 +29,10 @@
   ProposalState Register(const ProposalId& aProposal, LogIndex aIndex);
 
   // Keeps the answer of a proposal that was fresh.
-  void SaveAnswer(const ProposalId& aProposal, std::string aAnswer);
+  void Keep(const ProposalId& aProposal, std::string aAnswer);
 
   // Returns the kept answer, nothing when it was not applied or is not kept any more.
-  std::optional<std::string> FindAnswer(const ProposalId& aProposal) const;
+  std::optional<std::string> Find(const ProposalId& aProposal) const;
 
   std::string Save() const;
   // Fails with Corrupt and then leaves the sessions as it was.
--- a/src/coordination/GroupStateMachines.cpp
+++ b/src/coordination/GroupStateMachines.cpp
@@ -21,7 +21,7 @@
     return AppliedProposal{ aEntry.proposal, std::nullopt };
   }
   if (state == ProposerSessions::ProposalState::Applied) {
-    return AppliedProposal{ aEntry.proposal, this->sessions.FindAnswer(aEntry.proposal) };
+    return AppliedProposal{ aEntry.proposal, this->sessions.Find(aEntry.proposal) };
   }
   std::string answer;
   const auto machine = this->machines.find(static_cast<StateMachineId>(aEntry.part));
@@ -35,7 +35,7 @@
                          : this->incarnationMachine->Current().formedAt;
     answer = machine->second->Apply(context, aEntry.command);
   }
-  this->sessions.SaveAnswer(aEntry.proposal, answer);
+  this->sessions.Keep(aEntry.proposal, answer);
   return AppliedProposal{ aEntry.proposal, std::move(answer) };
 }
 
--- a/src/coordination/ProposerSessions.cpp
+++ b/src/coordination/ProposerSessions.cpp
@@ -39,13 +39,13 @@
 }
 
 void
-ProposerSessions::SaveAnswer(const ProposalId& aProposal, std::string aAnswer)
+ProposerSessions::Keep(const ProposalId& aProposal, std::string aAnswer)
 {
   this->proposers[aProposal.proposer].answers[aProposal.sequence] = std::move(aAnswer);
 }
 
 std::optional<std::string>
-ProposerSessions::FindAnswer(const ProposalId& aProposal) const
+ProposerSessions::Find(const ProposalId& aProposal) const
 {
   const auto proposer = this->proposers.find(aProposal.proposer);
   if (proposer == this->proposers.end()) {
--- a/test/coordination/ControlHostSelectorTest.cpp
+++ b/test/coordination/ControlHostSelectorTest.cpp
@@ -20,16 +20,16 @@
     }
   }
 
-  std::vector<HostId> Select() const
+  std::vector<HostId> Wanted() const
   {
     return this->links.Select(
       [this](const HostId& aHost) { return !this->bad.contains(aHost.Value()); });
   }
 
-  bool Selects(const std::string& aHost) const
+  bool Wants(const std::string& aHost) const
   {
-    const auto selected = this->Select();
-    return std::find(selected.begin(), selected.end(), HostId(aHost)) != selected.end();
+    const auto wanted = this->Wanted();
+    return std::find(wanted.begin(), wanted.end(), HostId(aHost)) != wanted.end();
   }
 
   ControlHostSelector links{ HostId("e"), ZoneId("b") };
@@ -38,16 +38,16 @@
 
 TEST_F(ControlHostSelectorTest, PrefersOwnZoneAndOneHostOfAnother)
 {
-  EXPECT_EQ(this->Select().size(), ControlHostSelector::kHealthyConnections);
-  EXPECT_TRUE(this->Selects("b1"));
-  EXPECT_TRUE(this->Selects("b2"));
+  EXPECT_EQ(this->Wanted().size(), ControlHostSelector::kHealthyConnections);
+  EXPECT_TRUE(this->Wants("b1"));
+  EXPECT_TRUE(this->Wants("b2"));
 }
 
 TEST_F(ControlHostSelectorTest, SelectsAnotherHostBesideAnUnhealthyOne)
 {
   this->bad = { "b1" };
-  EXPECT_EQ(this->Select().size(), ControlHostSelector::kHealthyConnections + 1);
-  EXPECT_TRUE(this->Selects("b1")) << "it may come back";
+  EXPECT_EQ(this->Wanted().size(), ControlHostSelector::kHealthyConnections + 1);
+  EXPECT_TRUE(this->Wants("b1")) << "it may come back";
 }
 
 TEST_F(ControlHostSelectorTest, SelectsAllHostsWhenNoneIsHealthy)
@@ -55,7 +55,7 @@
   for (const auto& [host, zone] : this->links.KnownHosts()) {
     this->bad.insert(host.Value());
   }
-  EXPECT_EQ(this->Select().size(), 8U);
+  EXPECT_EQ(this->Wanted().size(), 8U);
 }
 
 TEST_F(ControlHostSelectorTest, SpreadsEntryHostsOverOtherZones)
