--- a/include/damasklink/coordination/AgreementMessage.h
+++ b/include/damasklink/coordination/AgreementMessage.h
@@ -1,4 +1,4 @@
-// What the replicas and proposers of replicated groups say to each other.
+// Messages between the replicas of a replicated group and the hosts that send proposals to it.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace damasklink {
 
-// Asks whether a vote would be granted; changes nothing at the voter.
+// Asks whether the receiver would vote for the sender. Changes no state at the receiver.
 struct PreVoteRequest
 {
   Term candidateTerm;
@@ -23,9 +23,10 @@
 {
   Term candidateTerm;
   bool granted = false;
-  // Nothing speaks against the vote but that the voter has started lately: in the candidate's term
-  // it has neither led, nor stood for election, nor heard a leader since. Or it is gone with its
-  // disk, and the replica that started in its place says so for it.
+  // Whether the voter knows of no leader since it started: in the candidate's term it has not led,
+  // stood for election or heard a leader, and the candidate's log is recent enough for its vote.
+  // Also set when the replica was lost with its disk; the replica that replaced it then answers on
+  // its behalf.
   bool leaderless = false;
 
   bool operator==(const PreVoteAnswer&) const = default;
@@ -35,9 +36,10 @@
 {
   LogIndex lastIndex;
   Term lastTerm;
-  // The leader itself asked for this election and has given up its lease.
+  // Whether the leader asked for this election and has given up its lease.
   bool handover = false;
-  // All voters have said that they are leaderless since they started, so that no lease can stand.
+  // Whether all voters reported that they have been leaderless since they started, so that no lease
+  // can be in force.
   bool allLeaderless = false;
 
   bool operator==(const VoteRequest&) const = default;
@@ -50,13 +52,13 @@
   bool operator==(const VoteAnswer&) const = default;
 };
 
-// Entries after a place, or none as a heartbeat.
+// Entries that follow previousIndex. Without entries it is a heartbeat.
 struct AppendRequest
 {
   LogIndex previousIndex;
   Term previousTerm;
   LogIndex committed;
-  // The leader's monotonic clock in nanoseconds; means nothing to others, who send it back.
+  // The leader's monotonic clock in nanoseconds. Receivers do not interpret it but send it back.
   std::uint64_t sentAt = 0;
   std::vector<LogEntry> entries;
 
@@ -66,16 +68,17 @@
 struct AppendAnswer
 {
   bool accepted = false;
-  // Accepted: up to where the logs are equal and synced. Refused: where to try next.
+  // If accepted, the index up to which both logs are equal and synced. If refused, the index from
+  // which the leader should retry.
   LogIndex index;
-  // The place of the request that this answers.
+  // The previousIndex of the request that this answers.
   LogIndex previousIndex;
   std::uint64_t sentAt = 0;
 
   bool operator==(const AppendAnswer&) const = default;
 };
 
-// A part of an encoded snapshot.
+// One piece of an encoded snapshot.
 struct SnapshotPiece
 {
   LogIndex index;
@@ -88,7 +91,7 @@
   bool operator==(const SnapshotPiece&) const = default;
 };
 
-// Asks for the piece that begins at the offset.
+// Requests the piece that begins at nextOffset.
 struct SnapshotAnswer
 {
   LogIndex index;
@@ -98,17 +101,17 @@
   bool operator==(const SnapshotAnswer&) const = default;
 };
 
-// Tells a voter to call an election at once, because the leader is leaving.
+// Tells a voter to start an election at once, because the leader gives up its office.
 struct TimeoutNow
 {
   bool operator==(const TimeoutNow&) const = default;
 };
 
-// Asks a listed voter whether the group was ever formed.
+// Asks a host whether the group was ever formed.
 struct FormationQuery
 {
   std::uint64_t nonce = 0;
-  // What the asker would found.
+  // The formation under which the sender would form the group; zero if it would not form it.
   FormationId proposed;
 
   bool operator==(const FormationQuery&) const = default;
@@ -117,22 +120,23 @@
 struct FormationAnswer
 {
   std::uint64_t nonce = 0;
-  // Zero: never formed here.
+  // Zero if the group was never formed as far as the sender knows.
   FormationId formed;
 
   bool operator==(const FormationAnswer&) const = default;
 };
 
-// Asks the leader to take the sender into the group.
+// Asks the leader to add the sender to the group.
 struct JoinRequest
 {
   bool operator==(const JoinRequest&) const = default;
 };
 
-// A command on its way to the leader.
+// A command that a proposer sends to the leader.
 struct ForwardedProposal
 {
-  // Counts all sendings of the proposer's process; a lower one than the last is an old copy.
+  // Number of this attempt, counted over all attempts of the proposer's process. A receiver drops
+  // an attempt that is not higher than the last one it saw, since it is a late duplicate.
   Sequence attempt;
   std::uint8_t part = 0;
   ProposalId proposal;
@@ -149,12 +153,12 @@
   bool operator==(const ProposalAnswer&) const = default;
 };
 
-// The sender did not take the proposal and never will take this attempt.
+// The sender did not accept this attempt and never will.
 struct ProposalRefusal
 {
   ProposalId proposal;
   Sequence attempt;
-  // Empty while unknown.
+  // Empty if the sender knows no leader.
   HostId leader;
 
   bool operator==(const ProposalRefusal&) const = default;
@@ -179,13 +183,13 @@
 struct AgreementMessage
 {
   GroupId group;
-  // Zero where the sender holds no formed replica.
+  // Zero if the sender holds no replica of a formed group.
   FormationId formation;
   HostId fromHost;
   HostId toHost;
-  // Zero from a host that holds no replica.
+  // Zero if the sending host holds no replica.
   ReplicaId from;
-  // Zero: whichever replica the host holds.
+  // Zero addresses whichever replica the receiving host holds.
   ReplicaId to;
   Term term;
   AgreementBody body;
--- a/include/damasklink/coordination/ControlHostSelector.h
+++ b/include/damasklink/coordination/ControlHostSelector.h
@@ -1,13 +1,13 @@
-// Which control hosts an entry host keeps connections to.
+// Selects the control hosts that an entry host keeps connections to.
 //
 //   ControlHostSelector selector(ownHost, ownZone);
 //   selector.AddHost(host, zone);
-//   for (const HostId& host : selector.Select(isGood)) { ... }   // Connect to these.
+//   for (const HostId& host : selector.Select(isHealthy)) { ... }   // Connect to these.
 //
-// Two of its own zone, where bytes are cheap and which it can reach when the zone is cut off, and
-// one of another zone, which tells of changes when the own ones cannot; entry hosts spread over
-// those. As long as one of these is not healthy (down, or without a leader), a further one is
-// selected beside it. Not thread-safe.
+// Selects two hosts of the entry host's own zone, where traffic is cheap and which stay reachable
+// if the zone is isolated, and one host of another zone, which reports changes when those of the
+// own zone cannot. Entry hosts spread over the hosts of other zones. For each selected host that is
+// not healthy (down or without a leader), another one is selected in addition. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -21,7 +21,7 @@
 class ControlHostSelector
 {
 public:
-  // One may be down and another behind.
+  // Three, since one host may be down and another may lag behind.
   static constexpr std::size_t kHealthyConnections = 3;
   static constexpr std::size_t kMaxInOwnZone = 2;
 
@@ -31,16 +31,16 @@
   {
   }
 
-  // Tells of a control host; an empty zone is not known and changes nothing that is.
+  // Adds a control host. An empty zone means unknown and does not replace a known one.
   void AddHost(const HostId& aHost, const ZoneId& aZone);
 
-  // Tells of several. Returns whether there were any.
+  // Adds several hosts. Returns whether aHosts has any.
   bool AddHosts(const ControlHostZones& aHosts);
 
   const ControlHostZones& KnownHosts() const { return this->known; }
 
-  // Returns the hosts to keep connections to, the preferred ones first, until kHealthyConnections
-  // of them are healthy or none is left.
+  // Returns the hosts to keep connections to, in order of preference, until kHealthyConnections of
+  // them are healthy or none is left.
   std::vector<HostId> Select(const std::function<bool(const HostId&)>& aIsHealthy) const;
 
 private:
--- a/include/damasklink/coordination/GroupFormation.h
+++ b/include/damasklink/coordination/GroupFormation.h
@@ -1,4 +1,4 @@
-// Decides when a group is founded, and by whom.
+// Decides when a group is formed, and by which host.
 #pragma once
 
 #include <map>
@@ -10,24 +10,24 @@
 
 namespace damasklink {
 
-// Asks all listed voters, in rounds, whether the group was ever formed, for as long as this replica
-// knows of no formation. Only answers of the present round count, and a host that said "never
-// formed" itself starts a new round, so that no late answer brings back a formation whose founder
-// has lost its disk.
+// Asks all listed voters, in rounds, whether the group was ever formed, until this replica knows a
+// formation. Only answers of the current round count. A host that answers "never formed" itself
+// cancels its own current round, so that a late answer cannot make it adopt a formation whose
+// founder has lost its disk since.
 //
-// The listed voter whose name comes first founds the group, once all others have answered, in one
-// round, that it was never formed.
+// The listed voter whose name sorts first forms the group once all others have answered, within one
+// round, that it was never formed. Not thread-safe.
 class GroupFormation
 {
 public:
   struct Outcome
   {
-    // Queries to send.
+    // Hosts to send the query to.
     std::vector<HostId> queriedHosts;
     FormationQuery query;
-    // Set when this replica is to found the group with these voters.
+    // Set if this replica must form the group with these voters.
     Membership formWith;
-    // Set when another has founded it.
+    // Set if another replica has formed the group.
     FormationId adopt;
   };
 
@@ -36,22 +36,23 @@
                  std::vector<HostId> aListedVoters,
                  std::uint64_t aSeed);
 
-  // Requires to be called only while no formation is known.
+  // Starts a new round when one is due. Must be called only while no formation is known.
   Outcome Tick();
 
   Outcome Receive(const AgreementMessage& aMessage, const FormationAnswer& aAnswer);
 
-  // Makes all answers to earlier queries void.
+  // Cancels the current round: answers to earlier queries are ignored.
   void CancelRound();
 
-  // Makes this replica one that only asks: the group was formed before, whatever its disk holds.
+  // Prevents this replica from forming the group, because the group is known to have been formed
+  // before even if the disk of this host is empty.
   void DisableForming() { this->mayFormGroup = false; }
 
-  // Asks one host more. Requires DisableForming(): a founder needs the word of the listed hosts
-  // alone.
+  // Adds a host to be queried. Requires DisableForming(), since the decision to form the group
+  // depends on the answers of the listed hosts alone.
   void AddQueriedHost(const HostId& aHost) { this->listed.push_back(aHost); }
 
-  // Returns what this replica founds the group as, should it do so.
+  // Returns the formation under which this replica would form the group.
   FormationId ProposedFormation() const { return this->proposed; }
 
 private:
--- a/include/damasklink/coordination/GroupIncarnation.h
+++ b/include/damasklink/coordination/GroupIncarnation.h
@@ -1,8 +1,8 @@
-// Which founding of a claims group this is, agreed on by the control group.
+// Incarnations of claims groups, numbered by the control group.
 //
-// A claims group whose disks were all lost is founded anew by its hosts. The catalogue in the
-// control group numbers the foundings, so that the new group knows that keys may have been claimed
-// before its time; the group keeps its number in its own log.
+// If all disks of a claims group are lost, its hosts form the group again. The registry in the
+// control group numbers these incarnations, so that the new group knows that keys may have been
+// claimed before it was formed. The group stores its incarnation in its own log.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace damasklink {
 
-// One founding of a group. A zero incarnation is not known yet, or was superseded by another.
+// One incarnation of a group. Zero means that it is unknown or was superseded.
 struct GroupIncarnation
 {
   Incarnation incarnation;
@@ -25,17 +25,18 @@
 };
 
 std::string
-EncodeGroupIncarnation(const GroupIncarnation& aFounding);
+EncodeGroupIncarnation(const GroupIncarnation& aIncarnation);
 Result<GroupIncarnation>
 DecodeGroupIncarnation(std::string_view aBytes);
 
-// Returns the command by which a group's leader makes its formation known to the control group.
+// Returns the command with which the leader of a group registers the group's formation at the
+// control group.
 std::string
 EncodeRegistration(const GroupId& aGroup, FormationId aFormation);
 
-// Machine of the control group: the foundings of all groups. Answers a registration with the
-// group's GroupIncarnation, the same one each time; a formation that another has superseded gets
-// zero.
+// State machine of the control group: the incarnations of all groups. Answers the registration of a
+// formation with its GroupIncarnation, always the same one; answers with zero for a superseded
+// formation.
 class GroupRegistry final : public ReplicatedStateMachine
 {
 public:
@@ -43,21 +44,22 @@
   std::string Save() const override;
   Result<void> Load(std::string_view aSnapshot) override;
 
-  // Returns the newest founding of a group, a zero one when none is known.
+  // Returns the latest incarnation of a group, or zero if none is known.
   GroupIncarnation Newest(const GroupId& aGroup) const;
 
 private:
   struct Record
   {
     FormationId formation;
-    GroupIncarnation founding;
+    GroupIncarnation incarnation;
   };
 
   // Oldest first.
   std::map<GroupId, std::vector<Record>> groups;
 };
 
-// Machine of a claims group: takes its own GroupIncarnation as a command, once.
+// State machine of a claims group: stores the group's own incarnation. The first command sets it,
+// and later ones change nothing.
 class IncarnationMachine final : public ReplicatedStateMachine
 {
 public:
@@ -65,10 +67,10 @@
   std::string Save() const override;
   Result<void> Load(std::string_view aSnapshot) override;
 
-  const GroupIncarnation& Current() const { return this->founding; }
+  const GroupIncarnation& Current() const { return this->current; }
 
 private:
-  GroupIncarnation founding;
+  GroupIncarnation current;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/GroupPlacement.h
+++ b/include/damasklink/coordination/GroupPlacement.h
@@ -1,4 +1,4 @@
-// Which groups there are and which hosts vote in them, from the settings alone.
+// Derives from the settings alone which groups exist and which hosts vote in them.
 #pragma once
 
 #include <vector>
@@ -8,18 +8,17 @@
 
 namespace damasklink {
 
-// Returns the group that homes the claims and store leases of a zone: its own when a host of the
-// zone has a disk, else that of the next zone, in the order of their names, which has one. Empty
-// when no host has a disk.
+// Returns the group that is responsible for the claims and store leases of a zone. This is the
+// zone's own group if a host of the zone has a disk; otherwise that of the next zone by name,
+// wrapping around, that has one. Empty if no host has a disk.
 GroupId
 ClaimsHomeGroup(const std::vector<PeerSettings>& aPeers, const ZoneId& aZone);
 
-// Returns the hosts that are to vote in a group, in the order of their names; none for a group
-// that does not exist.
+// Returns the hosts that vote in a group, sorted by name; empty for a group that does not exist.
 std::vector<HostId>
 ListedVoters(const std::vector<PeerSettings>& aPeers, const GroupId& aGroup);
 
-// Returns the groups in which a host votes, control first.
+// Returns the groups in which a host votes, the control group first.
 std::vector<GroupId>
 GroupsOf(const std::vector<PeerSettings>& aPeers, const HostId& aHost);
 
--- a/include/damasklink/coordination/GroupReplica.h
+++ b/include/damasklink/coordination/GroupReplica.h
@@ -1,4 +1,5 @@
-// One group on one host with a disk: its founding, its log, its machines, its repair.
+// The replica of one group on a host with a disk: its formation, log, state machines and membership
+// changes.
 #pragma once
 
 #include <map>
@@ -15,30 +16,32 @@
 struct GroupOptions
 {
   RaftOptions raft;
-  // The hosts that are to vote, in the order of their names; this host among them.
+  // The hosts that vote, sorted by name; must include this host.
   std::vector<HostId> listedVoters;
-  // Whether this replica may found the group; false where it is known to have been formed before,
-  // so that a host with a lost disk waits for those that remember.
+  // Whether this replica may form the group. False if the group is known to have been formed
+  // before, so that a host that lost its disk waits for the hosts that still have the log.
   bool mayFormGroup = true;
-  // Set where hosts are learnt while they run, not listed: how many of them vote. Odd.
+  // Maximum number of voters; must be odd. Set only if hosts are discovered at run time rather than
+  // listed.
   std::optional<std::size_t> maxVoters;
-  // Applied entries, or bytes of commands, after which a snapshot is taken.
+  // Number of applied entries, or bytes of their commands, after which a snapshot is taken.
   std::uint64_t snapshotEntries = 10'000;
   std::uint64_t snapshotBytes = std::uint64_t{ 4 } * 1024 * 1024;
 };
 
-// What the owner has to do.
+// Work for the owner of a GroupReplica.
 struct GroupActions
 {
-  // To write after all earlier ones; OnPersisted() tells that it is synced.
+  // To be written after all earlier batches; call OnPersisted() when it is synced.
   std::optional<PersistBatch> persist;
   std::vector<AgreementMessage> messages;
 };
 
-// Drives one replica. Without I/O; the same calls in the same order give the same actions.
+// Drives one replica. Performs no I/O and is deterministic: the same calls in the same order give
+// the same actions. Not thread-safe.
 //
 //   GroupReplica replica(clock, options, recovered);
-//   replica.Machines().Add(StateMachineId::Claims, ledger);
+//   replica.Machines().Add(StateMachineId::Claims, machine);
 //   replica.Receive(message);
 //   replica.Tick();
 //   GroupActions actions = replica.TakeActions();
@@ -47,36 +50,39 @@
 public:
   GroupReplica(const Clock& aClock, GroupOptions aOptions, RecoveredLog aRecovered);
 
-  // Requires that all machines are added before the first TakeActions().
+  // All state machines must be added before the first TakeActions().
   GroupStateMachines& Machines() { return this->machines; }
 
-  // Takes any message of this group; drops what is not for this replica or another formation.
+  // Processes a message of this group; ignores messages for another replica or formation.
   void Receive(const AgreementMessage& aMessage);
 
-  // Requires to be called every few milliseconds.
+  // Must be called every few milliseconds.
   void Tick();
 
-  // Tells that the batch with this number, and all before it, are synced.
+  // Must be called when the batch with this number and all earlier ones are synced.
   void OnPersisted(std::uint64_t aNumber) { this->core.OnPersisted(aNumber); }
 
-  // Applies what is committed and returns what is to be done. Requires to be called after each of
-  // the calls above.
+  // Applies committed entries and returns the work for the owner. Must be called after each of the
+  // calls above.
   GroupActions TakeActions();
 
-  // Asks this host too, from now on, whether the group was formed and to be taken in.
+  // Adds a discovered host, which is then also asked whether the group was formed, and to add this
+  // replica to the group.
   void AddDiscoveredHost(const HostId& aHost);
 
-  // Gives up leadership in favour of another voter.
+  // Transfers leadership to another voter.
   void TransferLeadership() { this->core.TransferLeadership(); }
 
+  // Returns the state of the group as this replica knows it; only its id once the replica has
+  // stopped.
   GroupStatus Status() const;
   const RaftCore& Core() const { return this->core; }
 
-  // Returns why this replica has stopped, nothing while it works. A stopped replica says and takes
-  // nothing more.
+  // Returns why this replica has stopped, or nothing while it runs. A stopped replica ignores all
+  // messages and sends none.
   const std::optional<Error>& Failure() const { return this->failure; }
 
-  // Stops the replica, because its disk failed it.
+  // Stops the replica after a failure of its disk.
   void Stop(Error aReason) { this->failure = std::move(aReason); }
 
 private:
@@ -87,7 +93,7 @@
     MonotonicTime since;
   };
 
-  // How far a proposer's sendings were seen.
+  // The last attempt that was seen of a host's proposer.
   struct AttemptHistory
   {
     std::uint64_t proposer = 0;
--- a/include/damasklink/coordination/GroupStateMachines.h
+++ b/include/damasklink/coordination/GroupStateMachines.h
@@ -1,4 +1,4 @@
-// The machines of one group's replica: applies committed entries to them and makes snapshots.
+// The state machines of one group's replica.
 #pragma once
 
 #include <map>
@@ -13,11 +13,11 @@
 
 namespace damasklink {
 
-// An entry that was applied, for whoever waits for its answer.
+// A proposal whose entry was processed, and its answer.
 struct AppliedProposal
 {
   ProposalId proposal;
-  // Empty when the proposal had expired and was not applied.
+  // Empty if the proposal had expired and was not applied.
   std::optional<std::string> answer;
 };
 
@@ -30,35 +30,38 @@
   }
 
   // Requires that aMachine outlives this object.
-  void Add(StateMachineId aPart, ReplicatedStateMachine& aMachine);
+  void Add(StateMachineId aMachineId, ReplicatedStateMachine& aMachine);
 
-  // Lets commands see which founding of the group they belong to. Requires that aMachine outlives
-  // this object.
+  // Makes the group's incarnation available to commands through ApplyContext. Requires that
+  // aMachine outlives this object.
   void SetIncarnation(const IncarnationMachine& aMachine) { this->incarnationMachine = &aMachine; }
 
-  bool Has(StateMachineId aPart) const { return this->machines.contains(aPart); }
+  bool Has(StateMachineId aMachineId) const { return this->machines.contains(aMachineId); }
 
-  // Applies one entry; nothing comes back for entries that are no commands.
+  // Applies one entry. Returns nothing for entries that are not commands.
   std::optional<AppliedProposal> Apply(const LogEntry& aEntry);
 
-  // Returns the kept answer of an applied proposal.
+  // Returns the stored answer of an applied proposal.
   std::optional<std::string> FindAnswer(const ProposalId& aProposal) const
   {
     return this->sessions.Find(aProposal);
   }
 
-  // Returns the state of all machines, of those of another program version too.
+  // Returns the state of all state machines, including those that only another program version
+  // knows.
   std::string Save() const;
 
-  // Fails with Corrupt; then the machines may hold parts of both states and must not be used.
+  // Fails with Corrupt, in which case some machines may have been loaded and others not, so the
+  // object must not be used any more.
   Result<void> Load(std::string_view aBytes);
 
 private:
   GroupId group;
   const IncarnationMachine* incarnationMachine = nullptr;
   std::map<StateMachineId, ReplicatedStateMachine*> machines;
-  // States of parts that this program does not know; kept so that no snapshot loses them.
-  std::map<StateMachineId, std::string> unknown;
+  // States of state machines that this program version does not know, kept so that no snapshot
+  // loses them.
+  std::map<StateMachineId, std::string> unknownStates;
   ProposerSessions sessions;
 };
 
--- a/include/damasklink/coordination/HostMembership.h
+++ b/include/damasklink/coordination/HostMembership.h
@@ -1,4 +1,5 @@
-// Which hosts of the system are up, by heartbeats that carry what the sender heard of others.
+// Detects which hosts of the system are up, by heartbeats that also carry what the sender knows of
+// other hosts.
 #pragma once
 
 #include <map>
@@ -9,13 +10,13 @@
 
 namespace damasklink {
 
-// A host as a heartbeat names it: 32 bits in place of its id, to keep heartbeats small.
+// A 32-bit hash of a host's id, which heartbeats carry in place of the id to stay small.
 using HostHash = std::uint32_t;
 
 HostHash
 HashOfHost(const HostId& aHost);
 
-// What one host last heard of another.
+// What a host knows of the last heartbeat of another one.
 struct HostSighting
 {
   HostHash host = 0;
@@ -26,13 +27,13 @@
   bool operator==(const HostSighting&) const = default;
 };
 
-// One heartbeat.
+// Sent from one host to another at regular intervals.
 struct Heartbeat
 {
   Incarnation incarnation;
   Sequence sequence;
   bool leaving = false;
-  // The sender's configuration, and how long ago the leader was known to agree with it.
+  // Revision of the sender's configuration, and the time since it was last confirmed by the leader.
   Revision revision;
   Duration confirmedAge{ 0 };
   std::vector<HostSighting> others;
@@ -40,44 +41,52 @@
   bool operator==(const Heartbeat&) const = default;
 };
 
-// Tells hosts that are up from those that are silent or leaving.
+// Detects hosts that are down or leaving.
 //
 //   HostMembership membership(clock, settings, incarnation);
 //   if (membership.AdvanceIfDue()) { send membership.MakeHeartbeat() to membership.CurrentPeer(); }
 //   membership.OnHeartbeat(from, heartbeat);
 //
-// One heartbeat an interval goes to one peer in turn, whatever the number of hosts; what it says of
-// others makes a sign of life reach everybody in a few rounds. A restart has a higher incarnation;
-// sightings of an older one are never taken. Leaving sticks for an incarnation. Not thread-safe.
+// Sends one heartbeat per interval, to each peer in turn, independently of the number of hosts.
+// Because heartbeats carry sightings of other hosts, each heartbeat becomes known to all hosts
+// within a few rounds. A restarted host has a higher incarnation; sightings of earlier incarnations
+// are ignored. Once an incarnation is leaving, it stays so. Not thread-safe.
 class HostMembership
 {
 public:
+  // Time between two heartbeats of a host.
   static constexpr Duration kInterval = std::chrono::seconds(1);
+  // Time without a new heartbeat after which a host counts as down.
   static constexpr Duration kFailureTimeout = std::chrono::seconds(8);
-  // Sightings in one heartbeat; where there are more hosts they take turns.
+  // Maximum number of sightings in one heartbeat. If there are more hosts, they are included in
+  // turn.
   static constexpr std::size_t kMaxSightings = 16;
 
   HostMembership(const Clock& aClock, const HostSettings& aSettings, Incarnation aIncarnation);
 
-  // Returns whether a heartbeat is due, and if so begins the next interval with the next partner.
+  // Returns whether a heartbeat is due. If so, starts the next interval and advances to the next
+  // peer.
   bool AdvanceIfDue();
 
-  // Returns the peer whose turn it is, empty when there is none.
+  // Returns the peer to send the next heartbeat to, empty if there is no other host.
   HostId CurrentPeer() const;
 
-  // Returns this host's next heartbeat; revision and confirmedAge are for the caller to fill.
+  // Returns this host's next heartbeat. The caller sets revision and confirmedAge.
   Heartbeat MakeHeartbeat();
 
+  // Processes a heartbeat from another host, including its sightings.
   void OnHeartbeat(const HostId& aFrom, const Heartbeat& aHeartbeat);
 
-  // Makes all later heartbeats say that this host is leaving.
+  // Makes all later heartbeats report that this host is leaving.
   void Leave() { this->leaving = true; }
 
-  // Returns whether the host was heard of within kFailureTimeout and is not leaving. A host is
-  // taken for up for the first kFailureTimeout of this process, before anything was heard.
+  // Returns whether a new heartbeat of the host was heard of within kFailureTimeout and it is not
+  // leaving. During the first kFailureTimeout of this process, hosts that were not heard of yet
+  // count as up.
   bool IsUp(const HostId& aHost) const;
 
-  // Returns the host after this one in the order of (zone, host) that is up, empty when alone.
+  // Returns the next host that is up after this one in the ring of (zone, host), empty if there is
+  // none.
   HostId NextHostUp() const;
 
   Incarnation OwnIncarnation() const { return this->incarnation; }
@@ -102,7 +111,7 @@
   MonotonicTime nextHeartbeatAt;
   std::size_t peerPosition = 0;
   std::size_t nextSighting = 0;
-  // All other hosts, in the order that follows this one around the ring of (zone, host).
+  // All other hosts, in ring order of (zone, host) starting after this host.
   std::vector<Entry> others;
   std::map<HostHash, std::size_t> byHash;
 };
--- a/include/damasklink/coordination/HostRegistry.h
+++ b/include/damasklink/coordination/HostRegistry.h
@@ -1,12 +1,13 @@
-// The hosts of a serving deployment that one control host knows of.
+// The hosts of a serving deployment that a control host knows.
 //
 //   HostRegistry registry(ownHost, ownZone);
 //   if (registry.AddControlHost(host, zone)) { ... }   // New: connect to it.
-//   registry.OnEntryHostConnected(host);                          // It is connected.
-//   registry.CountEntryHosts();                          // With those of other control hosts.
+//   registry.OnEntryHostConnected(host);
+//   registry.CountEntryHosts();                        // Includes those of other control hosts.
 //
-// No control host is connected to all entry hosts, so they tell each other theirs; each entry host
-// is connected to several, and counts once. Not thread-safe.
+// No control host is connected to all entry hosts, so control hosts exchange the lists of their
+// entry hosts. An entry host that is connected to several control hosts counts once. Not
+// thread-safe.
 #pragma once
 
 #include <map>
@@ -28,35 +29,37 @@
   {
   }
 
-  // Learns of a control host; an empty zone is not known and changes nothing that is. Returns
+  // Adds a control host. An empty zone means unknown and does not replace a known one. Returns
   // whether the host is new.
   bool AddControlHost(const HostId& aHost, const ZoneId& aZone);
 
-  // The other control hosts.
+  // Returns the other control hosts.
   const ControlHostZones& ControlHosts() const { return this->controlHosts; }
 
-  // All control hosts, this one among them.
+  // Returns all control hosts, including this one.
   ControlHostZones AllControlHosts() const;
 
-  // Returns whether control hosts or their zones were learnt since the last call.
+  // Returns whether control hosts or their zones were added or changed since the last call.
   bool TakeControlHostsChanged() { return std::exchange(this->controlHostsChanged, false); }
 
+  // Must be called when an entry host connects.
   void OnEntryHostConnected(const HostId& aHost);
 
-  // A host's connection to this one is lost.
+  // Must be called when the connection to a host is lost.
   void OnDisconnected(const HostId& aHost);
 
-  // Takes the entry hosts that are connected to another control host.
+  // Sets the list of entry hosts that are connected to another control host.
   void SetEntryHostsOf(const HostId& aFrom, const EntryHostList& aList);
 
-  // Entry hosts that are connected to this control host.
+  // Returns the entry hosts that are connected to this control host.
   const std::set<HostId>& EntryHosts() const { return this->entryHosts; }
+  // Returns the same hosts as a message to other control hosts.
   EntryHostList MakeEntryHostList() const;
 
-  // Returns whether own entry hosts came or went since the last call.
+  // Returns whether entry hosts connected to or disconnected from this host since the last call.
   bool TakeEntryHostsChanged() { return std::exchange(this->entryHostsChanged, false); }
 
-  // All entry hosts that any connected control host has told of.
+  // Returns the entry hosts of this control host and of all control hosts connected to it.
   const std::set<HostId>& AllEntryHosts() const;
   std::uint64_t CountEntryHosts() const { return this->AllEntryHosts().size(); }
 
@@ -67,9 +70,10 @@
   bool controlHostsChanged = false;
   std::set<HostId> entryHosts;
   bool entryHostsChanged = false;
-  // By connected control host.
+  // Entry hosts of each connected control host.
   std::map<HostId, std::vector<HostId>> entryHostsByPeer;
-  // Put allEntryHosts only after a change: it is asked for several times a second among hundreds.
+  // Result of AllEntryHosts(), computed again only after a change, because it is requested several
+  // times a second and there can be hundreds of entry hosts.
   mutable std::optional<std::set<HostId>> allEntryHosts;
 };
 
--- a/include/damasklink/coordination/MembershipRepair.h
+++ b/include/damasklink/coordination/MembershipRepair.h
@@ -1,4 +1,4 @@
-// Decides, on the leader, how the membership follows the hosts: who joins, who is swapped in.
+// Decides, on the leader, how a group's membership is changed to follow its hosts.
 #pragma once
 
 #include <map>
@@ -9,14 +9,19 @@
 
 namespace damasklink {
 
-// A host whose disk was lost comes back as another replica: it is taken in as a learner, becomes a
-// voter once caught up, and then the replica that it was is removed. Each is one step of its own.
-// A silent host that the settings do not list any more is removed too.
+// Proposes one membership change at a time.
 //
-// Where hosts are learnt, no list says who votes: each host that asks becomes a learner. Learners
-// become voters in pairs up to a number of voters, and one alone in place of a silent voter, which
-// is removed once its successor votes. So the number of voters stays odd, and a host that is
-// replaced at another address leaves the group as strong as it was.
+// A host that lost its disk returns as a new replica. That replica is added as a learner, becomes a
+// voter once it has caught up, and then the host's former replica is removed. A host that does not
+// answer and is no longer listed in the settings is removed too.
+//
+// If hosts are discovered rather than listed, each host that asks to join becomes a learner.
+// Learners become voters in pairs up to a maximum number of voters, or one at a time to replace a
+// voter that does not answer, which is removed once its successor votes. So the number of voters
+// stays odd, and a group whose host is replaced by one at another address tolerates as many
+// failures as before.
+//
+// Not thread-safe.
 class MembershipRepair
 {
 public:
@@ -25,13 +30,14 @@
   {
   }
 
-  // Makes the repair one for hosts that are learnt. Requires that aMaxVoters is odd.
+  // Accepts any host that asks to join, with at most aMaxVoters voters, which must be odd.
   void EnableDiscovery(std::size_t aMaxVoters) { this->maxVoters = aMaxVoters; }
 
-  // Notes that a replica asks to be taken in; hosts that are neither listed nor learnt are ignored.
+  // Records that a replica asks to join. Ignores hosts that are not listed, unless discovery is
+  // enabled.
   void OnJoinRequest(const HostId& aHost, ReplicaId aReplica);
 
-  // Returns the membership to propose next, nothing while all is as it should be.
+  // Returns the membership to propose next, or nothing if no change is needed.
   std::optional<Membership> Next(const RaftCore& aCore);
 
 private:
@@ -43,7 +49,7 @@
   std::optional<Membership> AddLearner(const Membership& aNow);
 
   std::vector<HostId> listed;
-  // Set where hosts are learnt.
+  // Set if hosts are discovered rather than listed.
   std::optional<std::size_t> maxVoters;
   std::map<HostId, ReplicaId> joining;
 };
--- a/include/damasklink/coordination/ProposalForwarder.h
+++ b/include/damasklink/coordination/ProposalForwarder.h
@@ -1,4 +1,4 @@
-// Follows each proposal of this host until it is answered or its time is over.
+// Sends the proposals of this host to the leaders of groups until they are answered or time out.
 #pragma once
 
 #include <deque>
@@ -13,40 +13,43 @@
 
 namespace damasklink {
 
-// Sends proposals to where the leader is believed to be, and again elsewhere when that host
-// refuses or is silent. Copies of one proposal are applied once (ProposerSessions.h), so it may do
-// so as long as the proposer asks for the answer.
+// Sends each proposal to the presumed leader, and to another host when that one refuses it or does
+// not answer. Duplicates of a proposal are applied only once (ProposerSessions.h), so it may be
+// resent as long as the proposer waits for the answer. Not thread-safe.
 //
-//   ProposalForwarder forwarder(clock, host, processTag);
+//   ProposalForwarder forwarder(clock, host, proposer);
 //   forwarder.Start(group, voters, part, command, timeout, done);
 //   forwarder.Tick();
 //   for (AgreementMessage& message : forwarder.TakeMessages()) { ... }
 class ProposalForwarder
 {
 public:
-  // Requires that aProposer is random for each process and not zero.
+  // aProposer identifies this process. It must be random and not zero.
   ProposalForwarder(const Clock& aClock, HostId aHost, std::uint64_t aProposer);
 
-  // aVoters are the hosts that may lead the group; aDone comes at once when there are none.
+  // Sends a proposal. aVoters are the hosts that may lead the group; if there are none, aDone is
+  // called before this returns. aTimeout is limited to five minutes.
   void Start(const GroupId& aGroup,
              const std::vector<HostId>& aVoters,
-             StateMachineId aPart,
+             StateMachineId aMachineId,
              std::string aCommand,
              Duration aTimeout,
              ProposalDone aDone);
 
-  // Takes a ProposalAnswer or ProposalRefusal; ignores all else.
+  // Processes a ProposalAnswer or ProposalRefusal; ignores other messages.
   void Receive(const AgreementMessage& aMessage);
 
-  // Sends what is pending to a leader that this host has learnt of otherwise; does nothing when it
-  // is empty or known.
+  // Reports a leader that was discovered by other means, and resends the pending proposals to it.
+  // Does nothing if aLeader is empty or was the last one reported.
   void ReportLeader(const GroupId& aGroup, const HostId& aLeader);
 
+  // Resends proposals when due and completes those that timed out. Must be called regularly.
   void Tick();
 
   std::vector<AgreementMessage> TakeMessages() { return std::exchange(this->outbox, {}); }
 
-  // Returns the host that last answered for the group, empty when none did.
+  // Returns the host that proposals for the group are sent to, usually the last one that answered.
+  // Empty if unknown.
   HostId LastLeader(const GroupId& aGroup) const;
 
 private:
@@ -57,7 +60,7 @@
     ProposalDone done;
     MonotonicTime deadline;
     MonotonicTime nextAttempt;
-    // Sendings that were not refused: any of them may have been applied.
+    // Attempts that were not refused; any of them may have been applied.
     std::set<Sequence> openAttempts;
     int redirectsFollowed = 0;
   };
@@ -66,9 +69,9 @@
   {
     std::vector<HostId> voters;
     std::size_t nextVoter = 0;
-    // Empty: try the voters in turn.
+    // Empty if unknown; then the voters are tried in turn.
     HostId leader;
-    // The one that ReportLeader() named last.
+    // The last leader that was passed to ReportLeader().
     HostId reportedLeader;
     Sequence lastSequence;
     std::map<Sequence, Pending> pending;
--- a/include/damasklink/coordination/ProposalRetrier.h
+++ b/include/damasklink/coordination/ProposalRetrier.h
@@ -1,4 +1,4 @@
-// Repeats a proposal to a group until it is answered or its time is expired.
+// Retries a proposal to a group until it is answered or its deadline passes.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace damasklink {
 
-// A command for a group, and until when it may take effect for the one who asks.
+// A command for a group, and the deadline until which the caller waits for its answer.
 struct Proposal
 {
   GroupId group;
@@ -19,22 +19,22 @@
   MonotonicTime deadline;
 };
 
-// How a proposal ended.
+// Result of a proposal.
 struct ProposalOutcome
 {
   Result<std::string> reply;
-  // Whether a failed one may have been applied, now or later.
+  // Whether a failed proposal may have been applied or may still be applied later.
   bool mayBeApplied = false;
 };
 
-// Sends the same command again after NotLeader, Unavailable and DeadlineExceeded; machines know
-// repeats by the id inside it. Lives on the control thread.
+// Retries a command after NotLeader, Unavailable and DeadlineExceeded. This is safe because state
+// machines detect repeated commands by the id in them. Must be used on the control thread only.
 //
-//   ProposalRetrier retrier(clock, replicator, { std::chrono::milliseconds(500), pause });
-//   retrier.Start(proposal, [](ProposalOutcome aEnd) { ... });
+//   ProposalRetrier retrier(clock, replicator, { attemptTimeout, retryDelay });
+//   retrier.Start(proposal, [](ProposalOutcome aOutcome) { ... });
 //   retrier.OnTick(now);   // On every tick.
 //
-// Each proposal ends exactly once, at its deadline at the latest; an answer after that is dropped.
+// Each proposal completes exactly once, at its deadline at the latest. Later answers are ignored.
 class ProposalRetrier
 {
 public:
@@ -42,9 +42,9 @@
 
   struct Options
   {
-    // Longest wait for one try.
+    // Maximum time to wait for the answer to one attempt.
     Duration attemptTimeout = std::chrono::milliseconds(500);
-    // Between two tries.
+    // Delay between a failed attempt and the next one.
     Duration retryDelay = std::chrono::milliseconds(50);
   };
 
@@ -55,10 +55,11 @@
   {
   }
 
+  // Sends a proposal; aDone is called once, when it completes.
   void Start(Proposal aProposal, Done aDone);
   void OnTick(MonotonicTime aNow);
 
-  // Returns how many proposals have not ended.
+  // Returns the number of proposals that have not completed.
   std::size_t Pending() const { return this->pending.size(); }
 
 private:
@@ -66,7 +67,7 @@
   {
     Proposal proposal;
     Done done;
-    // When to try again; empty while a try is out.
+    // Time of the next attempt; empty while an attempt is in flight.
     std::optional<MonotonicTime> retryAt;
     bool mayBeApplied = false;
     Error lastError;
@@ -74,7 +75,7 @@
 
   void SendAttempt(std::uint64_t aId);
   void OnAnswer(std::uint64_t aId, Result<std::string> aReply);
-  void End(std::uint64_t aId, Result<std::string> aReply);
+  void Complete(std::uint64_t aId, Result<std::string> aReply);
 
   const Clock& clock;
   Replicator& replicator;
--- a/include/damasklink/coordination/ProposerSessions.h
+++ b/include/damasklink/coordination/ProposerSessions.h
@@ -1,4 +1,4 @@
-// Applies each proposal once, however often it stands in the log, and keeps its answer.
+// Deduplicates proposals: each one is applied once, however often it is in the log.
 #pragma once
 
 #include <map>
@@ -11,31 +11,35 @@
 
 namespace damasklink {
 
-// The same on every replica: changed by committed entries only, and part of each snapshot.
+// Keeps, for each proposer, the answers of its proposals, like the client sessions of Raft. Changed
+// only by committed entries and part of each snapshot, so it is equal on every replica. Not
+// thread-safe.
 class ProposerSessions
 {
 public:
-  // What is known of a proposal before it is applied.
+  // State of a proposal before its entry is applied.
   enum class ProposalState
   {
-    New,     // To be applied now.
-    Applied, // Find() has its answer.
-    Expired, // The proposer has given it up; it must not be applied any more.
+    New,     // Not applied yet; must be applied now.
+    Applied, // Applied before; Find() returns its answer.
+    Expired, // Abandoned by its proposer; must not be applied any more.
   };
 
-  // Takes note of the proposer's floor and returns how the proposal stands. aIndex is that of the
-  // entry. Beyond 4,096 proposers the one that has been silent for the longest is forgotten; each
-  // is the life of one process, so nothing of it can be under way any more.
+  // Updates the proposer's floor and returns the state of the proposal. aIndex is the index of the
+  // entry. When there are 4,096 proposers, a new one evicts the one that has been inactive longest.
+  // That is safe because each proposer is one process, so an evicted one has no proposals in flight
+  // any more.
   ProposalState Register(const ProposalId& aProposal, LogIndex aIndex);
 
-  // Keeps the answer of a proposal that was fresh.
+  // Stores the answer of a proposal that was New.
   void Keep(const ProposalId& aProposal, std::string aAnswer);
 
-  // Returns the kept answer, nothing when it was not applied or is not kept any more.
+  // Returns the stored answer, or nothing if the proposal was not applied or its answer was
+  // dropped.
   std::optional<std::string> Find(const ProposalId& aProposal) const;
 
   std::string Save() const;
-  // Fails with Corrupt and then leaves the sessions as it was.
+  // Fails with Corrupt, in which case the sessions are unchanged.
   Result<void> Load(std::string_view aBytes);
 
 private:
--- a/include/damasklink/coordination/RaftCore.h
+++ b/include/damasklink/coordination/RaftCore.h
@@ -1,4 +1,5 @@
-// One replica of a replicated log: elections, replication, snapshots, membership. Without I/O.
+// One replica of a replicated log: elections, replication, snapshots and membership changes.
+// Performs no I/O.
 #pragma once
 
 #include <deque>
@@ -20,8 +21,9 @@
 struct RaftTiming
 {
   Duration heartbeat = std::chrono::milliseconds(500);
-  // A replica that heard its leader within this time helps no other into office; the leader's
-  // lease is a tenth shorter, which bears clocks that differ by that much in rate.
+  // Bounds of the random election timeout. A replica that heard its leader within the minimum votes
+  // for no other candidate. The leader's lease is a tenth shorter than the minimum, which tolerates
+  // clocks whose rates differ by that much.
   Duration electionTimeoutMin = std::chrono::milliseconds(1000);
   Duration electionTimeoutMax = std::chrono::milliseconds(2000);
 };
@@ -32,24 +34,24 @@
   HostId host;
   ReplicaId replica;
   RaftTiming timing;
-  // Seeds the election timeouts.
+  // Seed of the random election timeouts.
   std::uint64_t seed = 1;
-  // Longest snapshot piece and, roughly, longest append.
+  // Maximum size of a snapshot piece and, approximately, of an append request, in bytes.
   std::size_t maxMessageBytes = std::size_t{ 256 } * 1024;
-  // Entries kept in memory behind a snapshot.
+  // Entries that stay in memory after a snapshot covers them, for replicas that lag behind.
   std::uint64_t trailingEntries = 1024;
 };
 
-// What the owner has to do, in any order but for the commitments: `install`, then `committed`.
+// Work for the owner of a RaftCore, in any order, except that `install` comes before `committed`.
 struct RaftActions
 {
-  // To write; RaftCore::OnPersisted() tells that its number is synced.
+  // To be written and synced; then call RaftCore::OnPersisted() with its number.
   std::optional<PersistBatch> persist;
-  // To send at once; none of them depends on what is not yet synced.
+  // To be sent at once. None of them depends on data that is not synced yet.
   std::vector<AgreementMessage> messages;
-  // The state that replaces that of the machines; null for none.
+  // Snapshot that replaces the state of the state machines; null if there is none.
   SnapshotPtr install;
-  // To apply in order.
+  // Entries to be applied in this order.
   std::vector<LogEntry> committed;
 };
 
@@ -61,71 +63,79 @@
   Leader,
 };
 
-// The Raft algorithm with pre-vote, check-quorum, leader lease, learners and single-step changes
-// of membership (Ongaro, "Consensus: Bridging Theory and Practice", 2014).
+// The Raft algorithm with pre-vote, check-quorum, leader lease, learners and single-server
+// membership changes (Ongaro, "Consensus: Bridging Theory and Practice", 2014).
 //
 //   core.Receive(message);
 //   core.Tick();
 //   RaftActions actions = core.TakeActions();
 //
-// Requires that a persist batch is written after all earlier ones. A restarted replica is a new
-// object made from what was synced.
+// The owner must write persist batches in the order in which it gets them. After a restart a
+// replica is a new object that is made from the synced data. Not thread-safe.
 class RaftCore
 {
 public:
   RaftCore(const Clock& aClock, RaftOptions aOptions, RecoveredLog aRecovered);
 
-  // Founds the group with these voters, this replica among them. Requires an empty log.
+  // Forms the group with these voters, which must include this replica. Requires an empty log.
   void FormGroup(FormationId aFormation, const Membership& aVoters);
 
-  // Takes the formation of a group that another replica founded. Requires an empty log.
+  // Adopts the formation of a group that another replica formed. Requires an empty log.
   void AdoptFormation(FormationId aFormation);
 
-  // Takes a message of this formation to this replica.
+  // Processes a message that has this formation and is addressed to this replica.
   void Receive(const AgreementMessage& aMessage);
 
-  // Requires to be called every few milliseconds.
+  // Must be called every few milliseconds.
   void Tick();
 
+  // Must be called when the batch with this number and all earlier ones are synced.
   void OnPersisted(std::uint64_t aNumber);
 
-  // Appends a command to the log. Fails with NotLeader; then it is surely not in the log.
-  Result<LogIndex> Propose(std::uint8_t aPart, ProposalId aProposal, std::string aCommand);
+  // Appends a command for a state machine (StateMachineId) to the log. Fails with NotLeader, in
+  // which case the command is not in the log.
+  Result<LogIndex> Propose(std::uint8_t aMachineId, ProposalId aProposal, std::string aCommand);
 
-  // Appends a membership that differs from the newest in one member. Returns whether it did: only
-  // a leader that has committed in its term and has no other change under way does.
+  // Appends a membership that differs from the newest one in one member. Returns false unless this
+  // replica is a leader that has committed an entry of its term and has no other membership change
+  // pending.
   bool ProposeMembership(const Membership& aMembership);
 
-  // Takes a snapshot of all that was handed out in `committed` up to its index.
+  // Compacts the log with a snapshot of the state after the entries that were returned in
+  // `committed`, up to the snapshot's index.
   void Compact(SnapshotPtr aSnapshot);
 
-  // Gives up the lease and lets the most advanced voter call an election.
+  // Gives up the lease and makes an up-to-date voter start an election at once.
   void TransferLeadership();
 
-  // Answers a message of the same group once all that has changed so far is synced.
+  // Replies to a message of the same group once all changes up to now are synced.
   void ReplyWhenPersisted(const AgreementMessage& aTo, AgreementBody aBody);
 
+  // Returns the work that has come up since the last call.
   RaftActions TakeActions();
 
-  // Returns whether this replica may act for the group now: it leads, heard a quorum within its
-  // lease, and everything that was ever acknowledged has been handed out for applying.
+  // Returns whether this replica may act as leader now: it leads, a quorum answered within its
+  // lease, and all entries that were ever acknowledged have been returned for applying.
   bool LeaseHeld() const;
 
   RaftRole Role() const { return this->role; }
   Term CurrentTerm() const { return this->hardState.term; }
   FormationId Formation() const { return this->hardState.formation; }
-  // Returns the host of the leader, empty while unknown.
+  // Returns the host of the leader, empty if unknown.
   HostId LeaderHost() const;
+  // Returns the index of the last committed entry.
   LogIndex Committed() const { return this->committed; }
+  // Returns the index of the last entry that was returned in `committed` or covered by `install`.
   LogIndex DeliveredIndex() const { return this->deliveredIndex; }
   const RaftLog& Log() const { return this->log; }
   bool IsVoter() const { return this->log.NewestMembership().IsVoter(this->options.replica); }
-  // Returns whether a leader was heard within the longest election timeout.
+  // Returns whether a leader was heard within the maximum election timeout.
   bool HasRecentLeader() const;
-  // Returns up to where the member's log is known to be equal. Only a leader knows.
+  // Returns the index up to which the member's log is known to match this one. Zero unless this
+  // replica is the leader.
   LogIndex MatchOf(ReplicaId aReplica) const;
-  // Returns whether the member answered within the longest election timeout; true for this replica.
-  // Only a leader knows.
+  // Returns whether the member answered within the maximum election timeout. Always true for this
+  // replica, and false for others unless this replica is the leader.
   bool HeardRecentlyFrom(ReplicaId aReplica) const;
 
 private:
@@ -134,14 +144,14 @@
     HostId host;
     LogIndex match;
     LogIndex next;
-    // Sends no further entries before the next answer or heartbeat.
+    // If set, no further entries are sent before the next answer or heartbeat.
     bool probing = true;
-    // The snapshot on its way, and how far it got.
+    // The snapshot that is being sent, and the offset of its next piece.
     std::shared_ptr<const std::string> snapshotBytes;
     LogIndex snapshotIndex;
     Term snapshotTerm;
     std::uint64_t snapshotOffset = 0;
-    // When the newest answered request was sent, by this host's clock.
+    // When the latest answered request was sent, by this host's clock.
     MonotonicTime answeredSentAt;
     MonotonicTime heardAt;
   };
@@ -152,11 +162,11 @@
     AgreementMessage message;
   };
 
-  // A batch that was handed out and is not synced yet.
+  // A batch that TakeActions() returned and that is not synced yet.
   struct PendingBatch
   {
     std::uint64_t number = 0;
-    // The end of the log once it is synced.
+    // Last index of the log once the batch is synced.
     LogIndex end;
     MonotonicTime since;
   };
@@ -169,7 +179,7 @@
   void Handle(const AgreementMessage& aMessage, const TimeoutNow& aBody);
   void ResetElectionTimer();
   void StartPreVote();
-  void StartElection(bool aHandover, bool aAllLeaderless = false);
+  void StartElection(bool aTransfer, bool aAllLeaderless = false);
   void CheckAllLeaderless();
   Duration LeaderlessRetryDelay();
   bool IsLeaderless() const;
@@ -180,7 +190,7 @@
   bool IsUpToDate(LogIndex aLastIndex, Term aLastTerm) const;
   bool HeardLeaderRecently() const;
 
-  // As a follower (RaftFollower.cpp).
+  // Follower (RaftFollower.cpp).
   void Handle(const AgreementMessage& aMessage, const AppendRequest& aBody);
   void Handle(const AgreementMessage& aMessage, const SnapshotPiece& aBody);
   void AcceptLeader(const AgreementMessage& aMessage);
@@ -189,7 +199,7 @@
   LogIndex RetryHint(const AppendRequest& aBody) const;
   void InstallSnapshot(const AgreementMessage& aMessage, const SnapshotPiece& aBody);
 
-  // As a leader (RaftLeader.cpp).
+  // Leader (RaftLeader.cpp).
   void Handle(const AgreementMessage& aMessage, const AppendAnswer& aBody);
   void Handle(const AgreementMessage& aMessage, const SnapshotAnswer& aBody);
   Progress* RecordAnswer(const AgreementMessage& aMessage, std::uint64_t aSentAt);
@@ -205,11 +215,12 @@
   void CheckQuorum();
   bool IsDiskHung() const;
   void SendTimeoutNowWhenReady();
-  // Returns the value that a quorum of voters reaches; aOwn stands for this replica.
+  // Returns the highest value that a quorum of voters has reached. aOwn is the value of this
+  // replica.
   template<typename Value, typename Field>
   Value QuorumValue(Value aOwn, Field aField) const;
 
-  // Bodies that replicas do not handle.
+  // Ignores bodies that replicas do not handle.
   template<typename Body>
   void Handle(const AgreementMessage& /*aMessage*/, const Body& /*aBody*/)
   {
@@ -217,7 +228,7 @@
 
   AgreementMessage MakeMessage(ReplicaId aTo, const HostId& aHost, AgreementBody aBody) const;
   void SendImmediately(ReplicaId aTo, const HostId& aHost, AgreementBody aBody);
-  // Sends once all that has changed so far is synced.
+  // Sends the message once all changes up to now are synced.
   void SendWhenPersisted(ReplicaId aTo, const HostId& aHost, AgreementBody aBody);
   void SendToOtherVoters(const AgreementBody& aBody, bool aWhenPersisted);
   std::optional<PersistBatch> TakeBatch();
@@ -233,14 +244,15 @@
   ReplicaId leader;
   HostId leaderHost;
   std::set<ReplicaId> votes;
-  // Voters that have said in this term that they are leaderless since they started, or are gone.
+  // Voters that reported in this term that they have been leaderless since they started, or were
+  // lost with their disk.
   std::set<ReplicaId> leaderless;
   MonotonicTime electionAt;
   MonotonicTime leaderHeardAt;
   MonotonicTime startedAt;
-  // When a replica that is leaderless since it started asks the others next.
+  // When a replica that has been leaderless since it started asks the other voters again.
   MonotonicTime nextLeaderlessCheck;
-  // Whether it has led or heard a leader since it started.
+  // Whether this replica has led or heard a leader since it started.
   bool hadLeader = false;
 
   std::map<ReplicaId, Progress> progress;
@@ -261,7 +273,7 @@
   LogIndex deliveredIndex;
   SnapshotPtr snapshotToInstall;
 
-  // What is not yet in any batch.
+  // State that is not yet in any batch.
   bool hardStateChanged = false;
   SnapshotPtr snapshotToPersist;
   bool snapshotReplacesLog = false;
--- a/include/damasklink/coordination/RaftLog.h
+++ b/include/damasklink/coordination/RaftLog.h
@@ -1,4 +1,4 @@
-// The part of a replicated log that is held in memory.
+// The in-memory part of a replicated log.
 #pragma once
 
 #include <deque>
@@ -9,46 +9,48 @@
 
 namespace damasklink {
 
-// Entries after a base, and the snapshot that stands for all before.
+// Holds the entries after a base index and the latest snapshot, which covers all entries up to the
+// base. Not thread-safe.
 class RaftLog
 {
 public:
-  // Requires that the entries are contiguous and follow the snapshot.
+  // Requires that the entries are contiguous and follow the snapshot. aSnapshot may be null.
   RaftLog(SnapshotPtr aSnapshot, std::vector<LogEntry> aEntries);
 
   LogIndex BaseIndex() const { return this->baseIndex; }
   LogIndex LastIndex() const;
   Term LastTerm() const;
 
-  // Returns the term of the entry, nothing where it is not held any more or not yet.
+  // Returns the term of the entry, or nothing if the entry is not in memory.
   std::optional<Term> TermAt(LogIndex aIndex) const;
 
-  // Requires that the entry is held.
+  // Requires that the entry is in memory.
   const LogEntry& At(LogIndex aIndex) const;
 
-  // Returns entries from aFirst on, at least one if there is one, then up to aMostBytes.
-  std::vector<LogEntry> From(LogIndex aFirst, std::size_t aMostBytes) const;
+  // Returns the entries from aFirst on whose commands take at most aMaxBytes together, but at
+  // least one entry if there is any.
+  std::vector<LogEntry> From(LogIndex aFirst, std::size_t aMaxBytes) const;
 
   // Appends an entry. Requires that its index is the next one.
   void Append(LogEntry aEntry);
 
-  // Removes the entry and all after it.
+  // Removes the entry and all later ones.
   void TruncateFrom(LogIndex aIndex);
 
-  // Takes a newer snapshot of the same log and drops entries before it, keeping aTrailing of them
-  // for replicas that are a little behind.
+  // Replaces the snapshot by a newer one of the same log and drops the entries that it covers,
+  // except the last aTrailing of them, which are kept for replicas that lag slightly behind.
   void Compact(SnapshotPtr aSnapshot, std::uint64_t aTrailing);
 
-  // Replaces everything by a snapshot from another replica.
+  // Replaces the whole log by a snapshot from another replica.
   void Reset(SnapshotPtr aSnapshot);
 
   const SnapshotPtr& LastSnapshot() const { return this->snapshot; }
 
-  // Returns the newest membership in the log, committed or not, and the index of its entry.
+  // Returns the latest membership in the log, committed or not, and the index of its entry.
   const Membership& NewestMembership() const { return this->memberships.back().membership; }
   LogIndex MembershipIndex() const { return this->memberships.back().index; }
 
-  // Returns the membership as of an entry that is held or covered by the snapshot.
+  // Returns the membership in force at an entry that is in memory or covered by the snapshot.
   const Membership& MembershipAt(LogIndex aIndex) const;
 
 private:
--- a/include/damasklink/coordination/Replication.h
+++ b/include/damasklink/coordination/Replication.h
@@ -1,4 +1,4 @@
-// The seam between agreement and the state that it replicates.
+// Interface between consensus and the state machines that it replicates.
 #pragma once
 
 #include <functional>
@@ -11,43 +11,49 @@
 
 namespace damasklink {
 
-// Which machine of a group a command is for. The numbers stand in log files: never reuse one.
+// Identifies the state machine of a group that a command is for. The numbers are stored in log
+// files, so a number must never be reused.
 enum class StateMachineId : std::uint8_t
 {
-  Groups = 1,        // Membership of groups: the catalogue, voters, incarnations.
-  Configuration = 2, // The tree and its change ids (control group).
-  Orders = 3,        // Fencing numbers and wished ends of targets (control group).
+  Groups = 1,        // Group registry, voters and incarnations.
+  Configuration = 2, // The configuration tree and its change ids (control group).
+  Orders = 3,        // Fencing numbers and desired states of targets (control group).
   Claims = 4,        // Idempotency keys (claims groups).
   Leases = 5,        // Owners of stores (claims groups).
-  Serving = 6,       // The serving document and the named weights (control group).
+  Serving = 6,       // The serving document and weight versions (control group).
 };
 
-// The group that holds the configuration.
+// Returns the id of the group that all hosts with a disk form. It replicates the configuration.
 GroupId
 ControlGroupId();
 
-// Returns the group of the disks of a zone. ClaimsHomeGroup() (GroupPlacement.h) says which group
-// homes the claims and store leases of a zone, also of one without a disk.
+// Returns the id of the group that the hosts with a disk in a zone form. ClaimsHomeGroup()
+// (GroupPlacement.h) returns the group that is responsible for the claims and store leases of a
+// zone, also for a zone without a disk.
 GroupId
 ClaimsGroupId(const ZoneId& aZone);
 
-// Where and when a command was committed; the same on every replica.
+// Position and time at which a command was committed; the same on every replica.
 struct ApplyContext
 {
   GroupId group;
   LogIndex index;
   Term term;
-  // The leader's wall clock when it proposed, never lower than that of an earlier entry.
+  // The leader's wall clock when it appended the entry; never earlier than that of a previous
+  // entry.
   WallTime proposedAt;
-  // Which founding of a claims group this is: 1 for the first, 2 after all its disks were lost
-  // once, and so on; zero until the control group has told. Always 1 in the control group.
+  // Incarnation of a claims group: 1 when it is first formed, 2 after all its disks were lost and
+  // it was formed again, and so on. Zero until the control group has assigned it. Always 1 in the
+  // control group.
   Incarnation incarnation = Incarnation(1);
-  // What came before this time was lost when the incarnation is above 1.
+  // When this incarnation was formed. If the incarnation is above 1, all state from before this
+  // time was lost.
   WallTime formedAt;
 };
 
-// State that a group replicates. Apply() must give the same answer and state on every replica:
-// no clock, no randomness, no order of hash tables.
+// A state machine that a group replicates. Apply() must be deterministic: it must give the same
+// answer and the same state on every replica, so it must not use clocks, random numbers or the
+// order of hash tables.
 class ReplicatedStateMachine
 {
 public:
@@ -56,47 +62,48 @@
   // Applies a committed command and returns its answer.
   virtual std::string Apply(const ApplyContext& aContext, std::string_view aCommand) = 0;
 
-  // Returns the whole state for a snapshot.
+  // Returns the whole state, encoded for a snapshot.
   virtual std::string Save() const = 0;
 
-  // Replaces the whole state. Fails with Corrupt and then leaves the state as it was.
+  // Replaces the whole state. Fails with Corrupt, in which case the state is unchanged.
   virtual Result<void> Load(std::string_view aSnapshot) = 0;
 };
 
-// The answer of the machine, or why there is none. NotLeader and Unavailable: surely not applied.
-// DeadlineExceeded: it may have been applied; send the same command again, machines know repeats
-// by the id inside it.
+// Receives the answer of the state machine or the error. NotLeader and Unavailable mean that the
+// command was not applied. DeadlineExceeded means that it may have been applied; it is safe to send
+// the same command again, because state machines detect repeated commands by the id in them.
 using ProposalDone = std::function<void(Result<std::string>)>;
 
-// What one host knows of a group.
+// State of a group as one host knows it.
 struct GroupStatus
 {
   GroupId group;
   Term term;
-  // Empty while unknown.
+  // Empty if unknown.
   HostId leader;
   bool leading = false;
-  // Whether this host may act as leader now: it leads and heard a quorum within its lease.
+  // Whether this host may act as leader now: it leads, and a quorum answered within its lease.
   bool leaseHeld = false;
   LogIndex committed;
 };
 
-// Puts commands through groups. On the control thread only; aDone comes there, maybe at once.
+// Submits commands to groups. Must be used on the control thread only; aDone is called on that
+// thread, possibly before Propose() returns.
 class Replicator
 {
 public:
   virtual ~Replicator() = default;
 
-  // Makes a machine part of the group's replica on this host. Requires to be called before the
-  // control thread starts; the machine must outlive the replicator. Does nothing on a host that
-  // holds no replica of the group.
+  // Adds a state machine to the group's replica on this host. Must be called before the control
+  // thread starts. The machine must outlive the replicator. Does nothing on a host without a
+  // replica of the group.
   virtual void AddMachine(const GroupId& aGroup,
-                          StateMachineId aPart,
+                          StateMachineId aMachineId,
                           ReplicatedStateMachine& aMachine) = 0;
 
-  // Commits a command on any host of the system, passing it on to the group's leader.
+  // Submits a command, forwarding it to the group's leader. Can be called on any host.
   virtual void Propose(const GroupId& aGroup,
-                       StateMachineId aPart,
+                       StateMachineId aMachineId,
                        std::string aCommand,
                        Duration aTimeout,
                        ProposalDone aDone) = 0;
--- a/src/coordination/ControlHostSelector.cpp
+++ b/src/coordination/ControlHostSelector.cpp
@@ -34,7 +34,7 @@
     const bool own = hostZone == this->zone && near.size() < kMaxInOwnZone;
     (own ? near : far).push_back(host);
   }
-  // Another order for each entry host, so that their connections spread.
+  // Each entry host has its own order, so that their connections spread.
   std::sort(far.begin(), far.end(), [this](const HostId& aLeft, const HostId& aRight) {
     return ShortHash(Concat(this->self.Value(), "/", aLeft.Value())) <
            ShortHash(Concat(this->self.Value(), "/", aRight.Value()));
--- a/src/coordination/GroupIncarnation.cpp
+++ b/src/coordination/GroupIncarnation.cpp
@@ -9,21 +9,21 @@
 namespace {
 
 auto
-CorruptCommand()
+CorruptIncarnation()
 {
   return Fail(ErrorKind::Corrupt,
-              "the founding of a group cannot be read",
+              "the incarnation of a group cannot be decoded",
               "run the same program version on all hosts");
 }
 
 } // namespace
 
 std::string
-EncodeGroupIncarnation(const GroupIncarnation& aFounding)
+EncodeGroupIncarnation(const GroupIncarnation& aIncarnation)
 {
   ByteWriter writer;
-  writer.Number(aFounding.incarnation.Value());
-  writer.Number(EncodeWallTime(aFounding.formedAt));
+  writer.Number(aIncarnation.incarnation.Value());
+  writer.Number(EncodeWallTime(aIncarnation.formedAt));
   return writer.Take();
 }
 
@@ -31,13 +31,13 @@
 DecodeGroupIncarnation(std::string_view aBytes)
 {
   ByteReader reader(aBytes);
-  GroupIncarnation founding;
-  founding.incarnation = Incarnation(reader.Number());
-  founding.formedAt = DecodeWallTime(reader.Number());
+  GroupIncarnation decoded;
+  decoded.incarnation = Incarnation(reader.Number());
+  decoded.formedAt = DecodeWallTime(reader.Number());
   if (!reader.Finished()) {
-    return CorruptCommand();
+    return CorruptIncarnation();
   }
-  return founding;
+  return decoded;
 }
 
 std::string
@@ -63,19 +63,19 @@
     return aRecord.formation == formation;
   });
   if (known == records.end()) {
-    const GroupIncarnation founding{ Incarnation(records.size() + 1), aContext.proposedAt };
-    records.push_back(Record{ formation, founding });
-    return EncodeGroupIncarnation(founding);
+    const GroupIncarnation assigned{ Incarnation(records.size() + 1), aContext.proposedAt };
+    records.push_back(Record{ formation, assigned });
+    return EncodeGroupIncarnation(assigned);
   }
   const bool newest = known->formation == records.back().formation;
-  return EncodeGroupIncarnation(newest ? known->founding : GroupIncarnation{});
+  return EncodeGroupIncarnation(newest ? known->incarnation : GroupIncarnation{});
 }
 
 GroupIncarnation
 GroupRegistry::Newest(const GroupId& aGroup) const
 {
   const auto found = this->groups.find(aGroup);
-  return found == this->groups.end() ? GroupIncarnation{} : found->second.back().founding;
+  return found == this->groups.end() ? GroupIncarnation{} : found->second.back().incarnation;
 }
 
 std::string
@@ -88,7 +88,7 @@
     writer.Number(records.size());
     for (const Record& record : records) {
       writer.Number(record.formation.Value());
-      writer.Text(EncodeGroupIncarnation(record.founding));
+      writer.Text(EncodeGroupIncarnation(record.incarnation));
     }
   }
   return writer.Take();
@@ -102,18 +102,18 @@
   const std::uint64_t count = reader.Number();
   for (std::uint64_t index = 0; index < count && reader.Ok(); ++index) {
     std::vector<Record>& records = loaded[GroupId(reader.Text())];
-    const std::uint64_t foundings = reader.Number();
-    for (std::uint64_t past = 0; past < foundings && reader.Ok(); ++past) {
+    const std::uint64_t recordCount = reader.Number();
+    for (std::uint64_t position = 0; position < recordCount && reader.Ok(); ++position) {
       const FormationId formation(reader.Number());
-      auto founding = DecodeGroupIncarnation(reader.Text());
-      if (!founding) {
-        return Fail(founding.error());
+      auto incarnation = DecodeGroupIncarnation(reader.Text());
+      if (!incarnation) {
+        return Fail(incarnation.error());
       }
-      records.push_back(Record{ formation, founding.value() });
+      records.push_back(Record{ formation, incarnation.value() });
     }
   }
   if (!reader.Finished()) {
-    return CorruptCommand();
+    return CorruptIncarnation();
   }
   this->groups = std::move(loaded);
   return Success();
@@ -122,17 +122,17 @@
 std::string
 IncarnationMachine::Apply(const ApplyContext& /*aContext*/, std::string_view aCommand)
 {
-  const auto told = DecodeGroupIncarnation(aCommand);
-  if (told && this->founding.incarnation == Incarnation()) {
-    this->founding = told.value();
+  const auto decoded = DecodeGroupIncarnation(aCommand);
+  if (decoded && this->current.incarnation == Incarnation()) {
+    this->current = decoded.value();
   }
-  return EncodeGroupIncarnation(this->founding);
+  return EncodeGroupIncarnation(this->current);
 }
 
 std::string
 IncarnationMachine::Save() const
 {
-  return EncodeGroupIncarnation(this->founding);
+  return EncodeGroupIncarnation(this->current);
 }
 
 Result<void>
@@ -142,7 +142,7 @@
   if (!loaded) {
     return Fail(loaded.error());
   }
-  this->founding = loaded.value();
+  this->current = loaded.value();
   return Success();
 }
 
--- a/src/coordination/GroupReplica.cpp
+++ b/src/coordination/GroupReplica.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr Duration kJoinInterval = std::chrono::seconds(1);
-// Nobody waits longer than this for the answer to a proposal.
+// Pending answers are dropped after this time. Proposers wait for half of it at most (kMaxTimeout
+// in ProposalForwarder.cpp).
 constexpr Duration kMaxWait = std::chrono::minutes(10);
 
 } // namespace
@@ -30,7 +31,8 @@
     this->repair.EnableDiscovery(*this->options.maxVoters);
   }
   if (!this->HasLog() && this->core.Formation() != FormationId()) {
-    // Adopted, or founded in a write that was cut off: only a fresh answer can tell.
+    // The group was adopted without any entries, or formed in a write that did not complete. Only a
+    // new round of queries can tell whether the formation still exists.
     this->core.AdoptFormation(FormationId());
   }
 }
@@ -76,9 +78,9 @@
   }
 }
 
-// Tells, in the name of the replica that was asked, that it is gone with its disk: this one has its
-// place on the host, where only one process can have the address. So nobody waits for the end of
-// its lease.
+// Answers, on behalf of the addressed replica, that it was lost with its disk: this replica has
+// replaced it on the host, where only one process can use the address. So no voter waits for the
+// lease of the lost replica.
 void
 GroupReplica::AnswerForLostReplica(const AgreementMessage& aMessage, const PreVoteRequest& aRequest)
 {
@@ -87,7 +89,7 @@
   answer.leaderless = true;
   AgreementMessage reply = this->MakeMessage(aMessage.fromHost, aMessage.from, answer);
   reply.from = aMessage.to;
-  // This replica may not belong to the group yet.
+  // This replica may not have adopted the formation yet, so it copies that of the message.
   reply.formation = aMessage.formation;
   reply.term = aMessage.term;
   this->outbox.push_back(std::move(reply));
@@ -100,7 +102,8 @@
   if (this->HasLog()) {
     answer.formed = this->core.Formation();
   } else if (aQuery.proposed != FormationId()) {
-    // The asker may found the group on this answer, so no earlier founding may be joined any more.
+    // The sender may form the group because of this answer, so no earlier formation may be adopted
+    // any more.
     this->formation.CancelRound();
     const FormationId adopted = this->core.Formation();
     if (adopted != FormationId() && adopted != aQuery.proposed) {
@@ -128,7 +131,7 @@
 {
   AttemptHistory& seen = this->attempts[aMessage.fromHost];
   if (seen.proposer == aProposal.proposal.proposer && aProposal.attempt <= seen.last) {
-    // A late copy: the sender may have been told already that it was not taken.
+    // A late duplicate: the sender may have been told already that the attempt was refused.
     return;
   }
   seen = AttemptHistory{ aProposal.proposal.proposer, aProposal.attempt };
@@ -141,7 +144,7 @@
     this->Refuse(aMessage, aProposal);
     return;
   }
-  // A copy in the log is applied once only, so a proposal is put there as often as it comes.
+  // Duplicates in the log are applied only once, so each attempt may append the proposal again.
   if (!this->core.Propose(aProposal.part, aProposal.proposal, aProposal.command)) {
     this->Refuse(aMessage, aProposal);
     return;
@@ -286,10 +289,10 @@
 {
   const SnapshotPtr& last = this->core.Log().LastSnapshot();
   const std::uint64_t since = this->appliedIndex.Value() - (last ? last->index.Value() : 0);
-  // A large state is not written again for every few changes to it.
-  const std::uint64_t mostBytes =
+  // A large state is not written again after every few changes to it.
+  const std::uint64_t maxBytes =
     std::max(this->options.snapshotBytes, last ? last->data.size() : std::uint64_t{ 0 });
-  if (since < this->options.snapshotEntries && this->bytesSinceSnapshot < mostBytes) {
+  if (since < this->options.snapshotEntries && this->bytesSinceSnapshot < maxBytes) {
     return;
   }
   Snapshot snapshot;
--- a/src/coordination/GroupStateMachines.cpp
+++ b/src/coordination/GroupStateMachines.cpp
@@ -5,9 +5,9 @@
 namespace damasklink {
 
 void
-GroupStateMachines::Add(StateMachineId aPart, ReplicatedStateMachine& aMachine)
+GroupStateMachines::Add(StateMachineId aMachineId, ReplicatedStateMachine& aMachine)
 {
-  this->machines[aPart] = &aMachine;
+  this->machines[aMachineId] = &aMachine;
 }
 
 std::optional<AppliedProposal>
@@ -42,15 +42,15 @@
 std::string
 GroupStateMachines::Save() const
 {
-  std::map<StateMachineId, std::string> states = this->unknown;
-  for (const auto& [part, machine] : this->machines) {
-    states[part] = machine->Save();
+  std::map<StateMachineId, std::string> states = this->unknownStates;
+  for (const auto& [id, machine] : this->machines) {
+    states[id] = machine->Save();
   }
   ByteWriter writer;
   writer.Text(this->sessions.Save());
   writer.Number(states.size());
-  for (const auto& [part, state] : states) {
-    writer.Byte(static_cast<std::uint8_t>(part));
+  for (const auto& [id, state] : states) {
+    writer.Byte(static_cast<std::uint8_t>(id));
     writer.Text(state);
   }
   return writer.Take();
@@ -60,26 +60,26 @@
 GroupStateMachines::Load(std::string_view aBytes)
 {
   ByteReader reader(aBytes);
-  const std::string kept = reader.Text();
+  const std::string sessionBytes = reader.Text();
   const std::uint64_t count = reader.Number();
   std::map<StateMachineId, std::string> states;
   for (std::uint64_t index = 0; index < count && reader.Ok(); ++index) {
-    const auto part = static_cast<StateMachineId>(reader.Byte());
-    states[part] = reader.Text();
+    const auto id = static_cast<StateMachineId>(reader.Byte());
+    states[id] = reader.Text();
   }
   if (!reader.Finished()) {
     return Fail(ErrorKind::Corrupt,
-                "the machines' part of a snapshot cannot be read",
+                "the state of the state machines in a snapshot cannot be decoded",
                 "replace this host's data folder by an empty one; see docs/STATE.md");
   }
-  if (auto loaded = this->sessions.Load(kept); !loaded) {
+  if (auto loaded = this->sessions.Load(sessionBytes); !loaded) {
     return loaded;
   }
-  this->unknown.clear();
-  for (auto& [part, state] : states) {
-    const auto machine = this->machines.find(part);
+  this->unknownStates.clear();
+  for (auto& [id, state] : states) {
+    const auto machine = this->machines.find(id);
     if (machine == this->machines.end()) {
-      this->unknown[part] = std::move(state);
+      this->unknownStates[id] = std::move(state);
     } else if (auto loaded = machine->second->Load(state); !loaded) {
       return loaded;
     }
--- a/src/coordination/HostMembership.cpp
+++ b/src/coordination/HostMembership.cpp
@@ -89,7 +89,8 @@
   const HostHash own = HashOfHost(this->self);
   for (const HostSighting& sighting : aHeartbeat.others) {
     if (sighting.host == own && sighting.incarnation > this->incarnation) {
-      // The calendar went back between two lives of this host; rise above the former one.
+      // The wall clock went back before this host restarted, so a higher incarnation than that of
+      // the earlier process is needed.
       this->incarnation = sighting.incarnation.Next();
     }
     this->Merge(sighting);
--- a/src/coordination/HostRegistry.cpp
+++ b/src/coordination/HostRegistry.cpp
@@ -9,11 +9,11 @@
     return false;
   }
   const auto [position, isNew] = this->controlHosts.try_emplace(aHost);
-  const bool zoneLearnt = !aZone.Empty() && position->second != aZone;
-  if (zoneLearnt) {
+  const bool zoneChanged = !aZone.Empty() && position->second != aZone;
+  if (zoneChanged) {
     position->second = aZone;
   }
-  this->controlHostsChanged = this->controlHostsChanged || isNew || zoneLearnt;
+  this->controlHostsChanged = this->controlHostsChanged || isNew || zoneChanged;
   return isNew;
 }
 
--- a/src/coordination/MembershipRepair.cpp
+++ b/src/coordination/MembershipRepair.cpp
@@ -5,7 +5,8 @@
 namespace damasklink {
 namespace {
 
-// A learner this close to the leader's commitment catches up within the change itself.
+// A learner that lags the leader's commit index by at most this many entries counts as caught up;
+// it gets the rest while the membership change is committed.
 constexpr std::uint64_t kMaxCatchUpLag = 256;
 
 bool
@@ -49,9 +50,9 @@
   return this->AddLearner(now);
 }
 
-// Whether one voter more makes the group stronger: always for a listed host. Where hosts are
-// learnt, an even number of voters bears no more losses than the odd one below it, so voters are
-// added in pairs, and one alone only in place of a voter that is silent.
+// Returns whether another voter makes the group tolerate more failures. A listed host always does.
+// If hosts are discovered, an even number of voters tolerates no more failures than the odd number
+// below it, so voters are added in pairs, or one at a time to replace a voter that does not answer.
 bool
 MembershipRepair::MayAddVoter(const Membership& aNow, const RaftCore& aCore) const
 {
@@ -89,7 +90,8 @@
   return std::nullopt;
 }
 
-// Removes the older of two voters on one host; the younger one stands behind it.
+// Removes the former replica of a host that has a newer voter. New members are appended, so the
+// newer one comes later in the list.
 std::optional<Membership>
 MembershipRepair::RemoveReplaced(const Membership& aNow) const
 {
@@ -106,9 +108,10 @@
   return std::nullopt;
 }
 
-// A silent host that the settings do not list any more will not come back. One that still answers
-// stays: the settings of this host may be the wrong ones. Where hosts are learnt, a silent voter
-// stays until its successor votes and makes the number even: it may hold what was acknowledged.
+// Removes a host that does not answer and is no longer listed. A host that still answers stays,
+// since the settings of this host may be the wrong ones. If hosts are discovered, a voter that does
+// not answer stays until its successor votes and makes the number of voters even, because it may
+// hold acknowledged entries.
 std::optional<Membership>
 MembershipRepair::RemoveRetired(const Membership& aNow, const RaftCore& aCore) const
 {
@@ -137,7 +140,7 @@
   }
   const auto& [host, replica] = *this->joining.begin();
   Membership next = aNow;
-  // A learner of the same host was lost before it was caught up.
+  // The host's former learner was lost before it caught up.
   const auto lost = std::find_if(
     next.members.begin(), next.members.end(), [&, &joiningHost = host](const Member& aMember) {
       return aMember.host == joiningHost && !aMember.voter;
--- a/src/coordination/ProposalForwarder.cpp
+++ b/src/coordination/ProposalForwarder.cpp
@@ -8,15 +8,15 @@
 namespace damasklink {
 namespace {
 
-// How long one host may be silent before another is tried.
+// Time without an answer after which another host is tried.
 constexpr Duration kAttemptTimeout = std::chrono::seconds(1);
-// The pause after a refusal that named no leader.
+// Delay after a refusal that names no leader.
 constexpr Duration kRefusalRetryDelay = std::chrono::milliseconds(100);
-// So shortly before its deadline, what was refused everywhere is not sent again.
+// A proposal whose attempts were all refused is not sent again with less than this time left.
 constexpr Duration kMinAttemptTime = std::chrono::milliseconds(200);
-// Named leaders that are asked at once, one after the other.
+// Maximum number of consecutive refusals whose named leader is asked without delay.
 constexpr int kMaxRedirects = 3;
-// Replicas forget who waits for an answer after twice this (GroupReplica.cpp).
+// Replicas drop pending answers after twice this time (kMaxWait in GroupReplica.cpp).
 constexpr Duration kMaxTimeout = std::chrono::minutes(5);
 
 Error
@@ -44,14 +44,14 @@
 void
 ProposalForwarder::Start(const GroupId& aGroup,
                          const std::vector<HostId>& aVoters,
-                         StateMachineId aPart,
+                         StateMachineId aMachineId,
                          std::string aCommand,
                          Duration aTimeout,
                          ProposalDone aDone)
 {
   if (aVoters.empty()) {
     aDone(Fail(ErrorKind::Unavailable,
-               Concat("no host holds the group ", aGroup.Value()),
+               Concat("no host has a replica of the group ", aGroup.Value()),
                "give at least one host a data folder"));
     return;
   }
@@ -59,7 +59,7 @@
   state.voters = aVoters;
   state.lastSequence = state.lastSequence.Next();
   Pending& pending = state.pending[state.lastSequence];
-  pending.part = aPart;
+  pending.part = aMachineId;
   pending.command = std::move(aCommand);
   pending.done = std::move(aDone);
   pending.deadline = this->clock.MonotonicNow() + std::min<Duration>(aTimeout, kMaxTimeout);
@@ -70,7 +70,7 @@
 ProposalForwarder::Send(const GroupId& aGroup, Group& aState, Sequence aSequence, Pending& aPending)
 {
   if (aState.leader.Empty()) {
-    // Its own replica knows most, so it is asked first.
+    // The replica on this host is asked first, since it knows the group best.
     const auto own = std::find(aState.voters.begin(), aState.voters.end(), this->host);
     const bool askOwn = own != aState.voters.end() && aPending.openAttempts.empty();
     aState.leader = askOwn ? this->host : aState.voters[aState.nextVoter++ % aState.voters.size()];
@@ -137,7 +137,7 @@
     this->Send(aGroup, aState, found->first, pending);
     return;
   }
-  // Hosts that name each other are asked again after a pause only.
+  // Hosts that name each other as leader are asked again only after a delay.
   pending.redirectsFollowed = 0;
   aState.leader = HostId();
   pending.nextAttempt = this->clock.MonotonicNow() + kRefusalRetryDelay;
@@ -177,7 +177,8 @@
     if (now >= pending.deadline) {
       expired.push_back(sequence);
     } else if (pending.openAttempts.empty() && pending.deadline - now < kMinAttemptTime) {
-      // A further attempt would have no time to be refused and so make the outcome unknown.
+      // There is not enough time left for a refusal, so another attempt would only make the outcome
+      // unknown.
       continue;
     } else if (now >= pending.nextAttempt) {
       aState.leader = HostId();
--- a/src/coordination/ProposalRetrier.cpp
+++ b/src/coordination/ProposalRetrier.cpp
@@ -23,7 +23,7 @@
   PendingProposal& entry = this->pending.at(aId);
   entry.retryAt.reset();
   const Duration left = entry.proposal.deadline - this->clock.MonotonicNow();
-  // Copies, as the answer may come at once and end the entry.
+  // Copies, because the answer may arrive before Propose() returns and remove the entry.
   const GroupId group = entry.proposal.group;
   std::string command = entry.proposal.command;
   this->replicator.Propose(
@@ -42,7 +42,7 @@
     return;
   }
   if (aReply) {
-    this->End(aId, std::move(aReply));
+    this->Complete(aId, std::move(aReply));
     return;
   }
   PendingProposal& entry = found->second;
@@ -67,9 +67,9 @@
   }
   for (const std::uint64_t id : expired) {
     PendingProposal& entry = this->pending.at(id);
-    // A try that is still out may yet be applied.
+    // An attempt that is still in flight may yet be applied.
     entry.mayBeApplied = entry.mayBeApplied || !entry.retryAt;
-    this->End(id, Fail(entry.lastError));
+    this->Complete(id, Fail(entry.lastError));
   }
   for (const std::uint64_t id : due) {
     this->SendAttempt(id);
@@ -77,7 +77,7 @@
 }
 
 void
-ProposalRetrier::End(std::uint64_t aId, Result<std::string> aReply)
+ProposalRetrier::Complete(std::uint64_t aId, Result<std::string> aReply)
 {
   auto node = this->pending.extract(aId);
   PendingProposal& entry = node.mapped();
--- a/src/coordination/ProposerSessions.cpp
+++ b/src/coordination/ProposerSessions.cpp
@@ -87,14 +87,14 @@
     proposer.floor = Sequence(reader.Number());
     proposer.lastIndex = LogIndex(reader.Number());
     const std::uint64_t answers = reader.Number();
-    for (std::uint64_t kept = 0; kept < answers && reader.Ok(); ++kept) {
+    for (std::uint64_t position = 0; position < answers && reader.Ok(); ++position) {
       const Sequence sequence(reader.Number());
       proposer.answers[sequence] = reader.Text();
     }
   }
   if (!reader.Finished()) {
     return Fail(ErrorKind::Corrupt,
-                "the answers kept in a snapshot cannot be read",
+                "the proposal answers in a snapshot cannot be decoded",
                 "replace this host's data folder by an empty one; see docs/STATE.md");
   }
   this->proposers = std::move(loaded);
--- a/src/coordination/RaftCore.cpp
+++ b/src/coordination/RaftCore.cpp
@@ -18,7 +18,8 @@
   this->persistedIndex = this->log.LastIndex();
   this->firstUnwritten = this->log.LastIndex().Next();
   this->snapshotToInstall = aRecovered.snapshot;
-  // It may have promised a leader its loyalty just before the restart.
+  // It may have acknowledged a leader just before the restart, and that leader's lease relies on
+  // this replica not voting for another one.
   this->startedAt = this->clock.MonotonicNow();
   this->leaderHeardAt = this->startedAt;
   this->nextLeaderlessCheck = this->startedAt + this->LeaderlessRetryDelay();
@@ -65,25 +66,25 @@
     }
     return;
   }
-  const bool alone =
+  const bool isOnlyVoter =
     this->role == RaftRole::Follower && this->log.NewestMembership().VoterCount() == 1;
-  if (this->IsVoter() && (now >= this->electionAt || alone)) {
+  if (this->IsVoter() && (now >= this->electionAt || isOnlyVoter)) {
     this->StartPreVote();
   } else if (this->IsVoter() && !this->hadLeader) {
     this->CheckAllLeaderless();
   }
 }
 
-// A group that starts anew as a whole, after a loss of power, need not wait until the lease of a
-// leader that is gone would have ended: once all voters say that they have neither led nor heard a
-// leader since they started, there is no lease. Voters ask each other at random times, so that two
-// seldom stand for election at once; one that stands and does not win asks again.
+// When all voters of a group restart, for instance after a power failure, they need not wait for
+// the lease of the former leader to expire: once all of them report that they have neither led nor
+// heard a leader since they started, no lease is in force. Voters ask each other at random times,
+// so that rarely two of them stand for election at once. A candidate that does not win asks again.
 void
 RaftCore::CheckAllLeaderless()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  const bool young = now - this->startedAt < this->options.timing.electionTimeoutMax;
-  if (!young || now < this->nextLeaderlessCheck) {
+  const bool startedRecently = now - this->startedAt < this->options.timing.electionTimeoutMax;
+  if (!startedRecently || now < this->nextLeaderlessCheck) {
     return;
   }
   this->nextLeaderlessCheck = now + this->LeaderlessRetryDelay();
@@ -93,21 +94,23 @@
 Duration
 RaftCore::LeaderlessRetryDelay()
 {
-  const auto most = this->options.timing.heartbeat.count();
-  std::uniform_int_distribution<Duration::rep> pause(most / 4, most);
-  return Duration(pause(this->random));
+  const auto max = this->options.timing.heartbeat.count();
+  std::uniform_int_distribution<Duration::rep> delay(max / 4, max);
+  return Duration(delay(this->random));
 }
 
-// A candidate may be elected in this very term, so it does not count.
+// A candidate does not count as leaderless, since it may be elected in its current term.
 bool
 RaftCore::IsLeaderless() const
 {
-  const bool stands = this->role == RaftRole::Candidate || this->role == RaftRole::Leader;
-  return !this->hadLeader && !stands;
+  const bool isCandidateOrLeader =
+    this->role == RaftRole::Candidate || this->role == RaftRole::Leader;
+  return !this->hadLeader && !isCandidateOrLeader;
 }
 
-// All must say so in one term. A leader that is elected after a voter has answered has a later
-// term; so have the voters on which its lease rests, and they refuse this candidate.
+// Counts a voter that reported to be leaderless. All voters must report it in the same term: a
+// leader that is elected after a voter has answered has a later term, and so have the voters on
+// which its lease relies, so they refuse this candidate.
 void
 RaftCore::CountLeaderless(ReplicaId aVoter)
 {
@@ -124,9 +127,9 @@
 void
 RaftCore::ResetElectionTimer()
 {
-  const auto least = this->options.timing.electionTimeoutMin.count();
-  const auto most = this->options.timing.electionTimeoutMax.count();
-  std::uniform_int_distribution<Duration::rep> timeout(least, most);
+  const auto min = this->options.timing.electionTimeoutMin.count();
+  const auto max = this->options.timing.electionTimeoutMax.count();
+  std::uniform_int_distribution<Duration::rep> timeout(min, max);
   this->electionAt = this->clock.MonotonicNow() + Duration(timeout(this->random));
 }
 
@@ -149,12 +152,13 @@
 }
 
 void
-RaftCore::StartElection(bool aHandover, bool aAllLeaderless)
+RaftCore::StartElection(bool aTransfer, bool aAllLeaderless)
 {
   this->role = RaftRole::Candidate;
   this->leader = ReplicaId();
   this->ResetElectionTimer();
-  // Votes must be synced before they leave, so it stands a little longer than it waits to ask.
+  // Votes must be synced before they are sent, so the next check is delayed by half a heartbeat
+  // more than usual.
   this->nextLeaderlessCheck =
     this->clock.MonotonicNow() + this->options.timing.heartbeat / 2 + this->LeaderlessRetryDelay();
   this->hardState.term = this->hardState.term.Next();
@@ -162,10 +166,11 @@
   this->hardStateChanged = true;
   this->votes.clear();
   const VoteRequest request{
-    this->log.LastIndex(), this->log.LastTerm(), aHandover, aAllLeaderless
+    this->log.LastIndex(), this->log.LastTerm(), aTransfer, aAllLeaderless
   };
   this->SendToOtherVoters(request, true);
-  // Its own vote counts like any other: once it is synced, as a message to itself.
+  // Its own vote counts only once it is synced, like any other, so it is sent as a message to
+  // itself.
   this->SendWhenPersisted(this->options.replica, this->options.host, VoteAnswer{ true });
 }
 
@@ -279,15 +284,15 @@
 {
   const bool noLease = aBody.handover || (aBody.allLeaderless && !this->hadLeader);
   if (!noLease && this->HeardLeaderRecently()) {
-    // The leader may hold its lease: its term must not be disturbed.
+    // The leader may hold its lease, so its term must not be superseded.
     return;
   }
   if (aMessage.term > this->hardState.term) {
     this->BecomeFollower(aMessage.term, ReplicaId());
   }
-  const bool free =
+  const bool canVote =
     this->hardState.votedFor == ReplicaId() || this->hardState.votedFor == aMessage.from;
-  const bool granted = aMessage.term == this->hardState.term && free &&
+  const bool granted = aMessage.term == this->hardState.term && canVote &&
                        this->IsUpToDate(aBody.lastIndex, aBody.lastTerm);
   if (granted) {
     this->role = RaftRole::Follower;
@@ -404,7 +409,7 @@
     AgreementMessage message = std::move(this->deferred.front().message);
     this->deferred.pop_front();
     if (message.term < this->hardState.term) {
-      // It speaks of a term that is over.
+      // The message belongs to an earlier term.
       continue;
     }
     if (message.to == this->options.replica) {
--- a/src/coordination/RaftFollower.cpp
+++ b/src/coordination/RaftFollower.cpp
@@ -1,4 +1,4 @@
-// The follower's side of RaftCore: entries and snapshots that a leader sends.
+// Follower part of RaftCore: handles the entries and snapshots that a leader sends.
 #include <algorithm>
 #include <cassert>
 
@@ -29,7 +29,7 @@
   }
   this->AcceptLeader(aMessage);
   if (aBody.previousIndex < this->committed) {
-    // An old copy, or a leader that does not know yet how far this replica is.
+    // A late duplicate, or the leader does not know yet how far this replica's log is committed.
     answer.accepted = true;
     answer.index = this->committed;
   } else if (this->log.TermAt(aBody.previousIndex) != aBody.previousTerm) {
@@ -60,7 +60,8 @@
   }
 }
 
-// Entries above aLast are void, also in batches that are still being written.
+// Drops entries above aLast from the bookkeeping, including those in batches that are still being
+// written.
 void
 RaftCore::TruncatePending(LogIndex aLast)
 {
@@ -70,16 +71,16 @@
   }
 }
 
-// Skips back over the whole term that does not fit, so that the leader need not try each entry.
+// Skips all entries of the conflicting term, so that the leader need not probe each of them.
 LogIndex
 RaftCore::RetryHint(const AppendRequest& aBody) const
 {
   if (aBody.previousIndex > this->log.LastIndex()) {
     return this->log.LastIndex();
   }
-  const std::optional<Term> wrong = this->log.TermAt(aBody.previousIndex);
+  const std::optional<Term> conflictingTerm = this->log.TermAt(aBody.previousIndex);
   LogIndex hint = aBody.previousIndex;
-  while (hint > this->committed && this->log.TermAt(hint) == wrong) {
+  while (hint > this->committed && this->log.TermAt(hint) == conflictingTerm) {
     hint = LogIndex(hint.Value() - 1);
   }
   return hint;
@@ -94,7 +95,8 @@
   }
   this->AcceptLeader(aMessage);
   if (this->log.TermAt(aBody.index) == aBody.snapshotTerm) {
-    // The entries are here already, and later ones may be acknowledged: nothing is replaced.
+    // The log contains these entries already, and later ones may have been acknowledged, so the log
+    // must not be replaced.
     this->committed = std::max(this->committed, aBody.index);
   }
   if (aBody.index <= this->committed) {
@@ -128,7 +130,7 @@
   this->incomingSnapshot.clear();
   this->incomingIndex = LogIndex();
   if (!decoded || decoded.value().index != aBody.index) {
-    // Begun anew with the next heartbeat.
+    // The leader starts the transfer again with the next heartbeat.
     return;
   }
   const auto snapshot = std::make_shared<const Snapshot>(std::move(decoded.value()));
--- a/src/coordination/RaftLeader.cpp
+++ b/src/coordination/RaftLeader.cpp
@@ -1,4 +1,4 @@
-// The leader's side of RaftCore: what it sends, what counts as committed, its lease.
+// Leader part of RaftCore: replication, commitment and the leader lease.
 #include <algorithm>
 #include <cassert>
 #include <functional>
@@ -10,7 +10,7 @@
 namespace damasklink {
 namespace {
 
-// Entries that may be under way to one replica without an answer.
+// Maximum number of unacknowledged entries per replica.
 constexpr std::uint64_t kMaxInFlightEntries = 8192;
 
 std::uint64_t
@@ -29,7 +29,7 @@
 } // namespace
 
 Result<LogIndex>
-RaftCore::Propose(std::uint8_t aPart, ProposalId aProposal, std::string aCommand)
+RaftCore::Propose(std::uint8_t aMachineId, ProposalId aProposal, std::string aCommand)
 {
   if (this->role != RaftRole::Leader || this->transferringLeadership) {
     return Fail(ErrorKind::NotLeader,
@@ -38,7 +38,7 @@
   }
   LogEntry entry;
   entry.kind = EntryKind::Command;
-  entry.part = aPart;
+  entry.part = aMachineId;
   entry.proposal = aProposal;
   entry.command = std::move(aCommand);
   this->AppendAsLeader(std::move(entry));
@@ -67,7 +67,7 @@
   aEntry.index = this->log.LastIndex().Next();
   aEntry.term = this->hardState.term;
   aEntry.proposedAt = this->clock.WallNow();
-  // No calendar jump may take an entry behind its predecessor.
+  // The time of an entry never precedes that of its predecessor, even if the wall clock jumps back.
   if (this->log.LastIndex() > this->log.BaseIndex()) {
     aEntry.proposedAt = std::max(aEntry.proposedAt, this->log.At(this->log.LastIndex()).proposedAt);
   } else if (this->log.LastSnapshot() != nullptr) {
@@ -108,9 +108,9 @@
 RaftCore::SendNewEntries()
 {
   for (auto& [replica, peer] : this->progress) {
-    const bool room = peer.next.Value() - peer.match.Value() < kMaxInFlightEntries;
+    const bool hasRoom = peer.next.Value() - peer.match.Value() < kMaxInFlightEntries;
     const bool sendable = !peer.probing && this->HeardRecently(peer);
-    if (sendable && room && peer.next <= this->log.LastIndex()) {
+    if (sendable && hasRoom && peer.next <= this->log.LastIndex()) {
       this->SendAppend(replica, peer, false);
     }
   }
@@ -119,9 +119,9 @@
 void
 RaftCore::SendAppend(ReplicaId aTo, Progress& aProgress, bool aHeartbeat)
 {
-  const bool fresh = this->HeardRecently(aProgress);
+  const bool isResponsive = this->HeardRecently(aProgress);
   const bool needsSnapshot = aProgress.next <= this->log.BaseIndex();
-  if (needsSnapshot && fresh) {
+  if (needsSnapshot && isResponsive) {
     if (aHeartbeat || aProgress.snapshotBytes == nullptr) {
       this->SendSnapshotPiece(aTo, aProgress);
     }
@@ -133,8 +133,9 @@
   request.previousTerm = *this->log.TermAt(request.previousIndex);
   request.committed = this->committed;
   request.sentAt = EncodeSentAt(this->clock.MonotonicNow());
-  if (fresh && !needsSnapshot) {
-    // A silent replica gets heartbeats only, so that nothing piles up on the way to it.
+  if (isResponsive && !needsSnapshot) {
+    // A replica that does not answer gets only heartbeats, so that no entries queue up on the way
+    // to it.
     request.entries = this->log.From(aProgress.next, this->options.maxMessageBytes);
   }
   if (!aProgress.probing) {
@@ -174,7 +175,8 @@
   this->SendImmediately(aTo, aProgress.host, std::move(piece));
 }
 
-// Returns the member that answered a request of this term and notes that it did, or null.
+// Records that a member answered a request of this term and returns its progress, or null if the
+// answer does not count.
 RaftCore::Progress*
 RaftCore::RecordAnswer(const AgreementMessage& aMessage, std::uint64_t aSentAt)
 {
@@ -262,12 +264,12 @@
 {
   const auto reached = this->QuorumValue<LogIndex>(
     this->persistedIndex, [](const Progress& aPeer) { return aPeer.match; });
-  // Entries of earlier terms are committed only together with one of this term.
+  // Entries of earlier terms are committed only together with an entry of this term.
   if (reached > this->committed && this->log.TermAt(reached) == this->hardState.term) {
     this->committed = reached;
   }
   if (!this->IsVoter() && this->committed >= this->log.MembershipIndex()) {
-    // It has led its own removal to the end.
+    // The removal of this replica is committed, so it steps down.
     this->BecomeFollower(this->hardState.term, ReplicaId());
   }
 }
@@ -278,14 +280,15 @@
   const MonotonicTime now = this->clock.MonotonicNow();
   const auto heard =
     this->QuorumValue<MonotonicTime>(now, [](const Progress& aPeer) { return aPeer.heardAt; });
-  const bool handoverFailed = this->transferringLeadership && now >= this->transferDeadline;
+  const bool transferFailed = this->transferringLeadership && now >= this->transferDeadline;
   const bool quorumLost = now - heard >= this->options.timing.electionTimeoutMax;
-  if (handoverFailed || quorumLost || this->IsDiskHung()) {
+  if (transferFailed || quorumLost || this->IsDiskHung()) {
     this->BecomeFollower(this->hardState.term, ReplicaId());
   }
 }
 
-// A leader whose disk hangs could commit through the others but never answer anyone.
+// A leader whose disk hangs could commit entries through the other replicas but could never answer
+// a proposal.
 bool
 RaftCore::IsDiskHung() const
 {
@@ -313,7 +316,7 @@
 RaftCore::TransferLeadership()
 {
   if (this->role == RaftRole::Leader && this->log.NewestMembership().VoterCount() > 1) {
-    // Never taken back within this term: the message may arrive late.
+    // Not reset within this term, because TimeoutNow may arrive late.
     this->transferringLeadership = true;
     this->transferDeadline = this->clock.MonotonicNow() + this->options.timing.electionTimeoutMax;
     this->SendTimeoutNowWhenReady();
--- a/src/coordination/RaftLog.cpp
+++ b/src/coordination/RaftLog.cpp
@@ -45,14 +45,14 @@
 }
 
 std::vector<LogEntry>
-RaftLog::From(LogIndex aFirst, std::size_t aMostBytes) const
+RaftLog::From(LogIndex aFirst, std::size_t aMaxBytes) const
 {
   std::vector<LogEntry> taken;
   std::size_t bytes = 0;
   for (LogIndex index = aFirst; index <= this->LastIndex(); index = index.Next()) {
     const LogEntry& entry = this->At(index);
     bytes += entry.command.size();
-    if (!taken.empty() && bytes > aMostBytes) {
+    if (!taken.empty() && bytes > aMaxBytes) {
       break;
     }
     taken.push_back(entry);
--- a/test/coordination/GroupFormationTest.cpp
+++ b/test/coordination/GroupFormationTest.cpp
@@ -70,7 +70,7 @@
   EXPECT_TRUE(formation.Receive(From("c", 3, never), never).formWith.members.empty());
 }
 
-// A replica of host b that has never known its group.
+// A replica of host b that knows no formation.
 class EmptyReplicaTest : public ::testing::Test
 {
 protected:
@@ -92,8 +92,8 @@
   std::uint64_t nonce = 0;
 };
 
-// The founder of formation 8 answered, then lost its disk and asks for formation 9; its old answer
-// comes late.
+// The founder of formation 8 answered, then lost its disk and asks whether it may form formation 9.
+// Its old answer arrives late.
 TEST_F(EmptyReplicaTest, LateAnswerDoesNotAdoptALostFormation)
 {
   this->replica->Receive(From("a", 5, FormationQuery{ 77, FormationId(9) }));
--- a/test/coordination/GroupReplicaLeaseTest.cpp
+++ b/test/coordination/GroupReplicaLeaseTest.cpp
@@ -1,4 +1,4 @@
-// Whose lease a group that starts anew waits for, and whose not.
+// Which leases a restarted group must wait for.
 #include "damasklink/coordination/GroupReplica.h"
 
 #include <gtest/gtest.h>
@@ -10,16 +10,17 @@
 
 using testing::GroupCluster;
 
-// The cluster moves in steps of this length.
+// Length of a step of the cluster.
 constexpr Duration kStep = std::chrono::milliseconds(50);
 
-// A voter whose disk is gone is gone with it, and so is any lease of its: the replica that started
-// in its place says so.
+// A replica is lost with its disk, and so is any lease that it held; the replica that replaces it
+// reports so.
 TEST(GroupReplicaLeaseTest, ElectsBeforeElectionTimeoutWhenRestartedWithLostDisks)
 {
   constexpr std::size_t kLost = 2;
-  // Two that stand at once both lose, for all who are left must vote for one; then the timeouts of
-  // elections are waited for all the same.
+  // If two candidates stand at once, both lose, because all remaining voters must vote for the same
+  // one. Then the group waits for the election timeouts after all, which this number of seeds may
+  // do.
   constexpr std::uint64_t kSplitVotes = 1;
   constexpr std::uint64_t kSeeds = 10;
   std::uint64_t early = 0;
@@ -45,8 +46,8 @@
   EXPECT_GE(early, kSeeds - kSplitVotes);
 }
 
-// The voter that is missing holds a lease: it was cut off just before the others started anew. The
-// cluster asserts at each step that nobody commits in a later term meanwhile.
+// The missing voter holds a lease: it was isolated just before the others restarted. The cluster
+// asserts at each step that nobody commits in a later term while a lease is held.
 TEST(GroupReplicaLeaseTest, WaitsForLeaseOfAMissingVoter)
 {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
--- a/test/coordination/GroupReplicaTest.cpp
+++ b/test/coordination/GroupReplicaTest.cpp
@@ -13,7 +13,7 @@
 
 using testing::GroupCluster;
 
-// One event of a schedule; what the numbers mean depends on the kind.
+// One event of a schedule. The meaning of the numbers depends on the kind.
 struct Step
 {
   int kind = 0;
@@ -41,7 +41,7 @@
   return rc::gen::scale(kLonger, rc::gen::container<std::vector<Step>>(step));
 }
 
-// The names with "OnceMore" only make an event likelier.
+// Names with "OnceMore" only make an event more likely.
 enum StepKind
 {
   Run,
@@ -68,7 +68,7 @@
   LoseDiskOnceMore,
 };
 
-constexpr int kKinds = LoseDisk;
+constexpr int kKindsWithoutLostDisks = LoseDisk;
 constexpr int kKindsWithLostDisks = LoseDiskOnceMore + 1;
 
 void
@@ -136,7 +136,7 @@
   }
 }
 
-// Checks a property with many more cases than the default.
+// Checks a property with aTimes as many cases as the default.
 template<typename Property>
 void
 CheckOften(int aTimes, Property aProperty)
@@ -149,7 +149,7 @@
   EXPECT_TRUE(result.template is<rc::detail::SuccessResult>()) << text.str();
 }
 
-// Performs any schedule on a group that is at work, lets all heal and checks what must hold.
+// Runs a random schedule on a group, heals all failures and checks the invariants.
 void
 SurvivesAnySchedule(int aKinds)
 {
@@ -167,7 +167,7 @@
 
 TEST(GroupReplicaProperty, NothingAcknowledgedIsLostUnderAnySchedule)
 {
-  CheckOften(10, [] { SurvivesAnySchedule(kKinds); });
+  CheckOften(10, [] { SurvivesAnySchedule(kKindsWithoutLostDisks); });
 }
 
 TEST(GroupReplicaProperty, LostDisksThatAreRepairedLoseNothing)
@@ -175,7 +175,7 @@
   CheckOften(10, [] { SurvivesAnySchedule(kKindsWithLostDisks); });
 }
 
-// A group of three that has committed a few commands.
+// A group of three replicas that has committed a few commands.
 
 class GroupReplicaTest : public ::testing::Test
 {
@@ -217,8 +217,9 @@
   EXPECT_TRUE(cluster.IsWhole());
 }
 
-// A follower that was sent a snapshot got the entries too, and acknowledged more than the snapshot
-// covers before its last piece came. Found by seed 3 of the schedules.
+// A follower that gets a snapshot in pieces may also get the entries, and acknowledge later ones
+// than the snapshot covers, before its last piece arrives. Installing the snapshot then must not
+// drop them. Found by seed 3 of the random schedules.
 TEST(GroupReplicaSnapshotTest, LateSnapshotKeepsAcknowledgedEntries)
 {
   GroupCluster cluster(5, 0);
@@ -233,8 +234,8 @@
   cluster.HealAndCheck();
 }
 
-// The proposer was told "not taken", so a copy of that sending must stay without effect even when
-// the host leads by then.
+// The proposer was told that the attempt was refused, so a late duplicate of it must have no
+// effect, even if the host leads by then.
 TEST(GroupReplicaProposalTest, LateDuplicateOfARefusedAttemptIsDropped)
 {
   ManualClock clock;
@@ -269,8 +270,8 @@
   EXPECT_TRUE(cluster.Leader().has_value());
 }
 
-// The founder comes back with an empty disk while one that has the group's log is away: those left
-// must not found it a second time.
+// The founder returns with an empty disk while a host that has the group's log is down. The
+// remaining hosts must not form the group a second time.
 TEST_F(GroupReplicaTest, FormedGroupIsNotFormedAgain)
 {
   const FormationId formed = this->cluster.Core(0).Formation();
@@ -282,8 +283,8 @@
   EXPECT_EQ(this->cluster.Core(0).Formation(), formed);
 }
 
-// Host B has acknowledged a command that host C never saw, and loses its disk. Had B the same
-// identity still, B and C could elect C and the command would be lost.
+// One follower acknowledges a command that the other one never got, and then loses its disk. If it
+// kept its identity, the two could elect the one without the command, which would be lost.
 TEST_F(GroupReplicaTest, WipedHostDoesNotVoteWithItsFormerIdentity)
 {
   const std::size_t leader = this->Leader();
@@ -330,7 +331,8 @@
   EXPECT_FALSE(this->cluster.Core(old).LeaseHeld());
 }
 
-// After a loss of power everywhere no lease stands any more; callers wait for the election.
+// After a power failure of all hosts no lease is in force, so callers must not wait for one to
+// expire.
 TEST_F(GroupReplicaTest, ElectsBeforeElectionTimeoutWhenAllVotersRestart)
 {
   for (std::size_t node = 0; node < this->cluster.Size(); ++node) {
@@ -356,15 +358,16 @@
   EXPECT_EQ(this->cluster.Core(this->Leader()).CurrentTerm(), term);
 }
 
-// It can still send, so the others never miss its heartbeats: only it can notice.
+// The leader can still send, so the others keep getting its heartbeats; only the leader can notice
+// the failure.
 TEST_F(GroupReplicaTest, LeaderThatReceivesNothingStepsDown)
 {
-  const std::size_t deaf = this->Leader();
+  const std::size_t unreachable = this->Leader();
   for (std::size_t node = 0; node < this->cluster.Size(); ++node) {
-    this->cluster.Cut(node, deaf);
+    this->cluster.Cut(node, unreachable);
   }
   this->cluster.Run(std::chrono::seconds(10));
-  EXPECT_NE(this->Leader(), deaf);
+  EXPECT_NE(this->Leader(), unreachable);
 }
 
 TEST_F(GroupReplicaTest, TransfersLeadershipAtOnce)
@@ -402,7 +405,7 @@
   EXPECT_EQ(this->cluster.Acknowledged().size(), 4U);
 }
 
-// Whoever carries out the actions asks again until there are none.
+// The owner of a replica calls TakeActions() until it returns no more work.
 TEST_F(GroupReplicaTest, ActionsRunOutWhileAReplicaIsSilent)
 {
   const std::size_t leader = this->Leader();
@@ -429,7 +432,7 @@
 {
   const std::size_t before = this->cluster.MessagesSent();
   this->cluster.Run(std::chrono::seconds(10));
-  // Two followers, a heartbeat and its answer twice a second.
+  // Two followers, each with a heartbeat and its answer twice a second.
   EXPECT_LE(this->cluster.MessagesSent() - before, 2U * 2U * 2U * 10U + 4U);
 }
 
--- a/test/coordination/MembershipRepairTest.cpp
+++ b/test/coordination/MembershipRepairTest.cpp
@@ -15,13 +15,13 @@
 constexpr ReplicaId kNewDisk(4);
 constexpr ReplicaId kNewerDisk(5);
 
-// A leader that is its group's only voter; host "peer" is to vote too.
+// A leader that is the only voter of its group. Host "peer" is listed too.
 class MembershipRepairTest : public ::testing::Test
 {
 protected:
   MembershipRepairTest() { Settle(this->core); }
 
-  // Performs the next step, if there is one, and returns whether there was.
+  // Proposes and commits the next membership, if there is one, and returns whether there was.
   bool Step()
   {
     const auto next = this->repair.Next(this->core);
@@ -110,7 +110,7 @@
   EXPECT_FALSE(this->Step());
 }
 
-// As above, but hosts are learnt: any host that asks is taken in.
+// As above, but with discovery: any host may join.
 class DiscoveredMembershipTest : public MembershipRepairTest
 {
 protected:
@@ -118,7 +118,7 @@
 
   std::size_t Voters() const { return this->core.Log().NewestMembership().VoterCount(); }
 
-  // Takes in a host and lets it catch up.
+  // Adds a host and lets it catch up.
   void Join(const std::string& aHost, ReplicaId aReplica)
   {
     this->repair.OnJoinRequest(HostId(aHost), aReplica);
@@ -169,7 +169,7 @@
   this->joined = { kNewerDisk };
   this->Join("successor", kSuccessor);
   EXPECT_FALSE(this->Step());
-  // The voter of "stranger" is not heard any more.
+  // The voter of host "stranger" does not answer any more.
   this->clock.Advance(RaftTiming().electionTimeoutMax);
   this->AcknowledgeAll();
   ASSERT_TRUE(this->Step());
--- a/test/coordination/ProposalForwarderTest.cpp
+++ b/test/coordination/ProposalForwarderTest.cpp
@@ -25,7 +25,7 @@
                           });
   }
 
-  // Returns the only message that waits to be sent.
+  // Takes the only message to be sent.
   AgreementMessage Sent()
   {
     const auto messages = this->forwarder.TakeMessages();
@@ -33,7 +33,7 @@
     return messages.empty() ? AgreementMessage{} : messages.front();
   }
 
-  // Lets the host that got the message refuse it.
+  // Makes the host that got the message refuse the proposal.
   void Refuse(const AgreementMessage& aMessage, const HostId& aLeader = HostId())
   {
     const auto& proposal = std::get<ForwardedProposal>(aMessage.body);
@@ -79,7 +79,7 @@
   const HostId leader = first == kVoters[0] ? kVoters[1] : kVoters[0];
   this->forwarder.ReportLeader(kGroup, leader);
   EXPECT_EQ(this->Sent().toHost, leader);
-  // Once only: it may refuse.
+  // Not sent again when the same leader is reported again, since that leader may refuse.
   this->forwarder.ReportLeader(kGroup, leader);
   EXPECT_TRUE(this->forwarder.TakeMessages().empty());
 }
--- a/test/coordination/RaftCoreTest.cpp
+++ b/test/coordination/RaftCoreTest.cpp
@@ -14,7 +14,7 @@
 using testing::MessageFrom;
 using testing::Settle;
 
-// A clock whose calendar may jump back.
+// A clock whose wall time may jump back.
 class JumpingClock final : public Clock
 {
 public:
@@ -82,7 +82,7 @@
   EXPECT_EQ(std::get<AppendAnswer>(actions.messages[0].body).index, LogIndex(2));
 }
 
-// Makes the replica leader of term 2 by the votes of its peer. Its first entry is not synced yet.
+// Makes the replica leader of term 2 with the vote of its peer. Its first entry is not synced yet.
 void
 Elect(RaftCore& aCore, JumpingClock& aClock)
 {
@@ -113,7 +113,8 @@
   Elect(core, clock);
   Membership next = core.Log().NewestMembership();
   next.members.push_back(Member{ HostId("fourth"), ReplicaId(4), false });
-  // Nothing of its own term is committed yet: an older leader's change may still be under way.
+  // No entry of its own term is committed yet, so a change by an earlier leader may still be
+  // pending.
   EXPECT_FALSE(core.ProposeMembership(next));
   core.OnPersisted(core.TakeActions().persist->number);
   core.Receive(MessageFrom(kPeer, Term(2), AppendAnswer{ true, LogIndex(2), LogIndex(1), 0 }));
@@ -121,7 +122,8 @@
   EXPECT_FALSE(core.ProposeMembership(next));
 }
 
-// Raft, figure 8: an entry of an earlier term on a majority may still be overwritten.
+// Figure 8 of the Raft paper: an entry of an earlier term may be overwritten although a majority
+// has it.
 TEST(RaftCoreTest, EarlierTermEntriesAreCommittedOnlyWithACurrentTermEntry)
 {
   JumpingClock clock;
@@ -146,7 +148,7 @@
   EXPECT_EQ(core.CurrentTerm(), Term(2));
 }
 
-// Other voters have said that there is no lease, but this one has heard of it since.
+// The other voters reported that no lease is in force, but this one has heard a leader since.
 TEST(RaftCoreTest, VoterThatHeardALeaderRefusesAllLeaderlessElection)
 {
   JumpingClock clock;
