--- a/include/damasklink/coordination/ControlHostSelector.h
+++ b/include/damasklink/coordination/ControlLinks.h
@@ -1,8 +1,8 @@
 // Selects the control hosts that an entry host keeps connections to.
 //
-//   ControlHostSelector selector(ownHost, ownZone);
-//   selector.AddHost(host, zone);
-//   for (const HostId& host : selector.Select(isHealthy)) { ... }   // Connect to these.
+//   ControlLinks links(ownHost, ownZone);
+//   links.AddHost(host, zone);
+//   for (const HostId& host : links.Select(isHealthy)) { ... }   // Connect to these.
 //
 // Selects two hosts of the entry host's own zone, where traffic is cheap and which stay reachable
 // if the zone is isolated, and one host of another zone, which reports changes when those of the
@@ -18,14 +18,14 @@
 
 namespace damasklink {
 
-class ControlHostSelector
+class ControlLinks
 {
 public:
   // Three, since one host may be down and another may lag behind.
-  static constexpr std::size_t kHealthyConnections = 3;
+  static constexpr std::size_t kHealthyLinks = 3;
   static constexpr std::size_t kMaxInOwnZone = 2;
 
-  ControlHostSelector(HostId aSelf, ZoneId aZone)
+  ControlLinks(HostId aSelf, ZoneId aZone)
     : self(std::move(aSelf))
     , zone(std::move(aZone))
   {
@@ -37,14 +37,14 @@
   // Adds several hosts. Returns whether aHosts has any.
   bool AddHosts(const ControlHostZones& aHosts);
 
-  const ControlHostZones& KnownHosts() const { return this->known; }
+  const ControlHostZones& Known() const { return this->known; }
 
-  // Returns the hosts to keep connections to, in order of preference, until kHealthyConnections of
+  // Returns the hosts to keep connections to, in order of preference, until kHealthyLinks of
   // them are healthy or none is left.
   std::vector<HostId> Select(const std::function<bool(const HostId&)>& aIsHealthy) const;
 
 private:
-  std::vector<HostId> HostsByPreference() const;
+  std::vector<HostId> ByPreference() const;
 
   HostId self;
   ZoneId zone;
--- a/include/damasklink/coordination/GroupStateMachines.h
+++ b/include/damasklink/coordination/GroupStateMachines.h
@@ -41,7 +41,7 @@
   // Applies one entry. Returns nothing for entries that are not commands.
   std::optional<AppliedProposal> Apply(const LogEntry& aEntry);
 
-  // Returns the stored answer of an applied proposal.
+  // Returns the kept answer of an applied proposal.
   std::optional<std::string> FindAnswer(const ProposalId& aProposal) const
   {
     return this->sessions.Find(aProposal);
--- a/include/damasklink/coordination/HostRegistry.h
+++ b/include/damasklink/coordination/HostRegistry.h
@@ -33,10 +33,10 @@
   // whether the host is new.
   bool AddControlHost(const HostId& aHost, const ZoneId& aZone);
 
-  // Returns the other control hosts.
+  // The other control hosts.
   const ControlHostZones& ControlHosts() const { return this->controlHosts; }
 
-  // Returns all control hosts, including this one.
+  // All control hosts, this one among them.
   ControlHostZones AllControlHosts() const;
 
   // Returns whether control hosts or their zones were added or changed since the last call.
@@ -51,7 +51,7 @@
   // Sets the list of entry hosts that are connected to another control host.
   void SetEntryHostsOf(const HostId& aFrom, const EntryHostList& aList);
 
-  // Returns the entry hosts that are connected to this control host.
+  // Entry hosts that are connected to this control host.
   const std::set<HostId>& EntryHosts() const { return this->entryHosts; }
   // Returns the same hosts as a message to other control hosts.
   EntryHostList MakeEntryHostList() const;
--- a/src/coordination/ControlHostSelector.cpp
+++ b/src/coordination/ControlLinks.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ControlHostSelector.h"
+#include "damasklink/coordination/ControlLinks.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 namespace damasklink {
 
 void
-ControlHostSelector::AddHost(const HostId& aHost, const ZoneId& aZone)
+ControlLinks::AddHost(const HostId& aHost, const ZoneId& aZone)
 {
   ZoneId& knownZone = this->known[aHost];
   if (!aZone.Empty()) {
@@ -17,7 +17,7 @@
 }
 
 bool
-ControlHostSelector::AddHosts(const ControlHostZones& aHosts)
+ControlLinks::AddHosts(const ControlHostZones& aHosts)
 {
   for (const auto& [host, hostZone] : aHosts) {
     this->AddHost(host, hostZone);
@@ -26,7 +26,7 @@
 }
 
 std::vector<HostId>
-ControlHostSelector::HostsByPreference() const
+ControlLinks::ByPreference() const
 {
   std::vector<HostId> near;
   std::vector<HostId> far;
@@ -44,12 +44,12 @@
 }
 
 std::vector<HostId>
-ControlHostSelector::Select(const std::function<bool(const HostId&)>& aIsHealthy) const
+ControlLinks::Select(const std::function<bool(const HostId&)>& aIsHealthy) const
 {
   std::vector<HostId> selected;
   std::size_t healthy = 0;
-  for (const HostId& host : this->HostsByPreference()) {
-    if (healthy >= kHealthyConnections) {
+  for (const HostId& host : this->ByPreference()) {
+    if (healthy >= kHealthyLinks) {
       break;
     }
     selected.push_back(host);
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -9,7 +9,7 @@
 #include "ConfigurationFeed.h"
 #include "Exchange.h"
 #include "MetricsPage.h"
-#include "damasklink/coordination/ControlHostSelector.h"
+#include "damasklink/coordination/ControlLinks.h"
 #include "damasklink/coordination/HubChoice.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
 #include "damasklink/protocol/ServingCodec.h"
@@ -170,7 +170,7 @@
   ChannelListener callers{ this->loop };
   ChannelListener probes{ this->loop };
   Channels open;
-  ControlHostSelector links{ this->settings.host, this->settings.zone };
+  ControlLinks links{ this->settings.host, this->settings.zone };
   // The control host that is told what this host has where.
   HubChoice hub{ this->clock, this->settings.zone };
   bool wasReady = false;
@@ -342,7 +342,7 @@
 EntryHost::Impl::HubCandidates() const
 {
   std::vector<HubCandidate> candidates;
-  for (const auto& [host, zone] : this->links.KnownHosts()) {
+  for (const auto& [host, zone] : this->links.Known()) {
     if (this->picture.HasSpoken(host)) {
       candidates.push_back(HubCandidate{ host, zone, this->picture.IsGood(host) });
     }
@@ -434,10 +434,10 @@
     this->mesh.Dial(host);
   }
   const auto good = std::count_if(wanted.begin(), wanted.end(), isGood);
-  if (static_cast<std::size_t>(good) < ControlHostSelector::kHealthyConnections) {
+  if (static_cast<std::size_t>(good) < ControlLinks::kHealthyLinks) {
     return;
   }
-  for (const auto& [host, zone] : this->links.KnownHosts()) {
+  for (const auto& [host, zone] : this->links.Known()) {
     if (std::find(wanted.begin(), wanted.end(), host) == wanted.end()) {
       this->mesh.Hang(host);
     }
--- a/test/coordination/ControlHostSelectorTest.cpp
+++ b/test/coordination/ControlLinksTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ControlHostSelector.h"
+#include "damasklink/coordination/ControlLinks.h"
 
 #include <algorithm>
 #include <set>
@@ -8,10 +8,10 @@
 namespace damasklink {
 namespace {
 
-class ControlHostSelectorTest : public testing::Test
+class ControlLinksTest : public testing::Test
 {
 protected:
-  ControlHostSelectorTest()
+  ControlLinksTest()
   {
     for (const std::string zone : { "a", "b", "c", "d" }) {
       for (const std::string number : { "1", "2" }) {
@@ -32,38 +32,38 @@
     return std::find(wanted.begin(), wanted.end(), HostId(aHost)) != wanted.end();
   }
 
-  ControlHostSelector links{ HostId("e"), ZoneId("b") };
+  ControlLinks links{ HostId("e"), ZoneId("b") };
   std::set<std::string> bad;
 };
 
-TEST_F(ControlHostSelectorTest, PrefersOwnZoneAndOneHostOfAnother)
+TEST_F(ControlLinksTest, PrefersOwnZoneAndOneHostOfAnother)
 {
-  EXPECT_EQ(this->Wanted().size(), ControlHostSelector::kHealthyConnections);
+  EXPECT_EQ(this->Wanted().size(), ControlLinks::kHealthyLinks);
   EXPECT_TRUE(this->Wants("b1"));
   EXPECT_TRUE(this->Wants("b2"));
 }
 
-TEST_F(ControlHostSelectorTest, SelectsAnotherHostBesideAnUnhealthyOne)
+TEST_F(ControlLinksTest, SelectsAnotherHostBesideAnUnhealthyOne)
 {
   this->bad = { "b1" };
-  EXPECT_EQ(this->Wanted().size(), ControlHostSelector::kHealthyConnections + 1);
+  EXPECT_EQ(this->Wanted().size(), ControlLinks::kHealthyLinks + 1);
   EXPECT_TRUE(this->Wants("b1")) << "it may come back";
 }
 
-TEST_F(ControlHostSelectorTest, SelectsAllHostsWhenNoneIsHealthy)
+TEST_F(ControlLinksTest, SelectsAllHostsWhenNoneIsHealthy)
 {
-  for (const auto& [host, zone] : this->links.KnownHosts()) {
+  for (const auto& [host, zone] : this->links.Known()) {
     this->bad.insert(host.Value());
   }
   EXPECT_EQ(this->Wanted().size(), 8U);
 }
 
-TEST_F(ControlHostSelectorTest, SpreadsEntryHostsOverOtherZones)
+TEST_F(ControlLinksTest, SpreadsEntryHostsOverOtherZones)
 {
   std::set<HostId> others;
   for (int number = 0; number < 40; ++number) {
-    ControlHostSelector other(HostId("e" + std::to_string(number)), ZoneId("b"));
-    for (const auto& [host, zone] : this->links.KnownHosts()) {
+    ControlLinks other(HostId("e" + std::to_string(number)), ZoneId("b"));
+    for (const auto& [host, zone] : this->links.Known()) {
       other.AddHost(host, zone);
     }
     others.insert(other.Select([](const HostId&) { return true; }).back());
@@ -71,10 +71,10 @@
   EXPECT_EQ(others.size(), 6U);
 }
 
-TEST_F(ControlHostSelectorTest, EmptyZoneKeepsTheKnownOne)
+TEST_F(ControlLinksTest, EmptyZoneKeepsTheKnownOne)
 {
   this->links.AddHost(HostId("b1"), ZoneId());
-  EXPECT_EQ(this->links.KnownHosts().at(HostId("b1")), ZoneId("b"));
+  EXPECT_EQ(this->links.Known().at(HostId("b1")), ZoneId("b"));
 }
 
 } // namespace
