--- a/include/damasklink/coordination/AgreementMessage.h
+++ b/include/damasklink/coordination/AgreementMessage.h
@@ -101,7 +101,7 @@
   bool operator==(const SnapshotAnswer&) const = default;
 };
 
-// Tells a voter to start an election at once, because the leader gives up its office.
+// Tells a voter to start an election at once, because the leader transfers its leadership.
 struct TimeoutNow
 {
   bool operator==(const TimeoutNow&) const = default;
--- a/include/damasklink/coordination/RaftCore.h
+++ b/include/damasklink/coordination/RaftCore.h
@@ -22,8 +22,8 @@
 {
   Duration heartbeat = std::chrono::milliseconds(500);
   // Bounds of the random election timeout. A replica that heard its leader within the minimum votes
-  // for no other candidate. The leader's lease is a tenth shorter than the minimum, which tolerates
-  // clocks whose rates differ by that much.
+  // for no other candidate, unless that leader transfers its leadership. The leader's lease is a
+  // tenth shorter than the minimum, which tolerates clocks whose rates differ by that much.
   Duration electionTimeoutMin = std::chrono::milliseconds(1000);
   Duration electionTimeoutMax = std::chrono::milliseconds(2000);
 };
--- a/src/coordination/GroupReplica.cpp
+++ b/src/coordination/GroupReplica.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kJoinInterval = std::chrono::seconds(1);
-// Pending answers are dropped after this time. Proposers wait for half of it at most (kMaxTimeout
+// Pending answers older than this are dropped. Proposers wait for half of it at most (kMaxTimeout
 // in ProposalForwarder.cpp).
 constexpr Duration kMaxWait = std::chrono::minutes(10);
 
--- a/test/coordination/GroupFormationTest.cpp
+++ b/test/coordination/GroupFormationTest.cpp
@@ -63,11 +63,11 @@
 {
   ManualClock clock;
   GroupFormation formation(clock, Member{ HostId("b"), ReplicaId(2), true }, kListed, 1);
-  const GroupFormation::Outcome asked = formation.Tick();
-  EXPECT_EQ(asked.query.proposed, FormationId());
-  const FormationAnswer never{ asked.query.nonce, {} };
-  formation.Receive(From("a", 1, never), never);
-  EXPECT_TRUE(formation.Receive(From("c", 3, never), never).formWith.members.empty());
+  const GroupFormation::Outcome outcome = formation.Tick();
+  EXPECT_EQ(outcome.query.proposed, FormationId());
+  const FormationAnswer neverFormed{ outcome.query.nonce, {} };
+  formation.Receive(From("a", 1, neverFormed), neverFormed);
+  EXPECT_TRUE(formation.Receive(From("c", 3, neverFormed), neverFormed).formWith.members.empty());
 }
 
 // A replica of host b that knows no formation.
--- a/test/coordination/HostMembershipTest.cpp
+++ b/test/coordination/HostMembershipTest.cpp
@@ -51,7 +51,7 @@
   this->clock.Advance(HostMembership::kFailureTimeout);
   beat.sequence = Sequence(2);
   this->membership.OnHeartbeat(HostId("b"), beat);
-  EXPECT_FALSE(this->membership.IsUp(HostId("c"))) << "the same sighting again is no news";
+  EXPECT_FALSE(this->membership.IsUp(HostId("c"))) << "a repeated sighting is not a sign of life";
 }
 
 TEST_F(HostMembershipTest, LeavingPersistsUntilNextIncarnation)
