--- a/include/damasklink/coordination/ProposalForwarder.h
+++ b/include/damasklink/coordination/ProposalForwarder.h
@@ -18,7 +18,7 @@
 // resent as long as the proposer waits for the answer. Not thread-safe.
 //
 //   ProposalForwarder forwarder(clock, host, proposer);
-//   forwarder.Start(group, voters, part, command, timeout, done);
+//   forwarder.Start(group, voters, machineId, command, timeout, done);
 //   forwarder.Tick();
 //   for (AgreementMessage& message : forwarder.TakeMessages()) { ... }
 class ProposalForwarder
@@ -55,7 +55,7 @@
 private:
   struct Pending
   {
-    StateMachineId part;
+    StateMachineId machineId;
     std::string command;
     ProposalDone done;
     MonotonicTime deadline;
--- a/src/coordination/ProposalForwarder.cpp
+++ b/src/coordination/ProposalForwarder.cpp
@@ -59,7 +59,7 @@
   state.voters = aVoters;
   state.lastSequence = state.lastSequence.Next();
   Pending& pending = state.pending[state.lastSequence];
-  pending.part = aMachineId;
+  pending.machineId = aMachineId;
   pending.command = std::move(aCommand);
   pending.done = std::move(aDone);
   pending.deadline = this->clock.MonotonicNow() + std::min<Duration>(aTimeout, kMaxTimeout);
@@ -80,7 +80,7 @@
   aPending.nextAttempt = this->clock.MonotonicNow() + kAttemptTimeout;
   ForwardedProposal proposal;
   proposal.attempt = this->lastAttempt;
-  proposal.part = static_cast<std::uint8_t>(aPending.part);
+  proposal.part = static_cast<std::uint8_t>(aPending.machineId);
   proposal.proposal = ProposalId{ this->proposer, aSequence, aState.pending.begin()->first };
   proposal.command = aPending.command;
   AgreementMessage message;
