--- a/include/damasklink/coordination/ControlLinks.h
+++ b/include/damasklink/coordination/ControlLinks.h
@@ -1,13 +1,13 @@
-// Which control hosts an entry host keeps connections to.
+// Selects the control hosts that an entry host keeps connections to.
 //
 //   ControlLinks links(ownHost, ownZone);
-//   links.Know(host, zone);
-//   for (const HostId& host : links.Wanted(isGood)) { ... }   // Connect to these.
+//   links.AddHost(host, zone);
+//   for (const HostId& host : links.Select(isHealthy)) { ... }   // Connect to these.
 //
-// Two of its own zone, where bytes are cheap and which it can reach when the zone is cut off, and
-// one of another zone, which tells of changes when the own ones cannot; entry hosts spread over
-// those. As long as one of these is not good (down, or without a leader), a further one is wanted
-// beside it. Not thread-safe.
+// Selects two hosts of the entry host's own zone, where traffic is cheap and which stay reachable
+// if the zone is isolated, and one host of another zone, which reports changes when those of the
+// own zone cannot. Entry hosts spread over the hosts of other zones. For each selected host that is
+// not healthy (down or without a leader), another one is selected in addition. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -21,9 +21,9 @@
 class ControlLinks
 {
 public:
-  // One may be down and another behind.
-  static constexpr std::size_t kGoodLinks = 3;
-  static constexpr std::size_t kMostInOwnZone = 2;
+  // Three, since one host may be down and another may lag behind.
+  static constexpr std::size_t kHealthyLinks = 3;
+  static constexpr std::size_t kMaxInOwnZone = 2;
 
   ControlLinks(HostId aSelf, ZoneId aZone)
     : self(std::move(aSelf))
@@ -31,17 +31,17 @@
   {
   }
 
-  // Tells of a control host; an empty zone is not known and changes nothing that is.
-  void Know(const HostId& aHost, const ZoneId& aZone);
+  // Adds a control host. An empty zone means unknown and does not replace a known one.
+  void AddHost(const HostId& aHost, const ZoneId& aZone);
 
-  // Tells of several. Returns whether there were any.
-  bool KnowAll(const ControlHostZones& aHosts);
+  // Adds several hosts. Returns whether aHosts has any.
+  bool AddHosts(const ControlHostZones& aHosts);
 
   const ControlHostZones& Known() const { return this->known; }
 
-  // Returns the hosts to keep connections to, the preferred ones first, until kGoodLinks of them
-  // are good or none is left.
-  std::vector<HostId> Wanted(const std::function<bool(const HostId&)>& aIsGood) const;
+  // Returns the hosts to keep connections to, in order of preference, until kHealthyLinks of
+  // them are healthy or none is left.
+  std::vector<HostId> Select(const std::function<bool(const HostId&)>& aIsHealthy) const;
 
 private:
   std::vector<HostId> ByPreference() const;
--- a/src/coordination/ControlLinks.cpp
+++ b/src/coordination/ControlLinks.cpp
@@ -8,19 +8,19 @@
 namespace damasklink {
 
 void
-ControlLinks::Know(const HostId& aHost, const ZoneId& aZone)
+ControlLinks::AddHost(const HostId& aHost, const ZoneId& aZone)
 {
-  ZoneId& held = this->known[aHost];
+  ZoneId& knownZone = this->known[aHost];
   if (!aZone.Empty()) {
-    held = aZone;
+    knownZone = aZone;
   }
 }
 
 bool
-ControlLinks::KnowAll(const ControlHostZones& aHosts)
+ControlLinks::AddHosts(const ControlHostZones& aHosts)
 {
   for (const auto& [host, hostZone] : aHosts) {
-    this->Know(host, hostZone);
+    this->AddHost(host, hostZone);
   }
   return !aHosts.empty();
 }
@@ -31,10 +31,10 @@
   std::vector<HostId> near;
   std::vector<HostId> far;
   for (const auto& [host, hostZone] : this->known) {
-    const bool own = hostZone == this->zone && near.size() < kMostInOwnZone;
+    const bool own = hostZone == this->zone && near.size() < kMaxInOwnZone;
     (own ? near : far).push_back(host);
   }
-  // Another order for each entry host, so that their connections spread.
+  // Each entry host has its own order, so that their connections spread.
   std::sort(far.begin(), far.end(), [this](const HostId& aLeft, const HostId& aRight) {
     return ShortHash(Concat(this->self.Value(), "/", aLeft.Value())) <
            ShortHash(Concat(this->self.Value(), "/", aRight.Value()));
@@ -44,18 +44,18 @@
 }
 
 std::vector<HostId>
-ControlLinks::Wanted(const std::function<bool(const HostId&)>& aIsGood) const
+ControlLinks::Select(const std::function<bool(const HostId&)>& aIsHealthy) const
 {
-  std::vector<HostId> wanted;
-  std::size_t good = 0;
+  std::vector<HostId> selected;
+  std::size_t healthy = 0;
   for (const HostId& host : this->ByPreference()) {
-    if (good >= kGoodLinks) {
+    if (healthy >= kHealthyLinks) {
       break;
     }
-    wanted.push_back(host);
-    good += aIsGood(host) ? 1 : 0;
+    selected.push_back(host);
+    healthy += aIsHealthy(host) ? 1 : 0;
   }
-  return wanted;
+  return selected;
 }
 
 } // namespace damasklink
--- a/src/coordination/MembershipRepair.cpp
+++ b/src/coordination/MembershipRepair.cpp
@@ -5,15 +5,16 @@
 namespace damasklink {
 namespace {
 
-// A learner this close to the leader's commitment catches up within the change itself.
-constexpr std::uint64_t kCaughtUpWithin = 256;
+// A learner that lags the leader's commit index by at most this many entries counts as caught up;
+// it gets the rest while the membership change is committed.
+constexpr std::uint64_t kMaxCatchUpLag = 256;
 
 bool
 IsCaughtUp(const Member& aMember, const RaftCore& aCore)
 {
   const LogIndex match = aCore.MatchOf(aMember.replica);
-  return match > LogIndex() && aCore.HeardFrom(aMember.replica) &&
-         match.Value() + kCaughtUpWithin >= aCore.Committed().Value();
+  return match > LogIndex() && aCore.HeardRecentlyFrom(aMember.replica) &&
+         match.Value() + kMaxCatchUpLag >= aCore.Committed().Value();
 }
 
 } // namespace
@@ -21,12 +22,12 @@
 bool
 MembershipRepair::IsListed(const HostId& aHost) const
 {
-  return this->mostVoters.has_value() ||
+  return this->maxVoters.has_value() ||
          std::find(this->listed.begin(), this->listed.end(), aHost) != this->listed.end();
 }
 
 void
-MembershipRepair::NoteJoin(const HostId& aHost, ReplicaId aReplica)
+MembershipRepair::OnJoinRequest(const HostId& aHost, ReplicaId aReplica)
 {
   if (this->IsListed(aHost)) {
     this->joining[aHost] = aReplica;
@@ -49,33 +50,33 @@
   return this->AddLearner(now);
 }
 
-// Whether one voter more makes the group stronger: always for a listed host. Where hosts are
-// learnt, an even number of voters bears no more losses than the odd one below it, so voters are
-// added in pairs, and one alone only in place of a voter that is silent.
+// Returns whether another voter makes the group tolerate more failures. A listed host always does.
+// If hosts are discovered, an even number of voters tolerates no more failures than the odd number
+// below it, so voters are added in pairs, or one at a time to replace a voter that does not answer.
 bool
-MembershipRepair::MayVote(const Membership& aNow, const RaftCore& aCore) const
+MembershipRepair::MayAddVoter(const Membership& aNow, const RaftCore& aCore) const
 {
-  if (!this->mostVoters) {
+  if (!this->maxVoters) {
     return true;
   }
   const std::size_t voters = aNow.VoterCount();
   if (voters % 2 == 0) {
-    return voters < *this->mostVoters;
+    return voters < *this->maxVoters;
   }
   const auto& members = aNow.members;
   const bool voterSilent = std::any_of(members.begin(), members.end(), [&](const Member& aMember) {
-    return aMember.voter && !aCore.HeardFrom(aMember.replica);
+    return aMember.voter && !aCore.HeardRecentlyFrom(aMember.replica);
   });
   const auto ready = std::count_if(members.begin(), members.end(), [&](const Member& aMember) {
     return !aMember.voter && IsCaughtUp(aMember, aCore);
   });
-  return voterSilent || (ready >= 2 && voters + 2 <= *this->mostVoters);
+  return voterSilent || (ready >= 2 && voters + 2 <= *this->maxVoters);
 }
 
 std::optional<Membership>
 MembershipRepair::Promote(const Membership& aNow, const RaftCore& aCore) const
 {
-  if (!this->MayVote(aNow, aCore)) {
+  if (!this->MayAddVoter(aNow, aCore)) {
     return std::nullopt;
   }
   for (std::size_t position = 0; position < aNow.members.size(); ++position) {
@@ -89,7 +90,8 @@
   return std::nullopt;
 }
 
-// Removes the older of two voters on one host; the younger one stands behind it.
+// Removes the former replica of a host that has a newer voter. New members are appended, so the
+// newer one comes later in the list.
 std::optional<Membership>
 MembershipRepair::RemoveReplaced(const Membership& aNow) const
 {
@@ -106,18 +108,19 @@
   return std::nullopt;
 }
 
-// A silent host that the settings do not list any more will not come back. One that still answers
-// stays: the settings of this host may be the wrong ones. Where hosts are learnt, a silent voter
-// stays until its successor votes and makes the number even: it may hold what was acknowledged.
+// Removes a host that does not answer and is no longer listed. A host that still answers stays,
+// since the settings of this host may be the wrong ones. If hosts are discovered, a voter that does
+// not answer stays until its successor votes and makes the number of voters even, because it may
+// hold acknowledged entries.
 std::optional<Membership>
 MembershipRepair::RemoveRetired(const Membership& aNow, const RaftCore& aCore) const
 {
-  const bool tooManyVoters = this->mostVoters && aNow.VoterCount() % 2 == 0;
+  const bool tooManyVoters = this->maxVoters && aNow.VoterCount() % 2 == 0;
   const auto retired =
     std::find_if(aNow.members.begin(), aNow.members.end(), [&](const Member& aMember) {
       const bool surplus =
-        this->mostVoters ? !aMember.voter || tooManyVoters : !this->IsListed(aMember.host);
-      return surplus && !aCore.HeardFrom(aMember.replica);
+        this->maxVoters ? !aMember.voter || tooManyVoters : !this->IsListed(aMember.host);
+      return surplus && !aCore.HeardRecentlyFrom(aMember.replica);
     });
   if (retired == aNow.members.end()) {
     return std::nullopt;
@@ -137,7 +140,7 @@
   }
   const auto& [host, replica] = *this->joining.begin();
   Membership next = aNow;
-  // A learner of the same host was lost before it was caught up.
+  // The host's former learner was lost before it caught up.
   const auto lost = std::find_if(
     next.members.begin(), next.members.end(), [&, &joiningHost = host](const Member& aMember) {
       return aMember.host == joiningHost && !aMember.voter;
--- a/src/coordination/RaftCore.cpp
+++ b/src/coordination/RaftCore.cpp
@@ -14,19 +14,20 @@
   , hardState(aRecovered.hardState)
 {
   this->committed = this->log.BaseIndex();
-  this->handedOut = this->log.BaseIndex();
+  this->deliveredIndex = this->log.BaseIndex();
   this->persistedIndex = this->log.LastIndex();
-  this->unwrittenFrom = this->log.LastIndex().Next();
-  this->toInstall = aRecovered.snapshot;
-  // It may have promised a leader its loyalty just before the restart.
+  this->firstUnwritten = this->log.LastIndex().Next();
+  this->snapshotToInstall = aRecovered.snapshot;
+  // It may have acknowledged a leader just before the restart, and that leader's lease relies on
+  // this replica not voting for another one.
   this->startedAt = this->clock.MonotonicNow();
   this->leaderHeardAt = this->startedAt;
-  this->nextLeaderlessAsk = this->startedAt + this->LeaderlessPause();
+  this->nextLeaderlessCheck = this->startedAt + this->LeaderlessRetryDelay();
   this->ResetElectionTimer();
 }
 
 void
-RaftCore::Found(FormationId aFormation, const Membership& aVoters)
+RaftCore::FormGroup(FormationId aFormation, const Membership& aVoters)
 {
   assert(this->log.LastIndex() == LogIndex());
   this->hardState.formation = aFormation;
@@ -36,11 +37,11 @@
   LogEntry entry;
   entry.kind = EntryKind::Membership;
   entry.membership = aVoters;
-  this->AppendOwn(std::move(entry));
+  this->AppendAsLeader(std::move(entry));
 }
 
 void
-RaftCore::Adopt(FormationId aFormation)
+RaftCore::AdoptFormation(FormationId aFormation)
 {
   assert(this->log.LastIndex() == LogIndex());
   // Term and vote stay: no formation may get a second vote in one term.
@@ -65,49 +66,51 @@
     }
     return;
   }
-  const bool alone =
+  const bool isOnlyVoter =
     this->role == RaftRole::Follower && this->log.NewestMembership().VoterCount() == 1;
-  if (this->IsVoter() && (now >= this->electionAt || alone)) {
+  if (this->IsVoter() && (now >= this->electionAt || isOnlyVoter)) {
     this->StartPreVote();
   } else if (this->IsVoter() && !this->hadLeader) {
-    this->AskWhileLeaderless();
+    this->CheckAllLeaderless();
   }
 }
 
-// A group that starts anew as a whole, after a loss of power, need not wait until the lease of a
-// leader that is gone would have ended: once all voters say that they have neither led nor heard a
-// leader since they started, there is no lease. Voters ask each other at random times, so that two
-// seldom stand for election at once; one that stands and does not win asks again.
+// When all voters of a group restart, for instance after a power failure, they need not wait for
+// the lease of the former leader to expire: once all of them report that they have neither led nor
+// heard a leader since they started, no lease is in force. Voters ask each other at random times,
+// so that rarely two of them stand for election at once. A candidate that does not win asks again.
 void
-RaftCore::AskWhileLeaderless()
+RaftCore::CheckAllLeaderless()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  const bool young = now - this->startedAt < this->options.timing.electionMost;
-  if (!young || now < this->nextLeaderlessAsk) {
+  const bool startedRecently = now - this->startedAt < this->options.timing.electionTimeoutMax;
+  if (!startedRecently || now < this->nextLeaderlessCheck) {
     return;
   }
-  this->nextLeaderlessAsk = now + this->LeaderlessPause();
+  this->nextLeaderlessCheck = now + this->LeaderlessRetryDelay();
   this->StartPreVote();
 }
 
 Duration
-RaftCore::LeaderlessPause()
+RaftCore::LeaderlessRetryDelay()
 {
-  const auto most = this->options.timing.heartbeat.count();
-  std::uniform_int_distribution<Duration::rep> pause(most / 4, most);
-  return Duration(pause(this->random));
+  const auto max = this->options.timing.heartbeat.count();
+  std::uniform_int_distribution<Duration::rep> delay(max / 4, max);
+  return Duration(delay(this->random));
 }
 
-// A candidate may be elected in this very term, so it does not count.
+// A candidate does not count as leaderless, since it may be elected in its current term.
 bool
 RaftCore::IsLeaderless() const
 {
-  const bool stands = this->role == RaftRole::Candidate || this->role == RaftRole::Leader;
-  return !this->hadLeader && !stands;
+  const bool isCandidateOrLeader =
+    this->role == RaftRole::Candidate || this->role == RaftRole::Leader;
+  return !this->hadLeader && !isCandidateOrLeader;
 }
 
-// All must say so in one term. A leader that is elected after a voter has answered has a later
-// term; so have the voters on which its lease rests, and they refuse this candidate.
+// Counts a voter that reported to be leaderless. All voters must report it in the same term: a
+// leader that is elected after a voter has answered has a later term, and so have the voters on
+// which its lease relies, so they refuse this candidate.
 void
 RaftCore::CountLeaderless(ReplicaId aVoter)
 {
@@ -124,9 +127,9 @@
 void
 RaftCore::ResetElectionTimer()
 {
-  const auto least = this->options.timing.electionLeast.count();
-  const auto most = this->options.timing.electionMost.count();
-  std::uniform_int_distribution<Duration::rep> timeout(least, most);
+  const auto min = this->options.timing.electionTimeoutMin.count();
+  const auto max = this->options.timing.electionTimeoutMax.count();
+  std::uniform_int_distribution<Duration::rep> timeout(min, max);
   this->electionAt = this->clock.MonotonicNow() + Duration(timeout(this->random));
 }
 
@@ -149,23 +152,25 @@
 }
 
 void
-RaftCore::StartElection(bool aHandover, bool aAllLeaderless)
+RaftCore::StartElection(bool aTransfer, bool aAllLeaderless)
 {
   this->role = RaftRole::Candidate;
   this->leader = ReplicaId();
   this->ResetElectionTimer();
-  // Votes must be synced before they leave, so it stands a little longer than it waits to ask.
-  this->nextLeaderlessAsk =
-    this->clock.MonotonicNow() + this->options.timing.heartbeat / 2 + this->LeaderlessPause();
+  // Votes must be synced before they are sent, so the next check is delayed by half a heartbeat
+  // more than usual.
+  this->nextLeaderlessCheck =
+    this->clock.MonotonicNow() + this->options.timing.heartbeat / 2 + this->LeaderlessRetryDelay();
   this->hardState.term = this->hardState.term.Next();
   this->hardState.votedFor = this->options.replica;
   this->hardStateChanged = true;
   this->votes.clear();
   const VoteRequest request{
-    this->log.LastIndex(), this->log.LastTerm(), aHandover, aAllLeaderless
+    this->log.LastIndex(), this->log.LastTerm(), aTransfer, aAllLeaderless
   };
   this->SendToOtherVoters(request, true);
-  // Its own vote counts like any other: once it is synced, as a message to itself.
+  // Its own vote counts only once it is synced, like any other, so it is sent as a message to
+  // itself.
   this->SendWhenPersisted(this->options.replica, this->options.host, VoteAnswer{ true });
 }
 
@@ -200,8 +205,8 @@
   }
   this->role = RaftRole::Follower;
   this->leader = aLeader;
-  this->handingOver = false;
-  this->handoverSent = false;
+  this->transferringLeadership = false;
+  this->timeoutNowSent = false;
   this->progress.clear();
 }
 
@@ -214,9 +219,9 @@
   this->progress.clear();
   LogEntry entry;
   entry.kind = EntryKind::NoOp;
-  this->AppendOwn(std::move(entry));
-  this->termStart = this->log.LastIndex();
-  this->MatchProgressToMembership();
+  this->AppendAsLeader(std::move(entry));
+  this->termStartIndex = this->log.LastIndex();
+  this->UpdateProgressMembers();
   this->SendHeartbeats();
   this->AdvanceCommitted();
 }
@@ -228,18 +233,18 @@
 }
 
 bool
-RaftCore::HeardLeaderLately() const
+RaftCore::HeardLeaderRecently() const
 {
   return this->role == RaftRole::Leader ||
-         this->clock.MonotonicNow() - this->leaderHeardAt < this->options.timing.electionLeast;
+         this->clock.MonotonicNow() - this->leaderHeardAt < this->options.timing.electionTimeoutMin;
 }
 
 bool
-RaftCore::HasFreshLeader() const
+RaftCore::HasRecentLeader() const
 {
   return this->role == RaftRole::Leader ||
-         (this->leader != ReplicaId() &&
-          this->clock.MonotonicNow() - this->leaderHeardAt < this->options.timing.electionMost);
+         (this->leader != ReplicaId() && this->clock.MonotonicNow() - this->leaderHeardAt <
+                                           this->options.timing.electionTimeoutMax);
 }
 
 void
@@ -247,9 +252,9 @@
 {
   const bool upToDate = this->IsUpToDate(aBody.lastIndex, aBody.lastTerm);
   const bool granted =
-    aBody.candidateTerm > this->hardState.term && !this->HeardLeaderLately() && upToDate;
+    aBody.candidateTerm > this->hardState.term && !this->HeardLeaderRecently() && upToDate;
   const bool leaderless = this->IsLeaderless() && upToDate && aMessage.term == this->hardState.term;
-  this->SendNow(
+  this->SendImmediately(
     aMessage.from, aMessage.fromHost, PreVoteAnswer{ aBody.candidateTerm, granted, leaderless });
 }
 
@@ -278,16 +283,16 @@
 RaftCore::Handle(const AgreementMessage& aMessage, const VoteRequest& aBody)
 {
   const bool noLease = aBody.handover || (aBody.allLeaderless && !this->hadLeader);
-  if (!noLease && this->HeardLeaderLately()) {
-    // The leader may hold its lease: its term must not be disturbed.
+  if (!noLease && this->HeardLeaderRecently()) {
+    // The leader may hold its lease, so its term must not be superseded.
     return;
   }
   if (aMessage.term > this->hardState.term) {
     this->BecomeFollower(aMessage.term, ReplicaId());
   }
-  const bool free =
+  const bool canVote =
     this->hardState.votedFor == ReplicaId() || this->hardState.votedFor == aMessage.from;
-  const bool granted = aMessage.term == this->hardState.term && free &&
+  const bool granted = aMessage.term == this->hardState.term && canVote &&
                        this->IsUpToDate(aBody.lastIndex, aBody.lastTerm);
   if (granted) {
     this->role = RaftRole::Follower;
@@ -321,7 +326,7 @@
 }
 
 AgreementMessage
-RaftCore::Address(ReplicaId aTo, const HostId& aHost, AgreementBody aBody) const
+RaftCore::MakeMessage(ReplicaId aTo, const HostId& aHost, AgreementBody aBody) const
 {
   AgreementMessage message;
   message.group = this->options.group;
@@ -336,15 +341,15 @@
 }
 
 void
-RaftCore::SendNow(ReplicaId aTo, const HostId& aHost, AgreementBody aBody)
+RaftCore::SendImmediately(ReplicaId aTo, const HostId& aHost, AgreementBody aBody)
 {
-  this->outbox.push_back(this->Address(aTo, aHost, std::move(aBody)));
+  this->outbox.push_back(this->MakeMessage(aTo, aHost, std::move(aBody)));
 }
 
 void
 RaftCore::SendWhenPersisted(ReplicaId aTo, const HostId& aHost, AgreementBody aBody)
 {
-  this->waitingForBatch.push_back(this->Address(aTo, aHost, std::move(aBody)));
+  this->awaitingBatch.push_back(this->MakeMessage(aTo, aHost, std::move(aBody)));
 }
 
 void
@@ -363,7 +368,7 @@
     if (aWhenPersisted) {
       this->SendWhenPersisted(member.replica, member.host, aBody);
     } else {
-      this->SendNow(member.replica, member.host, aBody);
+      this->SendImmediately(member.replica, member.host, aBody);
     }
   }
 }
@@ -371,7 +376,7 @@
 std::optional<PersistBatch>
 RaftCore::TakeBatch()
 {
-  const bool hasEntries = this->unwrittenFrom <= this->log.LastIndex();
+  const bool hasEntries = this->firstUnwritten <= this->log.LastIndex();
   if (!this->hardStateChanged && this->snapshotToPersist == nullptr && !hasEntries) {
     return std::nullopt;
   }
@@ -383,28 +388,28 @@
   batch.snapshot = std::exchange(this->snapshotToPersist, nullptr);
   batch.replacesLog = std::exchange(this->snapshotReplacesLog, false);
   if (hasEntries) {
-    batch.entries = this->log.From(this->unwrittenFrom, SIZE_MAX);
+    batch.entries = this->log.From(this->firstUnwritten, SIZE_MAX);
   }
   this->hardStateChanged = false;
-  this->unwrittenFrom = this->log.LastIndex().Next();
-  this->batchesUnderWay.push_back(
-    BatchUnderWay{ batch.number, this->log.LastIndex(), this->clock.MonotonicNow() });
+  this->firstUnwritten = this->log.LastIndex().Next();
+  this->pendingBatches.push_back(
+    PendingBatch{ batch.number, this->log.LastIndex(), this->clock.MonotonicNow() });
   return batch;
 }
 
 void
 RaftCore::OnPersisted(std::uint64_t aNumber)
 {
-  while (!this->batchesUnderWay.empty() && this->batchesUnderWay.front().number <= aNumber) {
-    this->persistedIndex = this->batchesUnderWay.front().end;
-    this->batchesUnderWay.pop_front();
+  while (!this->pendingBatches.empty() && this->pendingBatches.front().number <= aNumber) {
+    this->persistedIndex = this->pendingBatches.front().end;
+    this->pendingBatches.pop_front();
   }
   this->batchesSynced = std::max(this->batchesSynced, aNumber);
-  while (!this->held.empty() && this->held.front().afterBatch <= this->batchesSynced) {
-    AgreementMessage message = std::move(this->held.front().message);
-    this->held.pop_front();
+  while (!this->deferred.empty() && this->deferred.front().afterBatch <= this->batchesSynced) {
+    AgreementMessage message = std::move(this->deferred.front().message);
+    this->deferred.pop_front();
     if (message.term < this->hardState.term) {
-      // It speaks of a term that is over.
+      // The message belongs to an earlier term.
       continue;
     }
     if (message.to == this->options.replica) {
@@ -426,26 +431,26 @@
     this->SendNewEntries();
   }
   actions.persist = this->TakeBatch();
-  for (AgreementMessage& message : std::exchange(this->waitingForBatch, {})) {
+  for (AgreementMessage& message : std::exchange(this->awaitingBatch, {})) {
     if (this->batchesSynced == this->batchesTaken && message.to != this->options.replica) {
       this->outbox.push_back(std::move(message));
     } else {
-      this->held.push_back(HeldMessage{ this->batchesTaken, std::move(message) });
+      this->deferred.push_back(DeferredMessage{ this->batchesTaken, std::move(message) });
     }
   }
-  actions.install = std::exchange(this->toInstall, nullptr);
-  this->HandOutCommitted(actions);
+  actions.install = std::exchange(this->snapshotToInstall, nullptr);
+  this->DeliverCommitted(actions);
   actions.messages = std::exchange(this->outbox, {});
   return actions;
 }
 
 void
-RaftCore::HandOutCommitted(RaftActions& aActions)
+RaftCore::DeliverCommitted(RaftActions& aActions)
 {
   const LogIndex until = std::min(this->committed, this->persistedIndex);
-  while (this->handedOut < until) {
-    this->handedOut = this->handedOut.Next();
-    aActions.committed.push_back(this->log.At(this->handedOut));
+  while (this->deliveredIndex < until) {
+    this->deliveredIndex = this->deliveredIndex.Next();
+    aActions.committed.push_back(this->log.At(this->deliveredIndex));
   }
 }
 
--- a/src/coordination/RaftFollower.cpp
+++ b/src/coordination/RaftFollower.cpp
@@ -1,4 +1,4 @@
-// The follower's side of RaftCore: entries and snapshots that a leader sends.
+// Follower part of RaftCore: handles the entries and snapshots that a leader sends.
 #include <algorithm>
 #include <cassert>
 
@@ -24,18 +24,18 @@
   answer.previousIndex = aBody.previousIndex;
   answer.sentAt = aBody.sentAt;
   if (aMessage.term < this->hardState.term) {
-    this->SendNow(aMessage.from, aMessage.fromHost, answer);
+    this->SendImmediately(aMessage.from, aMessage.fromHost, answer);
     return;
   }
   this->AcceptLeader(aMessage);
   if (aBody.previousIndex < this->committed) {
-    // An old copy, or a leader that does not know yet how far this replica is.
+    // A late duplicate, or the leader does not know yet how far this replica's log is committed.
     answer.accepted = true;
     answer.index = this->committed;
   } else if (this->log.TermAt(aBody.previousIndex) != aBody.previousTerm) {
     answer.index = this->RetryHint(aBody);
   } else {
-    this->TakeEntries(aBody);
+    this->StoreEntries(aBody);
     answer.accepted = true;
     answer.index = LogIndex(aBody.previousIndex.Value() + aBody.entries.size());
     this->committed = std::max(this->committed, std::min(aBody.committed, answer.index));
@@ -44,7 +44,7 @@
 }
 
 void
-RaftCore::TakeEntries(const AppendRequest& aBody)
+RaftCore::StoreEntries(const AppendRequest& aBody)
 {
   for (const LogEntry& entry : aBody.entries) {
     if (this->log.TermAt(entry.index) == entry.term) {
@@ -53,33 +53,34 @@
     if (entry.index <= this->log.LastIndex()) {
       assert(entry.index > this->committed);
       this->log.TruncateFrom(entry.index);
-      this->unwrittenFrom = std::min(this->unwrittenFrom, entry.index);
-      this->CutUnsynced(this->log.LastIndex());
+      this->firstUnwritten = std::min(this->firstUnwritten, entry.index);
+      this->TruncatePending(this->log.LastIndex());
     }
     this->log.Append(entry);
   }
 }
 
-// Entries above aLast are void, also in batches that are still being written.
+// Drops entries above aLast from the bookkeeping, including those in batches that are still being
+// written.
 void
-RaftCore::CutUnsynced(LogIndex aLast)
+RaftCore::TruncatePending(LogIndex aLast)
 {
   this->persistedIndex = std::min(this->persistedIndex, aLast);
-  for (BatchUnderWay& batch : this->batchesUnderWay) {
+  for (PendingBatch& batch : this->pendingBatches) {
     batch.end = std::min(batch.end, aLast);
   }
 }
 
-// Skips back over the whole term that does not fit, so that the leader need not try each entry.
+// Skips all entries of the conflicting term, so that the leader need not probe each of them.
 LogIndex
 RaftCore::RetryHint(const AppendRequest& aBody) const
 {
   if (aBody.previousIndex > this->log.LastIndex()) {
     return this->log.LastIndex();
   }
-  const std::optional<Term> wrong = this->log.TermAt(aBody.previousIndex);
+  const std::optional<Term> conflictingTerm = this->log.TermAt(aBody.previousIndex);
   LogIndex hint = aBody.previousIndex;
-  while (hint > this->committed && this->log.TermAt(hint) == wrong) {
+  while (hint > this->committed && this->log.TermAt(hint) == conflictingTerm) {
     hint = LogIndex(hint.Value() - 1);
   }
   return hint;
@@ -89,16 +90,17 @@
 RaftCore::Handle(const AgreementMessage& aMessage, const SnapshotPiece& aBody)
 {
   if (aMessage.term < this->hardState.term) {
-    this->SendNow(aMessage.from, aMessage.fromHost, AppendAnswer{});
+    this->SendImmediately(aMessage.from, aMessage.fromHost, AppendAnswer{});
     return;
   }
   this->AcceptLeader(aMessage);
   if (this->log.TermAt(aBody.index) == aBody.snapshotTerm) {
-    // The entries are here already, and later ones may be acknowledged: nothing is replaced.
+    // The log contains these entries already, and later ones may have been acknowledged, so the log
+    // must not be replaced.
     this->committed = std::max(this->committed, aBody.index);
   }
   if (aBody.index <= this->committed) {
-    this->incoming.clear();
+    this->incomingSnapshot.clear();
     const AppendAnswer answer{ true, this->committed, aBody.index, aBody.sentAt };
     this->SendWhenPersisted(aMessage.from, aMessage.fromHost, answer);
     return;
@@ -106,41 +108,41 @@
   const bool continues =
     this->incomingIndex == aBody.index && this->incomingTerm == aBody.snapshotTerm;
   if (!continues) {
-    this->incoming.clear();
+    this->incomingSnapshot.clear();
     this->incomingIndex = aBody.index;
     this->incomingTerm = aBody.snapshotTerm;
   }
-  if (aBody.offset == this->incoming.size()) {
-    this->incoming.append(aBody.bytes);
+  if (aBody.offset == this->incomingSnapshot.size()) {
+    this->incomingSnapshot.append(aBody.bytes);
   }
-  if (this->incoming.size() == aBody.totalBytes) {
+  if (this->incomingSnapshot.size() == aBody.totalBytes) {
     this->InstallSnapshot(aMessage, aBody);
     return;
   }
-  const SnapshotAnswer answer{ aBody.index, this->incoming.size(), aBody.sentAt };
-  this->SendNow(aMessage.from, aMessage.fromHost, answer);
+  const SnapshotAnswer answer{ aBody.index, this->incomingSnapshot.size(), aBody.sentAt };
+  this->SendImmediately(aMessage.from, aMessage.fromHost, answer);
 }
 
 void
 RaftCore::InstallSnapshot(const AgreementMessage& aMessage, const SnapshotPiece& aBody)
 {
-  auto decoded = DecodeSnapshot(this->incoming);
-  this->incoming.clear();
+  auto decoded = DecodeSnapshot(this->incomingSnapshot);
+  this->incomingSnapshot.clear();
   this->incomingIndex = LogIndex();
   if (!decoded || decoded.value().index != aBody.index) {
-    // Begun anew with the next heartbeat.
+    // The leader starts the transfer again with the next heartbeat.
     return;
   }
   const auto snapshot = std::make_shared<const Snapshot>(std::move(decoded.value()));
   this->log.Reset(snapshot);
   this->committed = snapshot->index;
-  this->handedOut = snapshot->index;
+  this->deliveredIndex = snapshot->index;
   this->persistedIndex = snapshot->index;
-  for (BatchUnderWay& batch : this->batchesUnderWay) {
+  for (PendingBatch& batch : this->pendingBatches) {
     batch.end = snapshot->index;
   }
-  this->unwrittenFrom = snapshot->index.Next();
-  this->toInstall = snapshot;
+  this->firstUnwritten = snapshot->index.Next();
+  this->snapshotToInstall = snapshot;
   this->snapshotToPersist = snapshot;
   this->snapshotReplacesLog = true;
   const AppendAnswer answer{ true, snapshot->index, snapshot->index, aBody.sentAt };
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -419,7 +419,7 @@
 EntryHost::Impl::KnowSeeds(const std::vector<HostId>& aSeeds)
 {
   for (const HostId& host : aSeeds) {
-    this->links.Know(host, ZoneId());
+    this->links.AddHost(host, ZoneId());
   }
   this->KeepControlLinks();
 }
@@ -429,12 +429,12 @@
 EntryHost::Impl::KeepControlLinks()
 {
   const auto isGood = [this](const HostId& aHost) { return this->picture.IsGood(aHost); };
-  const std::vector<HostId> wanted = this->links.Wanted(isGood);
+  const std::vector<HostId> wanted = this->links.Select(isGood);
   for (const HostId& host : wanted) {
     this->mesh.Dial(host);
   }
   const auto good = std::count_if(wanted.begin(), wanted.end(), isGood);
-  if (static_cast<std::size_t>(good) < ControlLinks::kGoodLinks) {
+  if (static_cast<std::size_t>(good) < ControlLinks::kHealthyLinks) {
     return;
   }
   for (const auto& [host, zone] : this->links.Known()) {
@@ -516,7 +516,7 @@
   this->TakeCold(aTold.targets);
   this->FollowEvacuations();
   this->retries.SetHosts(this->picture.EntryHosts());
-  const bool named = this->links.KnowAll(this->picture.TakeNewControlHosts());
+  const bool named = this->links.AddHosts(this->picture.TakeNewControlHosts());
   if (named || this->picture.IsGood(aPeer) != wasGood) {
     this->KeepControlLinks();
   }
--- a/test/coordination/ControlLinksTest.cpp
+++ b/test/coordination/ControlLinksTest.cpp
@@ -15,14 +15,14 @@
   {
     for (const std::string zone : { "a", "b", "c", "d" }) {
       for (const std::string number : { "1", "2" }) {
-        this->links.Know(HostId(zone + number), ZoneId(zone));
+        this->links.AddHost(HostId(zone + number), ZoneId(zone));
       }
     }
   }
 
   std::vector<HostId> Wanted() const
   {
-    return this->links.Wanted(
+    return this->links.Select(
       [this](const HostId& aHost) { return !this->bad.contains(aHost.Value()); });
   }
 
@@ -36,21 +36,21 @@
   std::set<std::string> bad;
 };
 
-TEST_F(ControlLinksTest, OwnZoneComesFirstAndOneOfAnotherZoneBesides)
+TEST_F(ControlLinksTest, PrefersOwnZoneAndOneHostOfAnother)
 {
-  EXPECT_EQ(this->Wanted().size(), ControlLinks::kGoodLinks);
+  EXPECT_EQ(this->Wanted().size(), ControlLinks::kHealthyLinks);
   EXPECT_TRUE(this->Wants("b1"));
   EXPECT_TRUE(this->Wants("b2"));
 }
 
-TEST_F(ControlLinksTest, AnotherOneIsWantedBesideOneThatIsNotGood)
+TEST_F(ControlLinksTest, SelectsAnotherHostBesideAnUnhealthyOne)
 {
   this->bad = { "b1" };
-  EXPECT_EQ(this->Wanted().size(), ControlLinks::kGoodLinks + 1);
+  EXPECT_EQ(this->Wanted().size(), ControlLinks::kHealthyLinks + 1);
   EXPECT_TRUE(this->Wants("b1")) << "it may come back";
 }
 
-TEST_F(ControlLinksTest, AllAreWantedWhenNoneIsGood)
+TEST_F(ControlLinksTest, SelectsAllHostsWhenNoneIsHealthy)
 {
   for (const auto& [host, zone] : this->links.Known()) {
     this->bad.insert(host.Value());
@@ -58,22 +58,22 @@
   EXPECT_EQ(this->Wanted().size(), 8U);
 }
 
-TEST_F(ControlLinksTest, EntryHostsSpreadOverTheOtherZones)
+TEST_F(ControlLinksTest, SpreadsEntryHostsOverOtherZones)
 {
   std::set<HostId> others;
   for (int number = 0; number < 40; ++number) {
     ControlLinks other(HostId("e" + std::to_string(number)), ZoneId("b"));
     for (const auto& [host, zone] : this->links.Known()) {
-      other.Know(host, zone);
+      other.AddHost(host, zone);
     }
-    others.insert(other.Wanted([](const HostId&) { return true; }).back());
+    others.insert(other.Select([](const HostId&) { return true; }).back());
   }
   EXPECT_EQ(others.size(), 6U);
 }
 
-TEST_F(ControlLinksTest, ZoneThatIsNotToldKeepsTheOneThatWas)
+TEST_F(ControlLinksTest, EmptyZoneKeepsTheKnownOne)
 {
-  this->links.Know(HostId("b1"), ZoneId());
+  this->links.AddHost(HostId("b1"), ZoneId());
   EXPECT_EQ(this->links.Known().at(HostId("b1")), ZoneId("b"));
 }
 
--- a/test/coordination/GroupReplicaTest.cpp
+++ b/test/coordination/GroupReplicaTest.cpp
@@ -13,7 +13,7 @@
 
 using testing::GroupCluster;
 
-// One event of a schedule; what the numbers mean depends on the kind.
+// One event of a schedule. The meaning of the numbers depends on the kind.
 struct Step
 {
   int kind = 0;
@@ -41,7 +41,7 @@
   return rc::gen::scale(kLonger, rc::gen::container<std::vector<Step>>(step));
 }
 
-// The names with "OnceMore" only make an event likelier.
+// Names with "OnceMore" only make an event more likely.
 enum StepKind
 {
   Run,
@@ -68,7 +68,7 @@
   LoseDiskOnceMore,
 };
 
-constexpr int kKinds = LoseDisk;
+constexpr int kKindsWithoutLostDisks = LoseDisk;
 constexpr int kKindsWithLostDisks = LoseDiskOnceMore + 1;
 
 void
@@ -136,7 +136,7 @@
   }
 }
 
-// Checks a property with many more cases than the default.
+// Checks a property with aTimes as many cases as the default.
 template<typename Property>
 void
 CheckOften(int aTimes, Property aProperty)
@@ -149,7 +149,7 @@
   EXPECT_TRUE(result.template is<rc::detail::SuccessResult>()) << text.str();
 }
 
-// Performs any schedule on a group that is at work, lets all heal and checks what must hold.
+// Runs a random schedule on a group, heals all failures and checks the invariants.
 void
 SurvivesAnySchedule(int aKinds)
 {
@@ -167,7 +167,7 @@
 
 TEST(GroupReplicaProperty, NothingAcknowledgedIsLostUnderAnySchedule)
 {
-  CheckOften(10, [] { SurvivesAnySchedule(kKinds); });
+  CheckOften(10, [] { SurvivesAnySchedule(kKindsWithoutLostDisks); });
 }
 
 TEST(GroupReplicaProperty, LostDisksThatAreRepairedLoseNothing)
@@ -175,7 +175,7 @@
   CheckOften(10, [] { SurvivesAnySchedule(kKindsWithLostDisks); });
 }
 
-// A group of three that has committed a few commands.
+// A group of three replicas that has committed a few commands.
 
 class GroupReplicaTest : public ::testing::Test
 {
@@ -217,9 +217,10 @@
   EXPECT_TRUE(cluster.IsWhole());
 }
 
-// A follower that was sent a snapshot got the entries too, and acknowledged more than the snapshot
-// covers before its last piece came. Found by seed 3 of the schedules.
-TEST(GroupReplicaSnapshotTest, LateSnapshotTakesBackNothingAcknowledged)
+// A follower that gets a snapshot in pieces may also get the entries, and acknowledge later ones
+// than the snapshot covers, before its last piece arrives. Installing the snapshot then must not
+// drop them. Found by seed 3 of the random schedules.
+TEST(GroupReplicaSnapshotTest, LateSnapshotKeepsAcknowledgedEntries)
 {
   GroupCluster cluster(5, 0);
   cluster.Run(std::chrono::seconds(6));
@@ -233,9 +234,9 @@
   cluster.HealAndCheck();
 }
 
-// The proposer was told "not taken", so a copy of that sending must stay without effect even when
-// the host leads by then.
-TEST(GroupReplicaProposalTest, LateCopyOfARefusedSendingIsDropped)
+// The proposer was told that the attempt was refused, so a late duplicate of it must have no
+// effect, even if the host leads by then.
+TEST(GroupReplicaProposalTest, LateDuplicateOfARefusedAttemptIsDropped)
 {
   ManualClock clock;
   GroupOptions options;
@@ -243,8 +244,8 @@
   options.listedVoters = { HostId("self") };
   GroupReplica replica(clock, options, RecoveredLog{});
   testing::ListMachine machine;
-  replica.Machines().Add(MachinePart::Claims, machine);
-  const auto part = static_cast<std::uint8_t>(MachinePart::Claims);
+  replica.Machines().Add(StateMachineId::Claims, machine);
+  const auto part = static_cast<std::uint8_t>(StateMachineId::Claims);
   const ForwardedProposal sent{ Sequence(1), part, { 7, Sequence(1), Sequence(1) }, "command" };
   const auto settle = [&] {
     for (int round = 0; round < 10; ++round) {
@@ -269,8 +270,8 @@
   EXPECT_TRUE(cluster.Leader().has_value());
 }
 
-// The founder comes back with an empty disk while one that has the group's log is away: those left
-// must not found it a second time.
+// The founder returns with an empty disk while a host that has the group's log is down. The
+// remaining hosts must not form the group a second time.
 TEST_F(GroupReplicaTest, FormedGroupIsNotFormedAgain)
 {
   const FormationId formed = this->cluster.Core(0).Formation();
@@ -282,9 +283,9 @@
   EXPECT_EQ(this->cluster.Core(0).Formation(), formed);
 }
 
-// Host B has acknowledged a command that host C never saw, and loses its disk. Had B the same
-// identity still, B and C could elect C and the command would be lost.
-TEST_F(GroupReplicaTest, WipedHostDoesNotVoteAsWhatItWas)
+// One follower acknowledges a command that the other one never got, and then loses its disk. If it
+// kept its identity, the two could elect the one without the command, which would be lost.
+TEST_F(GroupReplicaTest, WipedHostDoesNotVoteWithItsFormerIdentity)
 {
   const std::size_t leader = this->Leader();
   const std::size_t wiped = (leader + 1) % 3;
@@ -301,7 +302,7 @@
   this->cluster.HealAndCheck();
 }
 
-TEST_F(GroupReplicaTest, SecondDiskLostRightAfterRepairLosesNothing)
+TEST_F(GroupReplicaTest, SecondDiskLossRightAfterRepairKeepsAcknowledgedCommands)
 {
   this->cluster.Wipe(this->Follower());
   for (int round = 0; round < 1'000 && !this->cluster.IsWhole(); ++round) {
@@ -312,7 +313,7 @@
   this->cluster.HealAndCheck();
 }
 
-TEST_F(GroupReplicaTest, CutOffLeaderLosesItsLeaseBeforeAnotherLeads)
+TEST_F(GroupReplicaTest, IsolatedLeaderLosesItsLeaseBeforeAnotherIsElected)
 {
   const std::size_t old = this->Leader();
   this->cluster.Isolate(old);
@@ -322,7 +323,7 @@
   EXPECT_NE(this->Leader(), old);
 }
 
-TEST_F(GroupReplicaTest, FrozenLeaderHoldsNoLeaseWhenItWakes)
+TEST_F(GroupReplicaTest, FrozenLeaderHoldsNoLeaseAfterItResumes)
 {
   const std::size_t old = this->Leader();
   this->cluster.Node(old).frozen = true;
@@ -330,8 +331,9 @@
   EXPECT_FALSE(this->cluster.Core(old).LeaseHeld());
 }
 
-// After a loss of power everywhere no lease stands any more; callers wait for the election.
-TEST_F(GroupReplicaTest, GroupThatStartsAnewAsAWholeWaitsForNoLease)
+// After a power failure of all hosts no lease is in force, so callers must not wait for one to
+// expire.
+TEST_F(GroupReplicaTest, ElectsBeforeElectionTimeoutWhenAllVotersRestart)
 {
   for (std::size_t node = 0; node < this->cluster.Size(); ++node) {
     this->cluster.Kill(node, true);
@@ -339,12 +341,12 @@
   for (std::size_t node = 0; node < this->cluster.Size(); ++node) {
     this->cluster.Start(node);
   }
-  this->cluster.Run(RaftTiming().electionLeast * 3 / 4);
+  this->cluster.Run(RaftTiming().electionTimeoutMin * 3 / 4);
   EXPECT_TRUE(this->cluster.Leader().has_value());
   this->cluster.HealAndCheck();
 }
 
-TEST_F(GroupReplicaTest, ReturningHostNeitherDisturbsTheLeaderNorRevertsAnything)
+TEST_F(GroupReplicaTest, ReconnectedHostCausesNoElectionAndRevertsNothing)
 {
   const Term term = this->cluster.Core(this->Leader()).CurrentTerm();
   const std::size_t away = this->Follower();
@@ -356,21 +358,22 @@
   EXPECT_EQ(this->cluster.Core(this->Leader()).CurrentTerm(), term);
 }
 
-// It can still send, so the others never miss its heartbeats: only it can notice.
-TEST_F(GroupReplicaTest, LeaderThatHearsNobodyStepsDown)
+// The leader can still send, so the others keep getting its heartbeats; only the leader can notice
+// the failure.
+TEST_F(GroupReplicaTest, LeaderThatReceivesNothingStepsDown)
 {
-  const std::size_t deaf = this->Leader();
+  const std::size_t unreachable = this->Leader();
   for (std::size_t node = 0; node < this->cluster.Size(); ++node) {
-    this->cluster.Cut(node, deaf);
+    this->cluster.Cut(node, unreachable);
   }
   this->cluster.Run(std::chrono::seconds(10));
-  EXPECT_NE(this->Leader(), deaf);
+  EXPECT_NE(this->Leader(), unreachable);
 }
 
-TEST_F(GroupReplicaTest, LeaderThatShutsDownHandsOverAtOnce)
+TEST_F(GroupReplicaTest, TransfersLeadershipAtOnce)
 {
   const std::size_t old = this->Leader();
-  this->cluster.Node(old).process->group->HandOver();
+  this->cluster.Node(old).process->group->TransferLeadership();
   EXPECT_FALSE(this->cluster.Leader().has_value());
   this->cluster.Run(std::chrono::milliseconds(300));
   EXPECT_NE(this->Leader(), old);
@@ -390,7 +393,7 @@
   EXPECT_GT(this->cluster.Core(behind).Log().BaseIndex(), LogIndex());
 }
 
-TEST_F(GroupReplicaTest, FullDiskStopsTheReplicaAndTheGroupGoesOn)
+TEST_F(GroupReplicaTest, FullDiskStopsReplicaWhileGroupContinues)
 {
   const std::size_t full = this->Leader();
   this->cluster.Node(full).disk->SetFull(true);
@@ -402,8 +405,8 @@
   EXPECT_EQ(this->cluster.Acknowledged().size(), 4U);
 }
 
-// Whoever carries out the actions asks again until there are none.
-TEST_F(GroupReplicaTest, LeaderRunsOutOfActionsWhileAReplicaIsSilent)
+// The owner of a replica calls TakeActions() until it returns no more work.
+TEST_F(GroupReplicaTest, ActionsRunOutWhileAReplicaIsSilent)
 {
   const std::size_t leader = this->Leader();
   this->cluster.Kill(this->Follower(), false);
@@ -415,7 +418,7 @@
   EXPECT_TRUE(group.TakeActions().messages.empty());
 }
 
-TEST_F(GroupReplicaTest, LeaderWhoseDiskHangsGivesWay)
+TEST_F(GroupReplicaTest, LeaderWithHungDiskStepsDown)
 {
   const std::size_t slow = this->Leader();
   this->cluster.Node(slow).diskHangs = true;
@@ -429,11 +432,11 @@
 {
   const std::size_t before = this->cluster.MessagesSent();
   this->cluster.Run(std::chrono::seconds(10));
-  // Two followers, a heartbeat and its answer twice a second.
+  // Two followers, each with a heartbeat and its answer twice a second.
   EXPECT_LE(this->cluster.MessagesSent() - before, 2U * 2U * 2U * 10U + 4U);
 }
 
-TEST_F(GroupReplicaTest, MemoryStaysFlatOverManyChanges)
+TEST_F(GroupReplicaTest, LogIsCompactedOverManyCommands)
 {
   for (int round = 0; round < 500; ++round) {
     this->ProposeOnAll();
--- a/test/coordination/RaftCoreTest.cpp
+++ b/test/coordination/RaftCoreTest.cpp
@@ -14,7 +14,7 @@
 using testing::MessageFrom;
 using testing::Settle;
 
-// A clock whose calendar may jump back.
+// A clock whose wall time may jump back.
 class JumpingClock final : public Clock
 {
 public:
@@ -25,7 +25,7 @@
   WallTime wall{ std::chrono::hours(1) };
 };
 
-TEST(RaftCoreTest, EntriesNeverGoBackInTime)
+TEST(RaftCoreTest, EntryTimesStayMonotonicWhenWallClockJumpsBack)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(false));
@@ -38,7 +38,7 @@
   EXPECT_GE(core.Log().At(core.Log().LastIndex()).proposedAt, first);
 }
 
-TEST(RaftCoreTest, NothingIsCommittedBeforeItIsSynced)
+TEST(RaftCoreTest, EntryIsNotCommittedBeforeItIsSynced)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(false));
@@ -51,7 +51,7 @@
   EXPECT_GT(core.Committed(), before);
 }
 
-TEST(RaftCoreTest, VoteLeavesOnlyOnceItIsSynced)
+TEST(RaftCoreTest, VoteIsSentOnlyAfterItIsSynced)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -65,7 +65,7 @@
   EXPECT_TRUE(std::get<VoteAnswer>(actions.messages[0].body).granted);
 }
 
-TEST(RaftCoreTest, EntriesAreAcknowledgedOnlyOnceTheyAreSynced)
+TEST(RaftCoreTest, EntriesAreAcknowledgedOnlyAfterTheyAreSynced)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -82,11 +82,11 @@
   EXPECT_EQ(std::get<AppendAnswer>(actions.messages[0].body).index, LogIndex(2));
 }
 
-// Makes the replica leader of term 2 by the votes of its peer. Its first entry is not synced yet.
+// Makes the replica leader of term 2 with the vote of its peer. Its first entry is not synced yet.
 void
 Elect(RaftCore& aCore, JumpingClock& aClock)
 {
-  aClock.monotonic += RaftTiming().electionMost;
+  aClock.monotonic += RaftTiming().electionTimeoutMax;
   aCore.Tick();
   aCore.Receive(MessageFrom(kPeer, Term(1), PreVoteAnswer{ Term(2), true }));
   aCore.OnPersisted(aCore.TakeActions().persist->number);
@@ -94,7 +94,7 @@
   ASSERT_EQ(aCore.Role(), RaftRole::Leader);
 }
 
-TEST(RaftCoreTest, LeaderCountsItselfOnlyOnceItHasSynced)
+TEST(RaftCoreTest, LeaderCountsItselfTowardsQuorumOnlyAfterSync)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -106,14 +106,15 @@
   EXPECT_EQ(core.Committed(), LogIndex(2));
 }
 
-TEST(RaftCoreTest, MembershipChangesOneStepAtATime)
+TEST(RaftCoreTest, MembershipChangeIsRefusedWhileAnotherIsPending)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
   Elect(core, clock);
   Membership next = core.Log().NewestMembership();
   next.members.push_back(Member{ HostId("fourth"), ReplicaId(4), false });
-  // Nothing of its own term is committed yet: an older leader's change may still be under way.
+  // No entry of its own term is committed yet, so a change by an earlier leader may still be
+  // pending.
   EXPECT_FALSE(core.ProposeMembership(next));
   core.OnPersisted(core.TakeActions().persist->number);
   core.Receive(MessageFrom(kPeer, Term(2), AppendAnswer{ true, LogIndex(2), LogIndex(1), 0 }));
@@ -121,8 +122,9 @@
   EXPECT_FALSE(core.ProposeMembership(next));
 }
 
-// Raft, figure 8: an entry of an earlier term on a majority may still be overwritten.
-TEST(RaftCoreTest, EntriesOfEarlierTermsAreCommittedOnlyWithOneOfItsOwn)
+// Figure 8 of the Raft paper: an entry of an earlier term may be overwritten although a majority
+// has it.
+TEST(RaftCoreTest, EarlierTermEntriesAreCommittedOnlyWithACurrentTermEntry)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -134,20 +136,20 @@
   EXPECT_EQ(core.Committed(), LogIndex(2));
 }
 
-TEST(RaftCoreTest, VoterKeepsToALeaderAlsoAfterARestart)
+TEST(RaftCoreTest, RestartedVoterRefusesElectionsUntilElectionTimeout)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
   const VoteRequest request{ LogIndex(1), Term(1) };
   core.Receive(MessageFrom(kPeer, Term(2), request));
   EXPECT_EQ(core.CurrentTerm(), Term(1));
-  clock.monotonic += RaftTiming().electionLeast;
+  clock.monotonic += RaftTiming().electionTimeoutMin;
   core.Receive(MessageFrom(kPeer, Term(2), request));
   EXPECT_EQ(core.CurrentTerm(), Term(2));
 }
 
-// Other voters have said that there is no lease, but this one has heard of it since.
-TEST(RaftCoreTest, VoterThatHasHeardALeaderKeepsToItThoughOthersHadNone)
+// The other voters reported that no lease is in force, but this one has heard a leader since.
+TEST(RaftCoreTest, VoterThatHeardALeaderRefusesAllLeaderlessElection)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -158,7 +160,7 @@
   EXPECT_EQ(core.CurrentTerm(), Term(1));
 }
 
-TEST(RaftCoreTest, VoterIsLeaderlessInItsOwnTermOnly)
+TEST(RaftCoreTest, LeaderlessIsReportedOnlyWithinTheSameTerm)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
@@ -171,11 +173,11 @@
   EXPECT_FALSE(std::get<PreVoteAnswer>(actions.messages[1].body).leaderless);
 }
 
-TEST(RaftCoreTest, VotesOnceInATerm)
+TEST(RaftCoreTest, GrantsOneVotePerTerm)
 {
   JumpingClock clock;
   RaftCore core(clock, MakeRaftOptions(), MakeFoundedLog(true));
-  clock.monotonic += RaftTiming().electionLeast;
+  clock.monotonic += RaftTiming().electionTimeoutMin;
   const VoteRequest request{ LogIndex(1), Term(1) };
   core.Receive(MessageFrom(kPeer, Term(2), request));
   AgreementMessage another = MessageFrom(kPeer, Term(2), request);
