--- a/bench/OverloadSimulation.cpp
+++ b/bench/OverloadSimulation.cpp
@@ -177,7 +177,7 @@
   } else {
     std::erase(target.waiting, aRequest);
   }
-  target.limit.OnEnd(aAnswered ? AttemptLoad::Served : AttemptLoad::Failed,
+  target.limit.OnEnd(aAnswered ? LoadSignal::Served : LoadSignal::Failed,
                      Seconds(request.firstToken - request.sent));
   request.running = false;
   request.target = -1;
--- a/bench/SlopesBench.cpp
+++ b/bench/SlopesBench.cpp
@@ -5,7 +5,7 @@
 #include "Bench.h"
 #include "ControlPicture.h"
 #include "Slope.h"
-#include "damasklink/coordination/ClaimLedger.h"
+#include "damasklink/coordination/ClaimRegistry.h"
 #include "damasklink/coordination/Router.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
 #include "damasklink/coordination/TargetRegistry.h"
@@ -155,7 +155,7 @@
   for (const std::uint64_t size : { 10'000U, 100'000U, 400'000U }) {
     const double before = HeapBytes();
     const double begun = ThreadMicroseconds();
-    ClaimLedger ledger;
+    ClaimRegistry ledger;
     ApplyContext context;
     for (std::uint64_t number = 0; number < size; ++number) {
       context.index = context.index.Next();
--- a/include/damasklink/coordination/AdmissionQueue.h
+++ b/include/damasklink/coordination/AdmissionQueue.h
@@ -121,17 +121,17 @@
   };
 
   // Whether a request that is sent after aWait will most likely be answered in time.
-  bool CanMakeIt(const Pool& aPool, const AdmissionRequest& aRequest, Duration aWait) const;
+  bool CanMeetDeadline(const Pool& aPool, const AdmissionRequest& aRequest, Duration aWait) const;
   void RefuseAsTooLate(AdmissionId aId, Duration aRetryAfter);
   void Enqueue(Pool& aPool, Queued aQueued);
   // Admits waiting requests, in the order of shares, while the pool has room.
-  void AdmitWhatFits(Pool& aPool);
+  void AdmitWaiting(Pool& aPool);
   void Admit(Pool& aPool, const Queued& aQueued);
   void Refuse(AdmissionId aId, Error aError, Duration aRetryAfter);
   // Refuses a waiting request of a workspace that waits with more for its weight, if there is one.
-  void MakeRoomFor(const AdmissionRequest& aRequest);
+  void EvictFor(const AdmissionRequest& aRequest);
   // Returns the next request of the workspace that is furthest behind its share.
-  std::map<WorkspaceId, std::deque<Queued>>::iterator FurthestBehind(Pool& aPool);
+  std::map<WorkspaceId, std::deque<Queued>>::iterator NextWorkspace(Pool& aPool);
   // Returns the virtual time at which the workspace's next request is due.
   double StartOf(const WorkspaceId& aWorkspace) const;
 
--- a/include/damasklink/coordination/BurnReport.h
+++ b/include/damasklink/coordination/BurnReport.h
@@ -43,7 +43,7 @@
 // Returns the share that failed relative to the share that may fail: 1 uses up the objective
 // exactly, 0 when there were no requests.
 double
-BurnOf(const ServiceLevelCount& aCount, const ServiceLevel& aObjective);
+BurnRateOf(const ServiceLevelCount& aCount, const ServiceLevel& aObjective);
 
 BurnLevel
 BurnLevelOf(const WorkspaceBurn& aBurn);
--- a/include/damasklink/coordination/ClaimRefusal.h
+++ b/include/damasklink/coordination/ClaimRefusal.h
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-#include "damasklink/coordination/ClaimLedger.h"
+#include "damasklink/coordination/ClaimRegistry.h"
 #include "damasklink/state/Error.h"
 #include "damasklink/state/Outcome.h"
 
--- a/include/damasklink/coordination/ClaimLedger.h
+++ b/include/damasklink/coordination/ClaimRegistry.h
@@ -59,25 +59,25 @@
 // The numbers go between hosts: never reuse one.
 enum class ClaimVerdict : std::uint8_t
 {
-  Granted = 1,    // This attempt, and no other, may run.
-  Kept = 2,       // It ran; here is its answer.
-  AnswerGone = 3, // It ran; its answer is not kept.
-  Running = 4,    // Another attempt runs; come back.
-  MayHaveRun = 5, // An attempt broke off, or the record of it was lost.
-  OtherBody = 6,  // The key stands for another call.
-  Expired = 7,    // The key is older than the retention; it may have run.
-  NotYetBorn = 8, // The key's birth lies in the future.
-  Full = 9,       // No room for another claim; not claimed.
-  Withdrawn = 10, // This attempt was released before; it must not run.
-  Noted = 11,     // Answer to Finish, Abandon and Release.
-  NotReady = 12,  // The group does not know yet whether it was formed anew; not claimed.
+  Granted = 1,         // This attempt, and no other, may run.
+  Kept = 2,            // It ran; here is its answer.
+  AnswerDropped = 3,   // It ran; its answer is not kept.
+  Running = 4,         // Another attempt runs; come back.
+  MayHaveRun = 5,      // An attempt broke off, or the record of it was lost.
+  BodyMismatch = 6,    // The key stands for another call.
+  Expired = 7,         // The key is older than the retention; it may have run.
+  CreatedInFuture = 8, // The key's birth lies in the future.
+  Full = 9,            // No room for another claim; not claimed.
+  Withdrawn = 10,      // This attempt was released before; it must not run.
+  Recorded = 11,       // Answer to Finish, Abandon and Release.
+  NotReady = 12,       // The group does not know yet whether it was formed anew; not claimed.
 };
 
 struct ClaimReply
 {
-  ClaimVerdict verdict = ClaimVerdict::Noted;
+  ClaimVerdict verdict = ClaimVerdict::Recorded;
   // With Running: when the lease of the other attempt is over.
-  Duration comeBack{ 0 };
+  Duration retryAfter{ 0 };
   // With Kept.
   std::optional<KeptAnswer> answer;
 
@@ -119,7 +119,7 @@
 
 // Decides which attempt may run a call. Deterministic: time comes with the log.
 //
-//   ClaimLedger ledger;
+//   ClaimRegistry ledger;
 //   ClaimReply reply = ledger.Apply(context, command);
 //   if (reply.verdict == ClaimVerdict::Granted) ...
 //
@@ -127,7 +127,7 @@
 // unless an earlier one was released; a released attempt is not granted again while it is the
 // last one of its key; a minted key is never granted at or after its birth plus retention, so
 // that forgetting it then cannot lead to a second run. The workspace is part of every name.
-class ClaimLedger
+class ClaimRegistry
 {
 public:
   // Bounds that are alike on all replicas.
@@ -138,11 +138,11 @@
     std::size_t answerBytes = std::size_t{ 64 } << 20;
   };
 
-  ClaimLedger()
-    : ClaimLedger(Limits{})
+  ClaimRegistry()
+    : ClaimRegistry(Limits{})
   {
   }
-  explicit ClaimLedger(Limits aLimits)
+  explicit ClaimRegistry(Limits aLimits)
     : limits(aLimits)
   {
   }
@@ -161,8 +161,8 @@
     // Latest birth among the minted keys that were forgotten.
     WallTime forgottenBirth;
   };
-  const Header& Head() const { return this->header; }
-  void SetHead(const Header& aHeader) { this->header = aHeader; }
+  const Header& GetHeader() const { return this->header; }
+  void SetHeader(const Header& aHeader) { this->header = aHeader; }
 
   // Visits all entries in the order of their names.
   void Visit(const std::function<void(const ClaimName&, const ClaimEntry&)>& aVisitor) const;
@@ -180,7 +180,7 @@
                         const ClaimCommand& aCommand,
                         Entries::iterator aFound);
   ClaimReply Settle(const ApplyContext& aContext, const ClaimCommand& aCommand);
-  void ReleaseUnknown(const ApplyContext& aContext, const ClaimCommand& aCommand);
+  void RecordEarlyRelease(const ApplyContext& aContext, const ClaimCommand& aCommand);
   // Gives the entry to the attempt.
   ClaimReply Grant(const ApplyContext& aContext,
                    const ClaimCommand& aCommand,
@@ -190,15 +190,15 @@
   // Moves the entry's end to aExpiry unless it is later already.
   void Extend(Entries::iterator aEntry, WallTime aExpiry);
   void ForgetExpired(WallTime aNow);
-  void NoteIncarnation(const ApplyContext& aContext);
+  void UpdateIncarnation(const ApplyContext& aContext);
   // Whether an earlier incarnation of the group may have granted the key.
-  bool MayPredateGroup(const ApplyContext& aContext, const ClaimCommand& aCommand) const;
+  bool MayPredateReformation(const ApplyContext& aContext, const ClaimCommand& aCommand) const;
 
   Limits limits;
   Header header;
   Entries entries;
   // Entries by the second in which they end; an entry that was extended stands here twice.
-  std::map<std::int64_t, std::vector<Entries::iterator>> endings;
+  std::map<std::int64_t, std::vector<Entries::iterator>> expiries;
   std::map<LogIndex, Entries::iterator> answers;
   std::size_t answerBytes = 0;
 };
--- a/include/damasklink/coordination/ConcurrencyLimit.h
+++ b/include/damasklink/coordination/ConcurrencyLimit.h
@@ -9,7 +9,7 @@
 namespace damasklink {
 
 // How an attempt at a target went, as far as load is concerned.
-enum class AttemptLoad
+enum class LoadSignal
 {
   Served,     // It answered.
   Overloaded, // It refused for being full.
@@ -20,19 +20,19 @@
 // multiplicative decrease when it refuses or answers far slower than usual.
 //
 //   ConcurrencyLimit limit;
-//   if (limit.Free() > 0) { limit.OnStart(); ... limit.OnEnd(AttemptLoad::Served, firstToken); }
+//   if (limit.Free() > 0) { limit.OnStart(); ... limit.OnEnd(LoadSignal::Served, firstToken); }
 //
 // Not thread-safe.
 class ConcurrencyLimit
 {
 public:
-  static constexpr double kLeast = 1;
-  static constexpr double kMost = 4096;
+  static constexpr double kMinLimit = 1;
+  static constexpr double kMaxLimit = 4096;
 
   void OnStart() { ++this->running; }
 
   // aFirstToken is the time from sending to the first token; read with Served.
-  void OnEnd(AttemptLoad aLoad, Duration aFirstToken);
+  void OnEnd(LoadSignal aLoad, Duration aFirstToken);
 
   // Takes in how many requests the target says that it can run at once, 0 when it does not say.
   // The first declaration is where the limit starts; it stays at or below it: what exceeds it would
@@ -51,7 +51,7 @@
   bool IsSlow(Duration aFirstToken);
 
   double limit = 16;
-  double most = kMost;
+  double most = kMaxLimit;
   // Whether the target has declared its slots.
   bool told = false;
   std::size_t running = 0;
@@ -60,7 +60,7 @@
   // Lowest such mean; drifts up slowly, and is learnt anew when a lower limit does not help.
   Duration usual{ 0 };
   // The limit when first tokens began to come late; zero while they do not.
-  double limitWhenSlow = 0;
+  double limitAtSlowdown = 0;
   // Ends to let pass before the next decrease, so that one wave of bad news counts once.
   std::size_t quiet = 0;
 };
--- a/include/damasklink/coordination/CrashWatch.h
+++ b/include/damasklink/coordination/CrashFilter.h
@@ -1,9 +1,9 @@
 // Which requests an entry host does not send to targets because they crash them.
 //
-//   CrashWatch watch(clock);
+//   CrashFilter watch(clock);
 //   if (watch.IsActive() && watch.IsRefused(fingerprint)) { ... }
 //   watch.OnCrash(report);                   // A target ended while it ran a request.
-//   watch.OnSound(run);                      // A request ran well.
+//   watch.OnSuccessfulRun(run);                      // A request ran well.
 //   watch.Take(controlHost, told);           // The verdicts are those of control hosts.
 //
 // While nothing crashes, IsActive() is false and no request's fingerprint needs to be made. Not
@@ -19,15 +19,15 @@
 
 namespace damasklink {
 
-class CrashWatch
+class CrashFilter
 {
 public:
   // Reports are told again to each control host that adds up what hosts tell, should the one before
   // have ended with them.
-  static constexpr Duration kRetold = std::chrono::seconds(10);
-  static constexpr std::size_t kMostReports = 1024;
+  static constexpr Duration kReportLifetime = std::chrono::seconds(10);
+  static constexpr std::size_t kMaxReports = 1024;
 
-  explicit CrashWatch(const Clock& aClock)
+  explicit CrashFilter(const Clock& aClock)
     : clock(aClock)
   {
   }
@@ -38,7 +38,7 @@
   bool IsRefused(RequestFingerprint aRequest) const { return this->refused.contains(aRequest); }
 
   void OnCrash(CrashReport aReport);
-  void OnSound(const SoundRun& aRun);
+  void OnSuccessfulRun(const SoundRun& aRun);
 
   // Takes what a control host knows now.
   void Take(const HostId& aFrom, const CrashingRequests& aTold);
@@ -47,11 +47,11 @@
   void OnLost(const HostId& aHost);
 
   // The next TakeReports() returns all that are young enough: another control host is told.
-  void TellAllAnew();
+  void ResendAll();
 
   // Returns what is to be told to the control host.
   std::vector<CrashReport> TakeReports();
-  std::vector<SoundRun> TakeSound();
+  std::vector<SoundRun> TakeSuccessfulRuns();
 
 private:
   struct Word
--- a/include/damasklink/coordination/CrashLedger.h
+++ b/include/damasklink/coordination/CrashRegistry.h
@@ -1,10 +1,10 @@
 // Which requests crash the targets that run them, as a control host knows it.
 //
-//   CrashLedger ledger(clock);
+//   CrashRegistry ledger(clock);
 //   ledger.Take(reports);                 // From entry hosts and other control hosts.
-//   ledger.TakeSound(runs);               // Requests that ran well somewhere.
+//   ledger.TakeSuccessfulRuns(runs);               // Requests that ran well somewhere.
 //   ledger.SetRefused(machine.Refused()); // What the replicated log holds.
-//   ledger.Told();                        // For entry hosts.
+//   ledger.Verdicts();                        // For entry hosts.
 //
 // All requests that run on a target when it ends are suspects, and one of them at most is to blame.
 // What tells them apart: the guilty one ends each target that runs it and never runs well. So a
@@ -23,7 +23,7 @@
 
 namespace damasklink {
 
-class CrashLedger
+class CrashRegistry
 {
 public:
   static constexpr std::size_t kCrashesToRefuse = 3;
@@ -31,25 +31,25 @@
   static constexpr std::size_t kCrashesToSuspect = 2;
   // From the last crash until a request is refused: when several targets end at once, requests that
   // many callers share are struck by all of them, and the news of their sound runs is on its way.
-  static constexpr Duration kSettling = std::chrono::milliseconds(500);
+  static constexpr Duration kSettleTime = std::chrono::milliseconds(500);
   // An entry takes some 200 bytes.
-  static constexpr std::size_t kMostRequests = 4096;
-  static constexpr std::size_t kMostSuspects = 256;
+  static constexpr std::size_t kMaxRequests = 4096;
+  static constexpr std::size_t kMaxSuspects = 256;
   // A refused request may be sent again after this long, should what it crashed be mended.
-  static constexpr Duration kRefusedFor = std::chrono::hours(24);
+  static constexpr Duration kRefusalPeriod = std::chrono::hours(24);
 
-  explicit CrashLedger(const Clock& aClock)
+  explicit CrashRegistry(const Clock& aClock)
     : clock(aClock)
   {
   }
 
   void Take(const std::vector<CrashReport>& aReports);
-  void TakeSound(const std::vector<SoundRun>& aRuns);
+  void TakeSuccessfulRuns(const std::vector<SoundRun>& aRuns);
   void SetRefused(const RefusedRequests& aRefused);
 
   // Returns what entry hosts are to know. Requests that this host alone believes to crash targets
   // count as refused, so that a group without a leader still protects its targets.
-  CrashingRequests Told() const;
+  CrashingRequests Verdicts() const;
 
   // Returns the requests that the replicated log should refuse, and those that it should not any
   // more: they ran well after all, or their time is over.
@@ -71,7 +71,7 @@
     MonotonicTime lastCrash;
   };
 
-  bool IsConvicted(const Entry& aEntry) const;
+  bool ShouldRefuse(const Entry& aEntry) const;
   void MakeRoom();
 
   const Clock& clock;
--- a/include/damasklink/coordination/DispatchRecord.h
+++ b/include/damasklink/coordination/DispatchRecord.h
@@ -46,7 +46,7 @@
   void Advance(AttemptStage aStage);
 
   // Takes in what the claim ledger says of earlier calls under the same idempotency key.
-  void NoteEarlier(RunOutcome aOutcome);
+  void AddEarlierOutcome(RunOutcome aOutcome);
 
   // Returns what may be said of the request as a whole.
   RunOutcome Outcome() const;
--- a/include/damasklink/coordination/IdempotencyKeys.h
+++ b/include/damasklink/coordination/IdempotencyKeys.h
@@ -13,7 +13,7 @@
 namespace damasklink {
 
 // Longest key that is taken, in bytes.
-constexpr std::size_t kMostKeyBytes = 255;
+constexpr std::size_t kMaxKeyBytes = 255;
 
 // What a key says of itself. A caller's own key says nothing: both fields are empty.
 struct KeyOrigin
--- a/include/damasklink/coordination/SendsSum.h
+++ b/include/damasklink/coordination/InFlightLoadSum.h
@@ -1,6 +1,6 @@
 // Adds up what several hosts have at targets, from what each of them tells of itself.
 //
-//   SendsSum sum;
+//   InFlightLoadSum sum;
 //   sum.Take(news, clock.MonotonicNow());   // What a host has now, where that has changed.
 //   sum.Of(target);                         // What all hosts have there.
 //   sum.ForgetBefore(clock.MonotonicNow() - memory);
@@ -21,7 +21,7 @@
 namespace damasklink {
 
 // What runs at one target, as far as it is known.
-struct SentLoad
+struct LoadCounts
 {
   std::uint64_t requests = 0;
   // Prompt tokens among them that the target has not read yet.
@@ -29,18 +29,18 @@
   // Tokens of theirs that take up the target's memory.
   std::uint64_t memory = 0;
 
-  bool IsEmpty() const { return *this == SentLoad(); }
-  SentLoad& operator+=(const SentLoad& aOther);
+  bool IsEmpty() const { return *this == LoadCounts(); }
+  LoadCounts& operator+=(const LoadCounts& aOther);
   // Takes off what is there at most: figures of different ages may not fit each other.
-  SentLoad& operator-=(const SentLoad& aOther);
-  bool operator==(const SentLoad&) const = default;
+  LoadCounts& operator-=(const LoadCounts& aOther);
+  bool operator==(const LoadCounts&) const = default;
 };
 
-class SendsSum
+class InFlightLoadSum
 {
 public:
   // A control host that tells no sums for this long may be gone; its entry hosts tell another one.
-  static constexpr Duration kMemory = std::chrono::seconds(2);
+  static constexpr Duration kSilenceLimit = std::chrono::seconds(2);
 
   // Takes what a host has at targets. Its words count until it tells otherwise or is forgotten.
   void Take(const SendsNews& aNews, MonotonicTime aNow);
@@ -55,23 +55,23 @@
   // Adds the targets at which any host has something.
   void AddTargets(std::set<TargetId>& aTo) const;
 
-  SentLoad Of(const TargetId& aTarget) const;
+  LoadCounts Of(const TargetId& aTarget) const;
 
 private:
   struct Host
   {
     MonotonicTime heard;
-    absl::flat_hash_map<TargetId, SentLoad> loads;
+    absl::flat_hash_map<TargetId, LoadCounts> loads;
   };
 
   void Drop(const Host& aHost);
 
   std::map<HostId, Host> hosts;
-  absl::flat_hash_map<TargetId, SentLoad> sums;
+  absl::flat_hash_map<TargetId, LoadCounts> sums;
 };
 
 // Writes a load, and parts that were sent, as hosts tell them.
 TargetSendsNow
-StateSends(const TargetId& aTarget, const SentLoad& aLoad, std::vector<SizedPart> aParts);
+ToInFlightLoad(const TargetId& aTarget, const LoadCounts& aLoad, std::vector<SizedPart> aParts);
 
 } // namespace damasklink
--- a/include/damasklink/coordination/BrokenRuns.h
+++ b/include/damasklink/coordination/InterruptedRequests.h
@@ -1,10 +1,10 @@
 // Runs whose answers broke off lately, kept for proof that comes late that their targets had ended.
 //
-//   BrokenRuns runs(clock);
+//   InterruptedRequests runs(clock);
 //   runs.Note(report, target.endpoint);        // An answer broke off.
 //   runs.OnAnswered(target, sentAt);           // The target lives: it broke a single answer.
-//   for (report : runs.TakeEndedBy(started)) ...   // A later start is at its address.
-//   for (report : runs.TakeSilent(target)) ...     // It was not heard any more.
+//   for (report : runs.TakeConfirmedByStart(started)) ...   // A later start is at its address.
+//   for (report : runs.TakeConfirmedBySilence(target)) ...     // It was not heard any more.
 //
 // A target whose process has ended refuses connections, unless somebody else listens at its address
 // or it is started again at once. What proves its end then is the announcement of the next start,
@@ -19,17 +19,17 @@
 
 namespace damasklink {
 
-class BrokenRuns
+class InterruptedRequests
 {
 public:
   // From the end of a target until its next start announces itself. One that comes later has
   // replaced a target that broke the answer and went on.
-  static constexpr Duration kStartsWithin = std::chrono::seconds(5);
+  static constexpr Duration kRestartWindow = std::chrono::seconds(5);
   // From the end of a target until control hosts count it as silent, and the news is here.
-  static constexpr Duration kSilentWithin = std::chrono::seconds(10);
-  static constexpr std::size_t kMostRuns = 1024;
+  static constexpr Duration kSilenceWindow = std::chrono::seconds(10);
+  static constexpr std::size_t kMaxInterrupted = 1024;
 
-  explicit BrokenRuns(const Clock& aClock)
+  explicit InterruptedRequests(const Clock& aClock)
     : clock(aClock)
   {
   }
@@ -43,10 +43,10 @@
   void OnAnswered(const TargetId& aTarget, Incarnation aIncarnation, MonotonicTime aSentAt);
 
   // Returns the runs that a target which has just started proves to have ended with their own.
-  std::vector<CrashReport> TakeEndedBy(const TargetRecord& aStarted);
+  std::vector<CrashReport> TakeConfirmedByStart(const TargetRecord& aStarted);
 
   // Returns the runs of a target that is silent.
-  std::vector<CrashReport> TakeSilent(const TargetRecord& aTarget);
+  std::vector<CrashReport> TakeConfirmedBySilence(const TargetRecord& aTarget);
 
 private:
   struct Run
--- a/include/damasklink/coordination/SendsHub.h
+++ b/include/damasklink/coordination/LoadReportAggregator.h
@@ -2,9 +2,9 @@
 // found gone, added up by a control host: for the others what its own entry hosts tell, and for its
 // entry hosts what all of them do.
 //
-//   SendsHub hub;
+//   LoadReportAggregator hub;
 //   hub.Take(news, clock.MonotonicNow());        // From an entry host.
-//   hub.TakeSum(sum, clock.MonotonicNow());      // From another control host.
+//   hub.TakePeerSum(sum, clock.MonotonicNow());      // From another control host.
 //   SendsNews sum = hub.TakeChanges(ownHost);    // For the other control hosts.
 //   SendsNews total = hub.TakeTotals(ownHost);   // For its entry hosts, after TakeChanges().
 //
@@ -17,26 +17,26 @@
 #include <set>
 #include <vector>
 
-#include "damasklink/coordination/SendsSum.h"
+#include "damasklink/coordination/InFlightLoadSum.h"
 
 namespace damasklink {
 
-class SendsHub
+class LoadReportAggregator
 {
 public:
   // Takes what an entry host has at targets; from now on it is one of those that tell this host.
   void Take(const SendsNews& aNews, MonotonicTime aNow);
 
   // Takes the sums of another control host.
-  void TakeSum(const SendsNews& aNews, MonotonicTime aNow);
+  void TakePeerSum(const SendsNews& aNews, MonotonicTime aNow);
 
   // An entry host is not connected any more, or tells another control host.
   void Forget(const HostId& aHost);
 
   // Forgets the sums of control hosts that have told nothing since a time.
-  void ForgetSumsBefore(MonotonicTime aTime);
+  void RemovePeersSilentSince(MonotonicTime aTime);
 
-  const std::set<HostId>& Tellers() const { return this->tellers; }
+  const std::set<HostId>& Publishers() const { return this->publishers; }
 
   // Returns the sums of its entry hosts that have changed since the last call, with the parts that
   // were sent since, in the name of aSelf.
@@ -51,11 +51,11 @@
 
 private:
   // What was taken and not told on yet.
-  struct Untold
+  struct PendingUpdate
   {
     void Add(const SendsNews& aNews);
     // Moves what was found of stores and targets into the news.
-    void MoveFindings(SendsNews& aTo);
+    void MoveExcessesAndFindings(SendsNews& aTo);
 
     // Targets whose figures have changed, with the parts sent there since.
     std::map<TargetId, std::vector<SizedPart>> sends;
@@ -63,15 +63,15 @@
     std::map<TargetId, TargetFindings> findings;
   };
 
-  SentLoad TotalOf(const TargetId& aTarget) const;
+  LoadCounts TotalOf(const TargetId& aTarget) const;
   void MarkTotals(const std::vector<TargetId>& aTargets);
 
-  SendsSum sum;
+  InFlightLoadSum sum;
   // By control host.
-  SendsSum sumsOfOthers;
-  std::set<HostId> tellers;
-  Untold changes;
-  Untold totals;
+  InFlightLoadSum peerSums;
+  std::set<HostId> publishers;
+  PendingUpdate changes;
+  PendingUpdate totals;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/LimitBook.h
+++ b/include/damasklink/coordination/RateLimitAllocator.h
@@ -1,9 +1,9 @@
 // Divides what targets take among entry hosts, on a control host.
 //
-//   LimitBook book;
+//   RateLimitAllocator book;
 //   book.Take(reports);              // From entry hosts and other control hosts.
-//   book.TakeCold(target, now);      // It bears a few requests only for a while.
-//   book.ForgetWarm(now);
+//   book.UpdateColdTarget(target, now);      // It bears a few requests only for a while.
+//   book.RemoveWarmTargets(now);
 //   book.Shares(allEntryHosts);      // For entry hosts.
 //
 // A target's limit is that of all hosts together, and may be a few requests a second before
@@ -36,28 +36,28 @@
   bool operator==(const ColdTarget&) const = default;
 };
 
-class LimitBook
+class RateLimitAllocator
 {
 public:
   // The least that is divided: a target that names zero is asked now and then whether it still
   // does.
-  static constexpr RequestRate kLeast{ 0.2 };
+  static constexpr RequestRate kMinRate{ 0.2 };
   // A chosen host sends at least so much where the limit allows it.
-  static constexpr RequestRate kLeastShare{ 1 };
+  static constexpr RequestRate kMinShare{ 1 };
   // A target that tells how long it stays cold says about the same each time; entry hosts are told
   // again only when its end has moved by more.
-  static constexpr Duration kSameEnd = std::chrono::milliseconds(300);
+  static constexpr Duration kColdEndTolerance = std::chrono::milliseconds(300);
 
   // A later report takes the place of an earlier one of the same start of the target.
   void Take(const std::vector<LimitReport>& aReports);
 
-  void TakeCold(const ColdTarget& aCold, MonotonicTime aNow);
+  void UpdateColdTarget(const ColdTarget& aCold, MonotonicTime aNow);
 
   // Forgets which targets were cold until now.
-  void ForgetWarm(MonotonicTime aNow);
+  void RemoveWarmTargets(MonotonicTime aNow);
 
   // Forgets the targets that are not there any more.
-  void KeepOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsThere);
+  void RetainOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsThere);
 
   bool IsEmpty() const { return this->limits.empty(); }
 
--- a/include/damasklink/coordination/RetryShares.h
+++ b/include/damasklink/coordination/ServiceRetryBudgets.h
@@ -4,7 +4,7 @@
 // service and a reserve in each window. Each host keeps to its part without asking the others: the
 // share of its own calls, and the reserve divided by the number of entry hosts.
 //
-//   RetryShares shares(allowance);
+//   ServiceRetryBudgets shares(allowance);
 //   shares.SetHosts(9);
 //   shares.OnCall(service);
 //   shares.Of(service).TryTake();
@@ -20,17 +20,17 @@
 
 namespace damasklink {
 
-class RetryShares
+class ServiceRetryBudgets
 {
 public:
   // What is used of the share; the rest covers calls that are counted in another window than
   // their repeats.
-  static constexpr double kUsedOfShare = 0.8;
+  static constexpr double kShareUtilization = 0.8;
   // What is used of the reserve: a host that is restarted begins with a full one, and may be
   // restarted once in a window.
-  static constexpr double kUsedOfReserve = 0.45;
+  static constexpr double kReserveUtilization = 0.45;
 
-  explicit RetryShares(RetryAllowance aAllowance)
+  explicit ServiceRetryBudgets(RetryAllowance aAllowance)
     : allowance(aAllowance)
   {
   }
@@ -48,7 +48,7 @@
 
   RetryAllowance allowance;
   std::uint64_t hosts = 0;
-  bool knowsHosts = false;
+  bool hostsKnown = false;
   std::map<ServiceName, RetryBudget> budgets;
 };
 
--- a/include/damasklink/coordination/SubtreeLimiter.h
+++ b/include/damasklink/coordination/SubtreeLimiter.h
@@ -40,7 +40,7 @@
 
   double Part(std::uint64_t aLimit) const;
   // Takes a request out of the allowance; returns the wait for the next when there is none.
-  std::optional<Duration> TakeAllowance(Team& aTeam, std::uint64_t aPerSecond) const;
+  std::optional<Duration> SpendAllowance(Team& aTeam, std::uint64_t aPerSecond) const;
 
   const Clock& clock;
   std::uint64_t hosts;
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -22,7 +22,7 @@
 
 #include "damasklink/coordination/EnginePace.h"
 #include "damasklink/coordination/HeldParts.h"
-#include "damasklink/coordination/SendsSum.h"
+#include "damasklink/coordination/InFlightLoadSum.h"
 #include "damasklink/coordination/ServingPicture.h"
 #include "damasklink/coordination/Target.h"
 #include "damasklink/coordination/TargetHealth.h"
@@ -175,7 +175,7 @@
   void ForgetSumsBefore(MonotonicTime aTime) { this->told.ForgetBefore(aTime); }
 
   // Returns what all hosts are believed to have at the target, this one among them.
-  SentLoad LoadOf(const TargetId& aTarget) const;
+  LoadCounts LoadOf(const TargetId& aTarget) const;
 
   // Returns a target that is believed to hold the part, of those in the list; null when none is.
   const TargetRecord* HolderOf(const SizedPart& aPart,
@@ -215,16 +215,16 @@
   HeldParts held;
   absl::flat_hash_map<ModelName, EnginePace> paces;
   // What this host has at targets.
-  absl::flat_hash_map<TargetId, SentLoad> loads;
+  absl::flat_hash_map<TargetId, LoadCounts> loads;
   // Targets that have started again under their ids, with their newest starts.
   absl::flat_hash_map<TargetId, Incarnation> starts;
   // What this host has changed since TakeSends(), with the parts sent.
   std::map<TargetId, std::vector<SizedPart>> untold;
   bool urgent = false;
   // What this host told of itself; the sums that come back contain it.
-  absl::flat_hash_map<TargetId, SentLoad> ownTold;
+  absl::flat_hash_map<TargetId, LoadCounts> ownTold;
   // Sums by control host.
-  SendsSum told;
+  InFlightLoadSum told;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/TargetLimits.h
+++ b/include/damasklink/coordination/TargetRateLimiter.h
@@ -1,6 +1,6 @@
 // What an entry host may send to targets that name a limit or are cold.
 //
-//   TargetLimits limits(clock, ownHost);
+//   TargetRateLimiter limits(clock, ownHost);
 //   if (limits.MaySend(target)) {
 //     limits.OnSent(target);
 //   }
@@ -8,8 +8,9 @@
 //   limits.OnCold(record, record.coldFor);          // Hears that a target is cold.
 //   limits.Take(told);                              // Shares, from the control host.
 //
-// The share of a limit that a host has comes from the control host (LimitBook). A host that hears
-// of a limit, or of a cold target, before it has a share sends nothing there. Not thread-safe.
+// The share of a limit that a host has comes from the control host (RateLimitAllocator). A host
+// that hears of a limit, or of a cold target, before it has a share sends nothing there. Not
+// thread-safe.
 #pragma once
 
 #include <map>
@@ -21,14 +22,14 @@
 
 namespace damasklink {
 
-class TargetLimits
+class TargetRateLimiter
 {
 public:
   // A report is on its way to the control host for so long: until then a word of the control host
   // that does not contain it is older than the report.
-  static constexpr Duration kReportUnderWay = std::chrono::seconds(1);
+  static constexpr Duration kReportInFlight = std::chrono::seconds(1);
 
-  TargetLimits(const Clock& aClock, const HostId& aSelf)
+  TargetRateLimiter(const Clock& aClock, const HostId& aSelf)
     : clock(aClock)
     , self(aSelf)
   {
@@ -42,7 +43,7 @@
 
   // Returns how long until one of the targets may be sent a request by this host; nothing when it
   // has a share of none.
-  std::optional<Duration> UntilPermit(const std::vector<TargetRecord>& aTargets) const;
+  std::optional<Duration> TimeUntilPermit(const std::vector<TargetRecord>& aTargets) const;
 
   // Takes what an answer to a request says, nothing where it names no limit. Only an answer to a
   // request that was sent after the limit was known can lift it: an earlier one may be overtaken.
@@ -60,7 +61,7 @@
   void Take(const std::vector<TargetLimit>& aTold);
 
   // The next TakeReports() returns all limits that are known: another control host is told.
-  void TellAllAnew();
+  void ResendAll();
 
   std::vector<LimitReport> TakeReports();
 
@@ -85,9 +86,9 @@
   bool IsCold(const Entry& aEntry) const;
   bool IsLimited(const Entry& aEntry) const;
   double PermitsNow(const Entry& aEntry) const;
-  void TakeShare(const TargetLimit& aTold, Entry& aTo) const;
-  std::optional<Duration> UntilPermit(const Entry& aEntry) const;
-  void ForgetWarm();
+  void ApplyShare(const TargetLimit& aTold, Entry& aTo) const;
+  std::optional<Duration> TimeUntilPermit(const Entry& aEntry) const;
+  void RemoveWarmTargets();
   void Report(const TargetId& aTarget, const Entry& aEntry, bool aLifted);
 
   const Clock& clock;
--- a/include/damasklink/protocol/ClaimMachine.h
+++ b/include/damasklink/protocol/ClaimMachine.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "damasklink/coordination/ClaimLedger.h"
+#include "damasklink/coordination/ClaimRegistry.h"
 #include "damasklink/coordination/Replication.h"
 
 namespace damasklink {
@@ -23,12 +23,12 @@
 Result<ClaimReply>
 DecodeClaimReply(std::string_view aBytes);
 
-// Puts a ClaimLedger behind the replicated log.
+// Puts a ClaimRegistry behind the replicated log.
 //
 //   ClaimMachine machine;
 //   replicator.AddMachine(ClaimsGroupId(zone), MachinePart::Claims, machine);
 //
-// A command that does not decode is answered with the verdict Noted and changes nothing.
+// A command that does not decode is answered with the verdict Recorded and changes nothing.
 class ClaimMachine final : public ReplicatedMachine
 {
 public:
@@ -36,10 +36,10 @@
   std::string Save() const override;
   Result<void> Load(std::string_view aSnapshot) override;
 
-  const ClaimLedger& Ledger() const { return this->ledger; }
+  const ClaimRegistry& Ledger() const { return this->ledger; }
 
 private:
-  ClaimLedger ledger;
+  ClaimRegistry ledger;
 };
 
 } // namespace damasklink
--- a/src/coordination/AdmissionQueue.cpp
+++ b/src/coordination/AdmissionQueue.cpp
@@ -7,16 +7,16 @@
 namespace damasklink {
 namespace {
 
-constexpr Duration kLeastComeBack = std::chrono::milliseconds(100);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
 // Weight of the newest request in the mean time.
 constexpr int kMeanOver = 16;
 // Mean deviations that a request is given beyond the mean time.
 constexpr int kDeviations = 2;
 // What a workspace may owe for use elsewhere, in costs of one request: beyond it the past is
 // forgotten, so that no workspace waits for long after others have gone.
-constexpr double kMostDebt = 64;
+constexpr double kMaxDebt = 64;
 // Accounts beyond this number are cleared of those that owe nothing.
-constexpr std::size_t kMostIdleAccounts = 4096;
+constexpr std::size_t kMaxIdleAccounts = 4096;
 
 Error
 FullError()
@@ -44,12 +44,12 @@
     return id;
   }
   const Duration wait = this->ExpectedWait(aRequest);
-  if (!this->CanMakeIt(pool, aRequest, wait)) {
+  if (!this->CanMeetDeadline(pool, aRequest, wait)) {
     this->RefuseAsTooLate(id, wait);
     return id;
   }
   if (this->waiting >= this->mostWaiting) {
-    this->MakeRoomFor(aRequest);
+    this->EvictFor(aRequest);
   }
   if (this->waiting >= this->mostWaiting) {
     this->Refuse(id, FullError(), wait);
@@ -60,7 +60,9 @@
 }
 
 bool
-AdmissionQueue::CanMakeIt(const Pool& aPool, const AdmissionRequest& aRequest, Duration aWait) const
+AdmissionQueue::CanMeetDeadline(const Pool& aPool,
+                                const AdmissionRequest& aRequest,
+                                Duration aWait) const
 {
   // A request that is cut off at its deadline wastes what it used, so the slower ones count too.
   const Duration needed = aPool.meanTime + kDeviations * aPool.meanDeviation;
@@ -80,7 +82,7 @@
 // Takes the last request from the workspace that waits with the most for its weight, unless that
 // is the newcomer's own.
 void
-AdmissionQueue::MakeRoomFor(const AdmissionRequest& aRequest)
+AdmissionQueue::EvictFor(const AdmissionRequest& aRequest)
 {
   const auto load = [](const Account& aAccount) {
     return static_cast<double>(aAccount.waiting) / static_cast<double>(aAccount.share);
@@ -121,10 +123,10 @@
 }
 
 void
-AdmissionQueue::AdmitWhatFits(Pool& aPool)
+AdmissionQueue::AdmitWaiting(Pool& aPool)
 {
   while (aPool.running < aPool.capacity && !aPool.waiting.empty()) {
-    const auto next = this->FurthestBehind(aPool);
+    const auto next = this->NextWorkspace(aPool);
     Queued queued = std::move(next->second.front());
     next->second.pop_front();
     if (next->second.empty()) {
@@ -132,7 +134,7 @@
     }
     --this->waiting;
     --this->accounts[queued.request.workspace].waiting;
-    if (this->CanMakeIt(aPool, queued.request, Duration(0))) {
+    if (this->CanMeetDeadline(aPool, queued.request, Duration(0))) {
       this->Admit(aPool, queued);
     } else {
       this->RefuseAsTooLate(queued.id, this->ExpectedWait(queued.request));
@@ -157,12 +159,12 @@
 void
 AdmissionQueue::Refuse(AdmissionId aId, Error aError, Duration aRetryAfter)
 {
-  AdmissionRefusal refusal{ std::move(aError), std::max(aRetryAfter, kLeastComeBack) };
+  AdmissionRefusal refusal{ std::move(aError), std::max(aRetryAfter, kMinRetryAfter) };
   this->decisions.push_back(AdmissionDecision{ aId, std::move(refusal) });
 }
 
 std::map<WorkspaceId, std::deque<AdmissionQueue::Queued>>::iterator
-AdmissionQueue::FurthestBehind(Pool& aPool)
+AdmissionQueue::NextWorkspace(Pool& aPool)
 {
   return std::min_element(
     aPool.waiting.begin(), aPool.waiting.end(), [&](const auto& aLeft, const auto& aRight) {
@@ -219,7 +221,7 @@
     pool.meanDeviation += (distance - pool.meanDeviation) / kMeanOver;
     pool.meanTime += (took - pool.meanTime) / kMeanOver;
   }
-  this->AdmitWhatFits(pool);
+  this->AdmitWaiting(pool);
 }
 
 void
@@ -227,7 +229,7 @@
 {
   Pool& pool = this->pools[aPool];
   pool.capacity = aCapacity;
-  this->AdmitWhatFits(pool);
+  this->AdmitWaiting(pool);
 }
 
 void
@@ -235,7 +237,7 @@
 {
   Account& account = this->accounts[aWorkspace];
   const double paidUntil = this->StartOf(aWorkspace) + aCost / static_cast<double>(account.share);
-  account.paidUntil = std::min(paidUntil, this->virtualTime + kMostDebt);
+  account.paidUntil = std::min(paidUntil, this->virtualTime + kMaxDebt);
 }
 
 std::vector<AdmissionDecision>
@@ -247,7 +249,7 @@
 std::map<WorkspaceId, double>
 AdmissionQueue::TakeLocalUse()
 {
-  if (this->accounts.size() > kMostIdleAccounts) {
+  if (this->accounts.size() > kMaxIdleAccounts) {
     std::erase_if(this->accounts, [&](const auto& aItem) {
       return aItem.second.waiting == 0 && aItem.second.paidUntil <= this->virtualTime;
     });
--- a/src/coordination/BurnReport.cpp
+++ b/src/coordination/BurnReport.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 double
-BurnOf(const ServiceLevelCount& aCount, const ServiceLevel& aObjective)
+BurnRateOf(const ServiceLevelCount& aCount, const ServiceLevel& aObjective)
 {
   if (aCount.total == 0) {
     return 0;
@@ -45,9 +45,9 @@
 BurnLevel
 BurnLevelOf(const WorkspaceBurn& aBurn)
 {
-  const double fiveMinutes = BurnOf(aBurn.windows.at(kFiveMinutes), aBurn.objective);
-  const double oneHour = BurnOf(aBurn.windows.at(kOneHour), aBurn.objective);
-  const double sixHours = BurnOf(aBurn.windows.at(kSixHours), aBurn.objective);
+  const double fiveMinutes = BurnRateOf(aBurn.windows.at(kFiveMinutes), aBurn.objective);
+  const double oneHour = BurnRateOf(aBurn.windows.at(kOneHour), aBurn.objective);
+  const double sixHours = BurnRateOf(aBurn.windows.at(kSixHours), aBurn.objective);
   if (fiveMinutes >= kPageBurn && oneHour >= kPageBurn) {
     return BurnLevel::Page;
   }
--- a/src/coordination/ClaimRefusal.cpp
+++ b/src/coordination/ClaimRefusal.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 // A run mostly ends long before its lease does, so a caller need not wait for all of it.
-constexpr Duration kLongestComeBack = std::chrono::seconds(2);
-constexpr Duration kFullComeBack = std::chrono::seconds(30);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(2);
+constexpr Duration kFullRetryAfter = std::chrono::seconds(30);
 
 ClaimRefusal
 Make(ErrorKind aKind, const char* aMessage, const char* aRemedy, RunOutcome aEarlier)
@@ -26,15 +26,15 @@
                                   "a call with this key is running",
                                   "ask again with the same key for its answer",
                                   RunOutcome::MayHaveRun);
-      refusal.retryAfter = std::min(aReply.comeBack, kLongestComeBack);
+      refusal.retryAfter = std::min(aReply.retryAfter, kMaxRetryAfter);
       return refusal;
     }
-    case ClaimVerdict::AnswerGone:
+    case ClaimVerdict::AnswerDropped:
       return Make(ErrorKind::Conflict,
                   "a call with this key ran, and its answer is no longer kept",
                   "look its result up at the service; do not send it under a new key",
                   RunOutcome::Ran);
-    case ClaimVerdict::OtherBody:
+    case ClaimVerdict::BodyMismatch:
       return Make(ErrorKind::Conflict,
                   "the key was used for a call with another path or body",
                   "use a new key for a new call",
@@ -44,7 +44,7 @@
                   "the key is older than keys are remembered, so its call may have run",
                   "look its result up at the service before you send it under a new key",
                   RunOutcome::MayHaveRun);
-    case ClaimVerdict::NotYetBorn:
+    case ClaimVerdict::CreatedInFuture:
       return Make(ErrorKind::InvalidArgument,
                   "the key's birth lies in the future",
                   "send a key from POST /v1/keys unchanged",
@@ -54,7 +54,7 @@
                                   "the zone has no room for another key",
                                   "try again later with the same key",
                                   RunOutcome::NotRun);
-      refusal.retryAfter = kFullComeBack;
+      refusal.retryAfter = kFullRetryAfter;
       return refusal;
     }
     case ClaimVerdict::NotReady: {
@@ -62,7 +62,7 @@
                                   "the zone's claims group is new and not yet known to all",
                                   "try again shortly with the same key",
                                   RunOutcome::NotRun);
-      refusal.retryAfter = kLongestComeBack;
+      refusal.retryAfter = kMaxRetryAfter;
       return refusal;
     }
     case ClaimVerdict::Withdrawn:
--- a/src/coordination/ClaimLedger.cpp
+++ b/src/coordination/ClaimRegistry.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ClaimLedger.h"
+#include "damasklink/coordination/ClaimRegistry.h"
 
 #include <algorithm>
 
@@ -9,9 +9,9 @@
 namespace {
 
 // How far the clocks of hosts may lie apart. Births are compared with the leader's clock.
-constexpr Duration kMostClockSkew = std::chrono::seconds(60);
+constexpr Duration kMaxClockSkew = std::chrono::seconds(60);
 // Entries forgotten with each command, so that no command takes long.
-constexpr std::size_t kForgottenAtOnce = 64;
+constexpr std::size_t kMaxExpiredPerCommand = 64;
 
 ClaimName
 NameOf(const ClaimCommand& aCommand)
@@ -57,9 +57,9 @@
 } // namespace
 
 ClaimReply
-ClaimLedger::Apply(const ApplyContext& aContext, const ClaimCommand& aCommand)
+ClaimRegistry::Apply(const ApplyContext& aContext, const ClaimCommand& aCommand)
 {
-  this->NoteIncarnation(aContext);
+  this->UpdateIncarnation(aContext);
   this->ForgetExpired(aContext.proposedAt);
   if (aCommand.verb == ClaimVerb::Claim) {
     return this->Claim(aContext, aCommand);
@@ -68,12 +68,12 @@
 }
 
 ClaimReply
-ClaimLedger::Claim(const ApplyContext& aContext, const ClaimCommand& aCommand)
+ClaimRegistry::Claim(const ApplyContext& aContext, const ClaimCommand& aCommand)
 {
   const WallTime now = aContext.proposedAt;
   if (aCommand.birth) {
-    if (*aCommand.birth > After(now, kMostClockSkew)) {
-      return Reply(ClaimVerdict::NotYetBorn);
+    if (*aCommand.birth > After(now, kMaxClockSkew)) {
+      return Reply(ClaimVerdict::CreatedInFuture);
     }
     if (now >= After(*aCommand.birth, aCommand.retention)) {
       return Reply(ClaimVerdict::Expired);
@@ -87,7 +87,7 @@
 }
 
 ClaimReply
-ClaimLedger::ClaimNew(const ApplyContext& aContext, const ClaimCommand& aCommand)
+ClaimRegistry::ClaimNew(const ApplyContext& aContext, const ClaimCommand& aCommand)
 {
   if (aCommand.birth && *aCommand.birth <= this->header.forgottenBirth) {
     return Reply(ClaimVerdict::Expired);
@@ -95,7 +95,7 @@
   if (aContext.incarnation == Incarnation()) {
     return Reply(ClaimVerdict::NotReady);
   }
-  if (this->MayPredateGroup(aContext, aCommand)) {
+  if (this->MayPredateReformation(aContext, aCommand)) {
     return Reply(ClaimVerdict::MayHaveRun);
   }
   const ClaimName name = NameOf(aCommand);
@@ -108,13 +108,13 @@
 }
 
 ClaimReply
-ClaimLedger::ClaimKnown(const ApplyContext& aContext,
-                        const ClaimCommand& aCommand,
-                        Entries::iterator aFound)
+ClaimRegistry::ClaimKnown(const ApplyContext& aContext,
+                          const ClaimCommand& aCommand,
+                          Entries::iterator aFound)
 {
   ClaimEntry& entry = aFound->second;
   if (entry.bodyKnown && entry.body != TagOf(aCommand.body.Value())) {
-    return Reply(ClaimVerdict::OtherBody);
+    return Reply(ClaimVerdict::BodyMismatch);
   }
   const bool own = entry.attempt == TagOf(aCommand.attempt.Value());
   const bool leased = aContext.proposedAt < entry.leaseEnd;
@@ -123,7 +123,7 @@
       return own ? Reply(ClaimVerdict::Withdrawn) : this->Grant(aContext, aCommand, aFound);
     case ClaimState::Finished:
       if (entry.answer == nullptr) {
-        return Reply(ClaimVerdict::AnswerGone);
+        return Reply(ClaimVerdict::AnswerDropped);
       }
       return ClaimReply{ ClaimVerdict::Kept, Duration(0), entry.answer->answer };
     case ClaimState::Running:
@@ -141,9 +141,9 @@
 }
 
 ClaimReply
-ClaimLedger::Grant(const ApplyContext& aContext,
-                   const ClaimCommand& aCommand,
-                   Entries::iterator aEntry)
+ClaimRegistry::Grant(const ApplyContext& aContext,
+                     const ClaimCommand& aCommand,
+                     Entries::iterator aEntry)
 {
   const WallTime now = aContext.proposedAt;
   ClaimEntry& entry = aEntry->second;
@@ -158,18 +158,18 @@
 }
 
 ClaimReply
-ClaimLedger::Settle(const ApplyContext& aContext, const ClaimCommand& aCommand)
+ClaimRegistry::Settle(const ApplyContext& aContext, const ClaimCommand& aCommand)
 {
   const auto found = this->entries.find(NameOf(aCommand));
   if (found == this->entries.end()) {
-    this->ReleaseUnknown(aContext, aCommand);
-    return Reply(ClaimVerdict::Noted);
+    this->RecordEarlyRelease(aContext, aCommand);
+    return Reply(ClaimVerdict::Recorded);
   }
   ClaimEntry& entry = found->second;
   const bool own = entry.attempt == TagOf(aCommand.attempt.Value());
   const bool open = entry.state == ClaimState::Running || entry.state == ClaimState::Unknown;
   if (!own || !open) {
-    return Reply(ClaimVerdict::Noted);
+    return Reply(ClaimVerdict::Recorded);
   }
   if (aCommand.verb == ClaimVerb::Finish) {
     entry.state = ClaimState::Finished;
@@ -179,13 +179,13 @@
   } else if (entry.state == ClaimState::Running) {
     entry.state = ClaimState::Released;
   }
-  return Reply(ClaimVerdict::Noted);
+  return Reply(ClaimVerdict::Recorded);
 }
 
 // A release that overtakes its claim is remembered, so that the claim cannot hold the key for
 // nobody when it comes at last.
 void
-ClaimLedger::ReleaseUnknown(const ApplyContext& aContext, const ClaimCommand& aCommand)
+ClaimRegistry::RecordEarlyRelease(const ApplyContext& aContext, const ClaimCommand& aCommand)
 {
   if (aContext.incarnation == Incarnation()) {
     return;
@@ -196,7 +196,7 @@
   }
   const WallTime now = aContext.proposedAt;
   const WallTime expiry = After(aCommand.birth.value_or(now), aCommand.retention);
-  if (this->MayPredateGroup(aContext, aCommand) || now >= expiry) {
+  if (this->MayPredateReformation(aContext, aCommand) || now >= expiry) {
     return;
   }
   const auto entry = this->entries.try_emplace(NameOf(aCommand)).first;
@@ -207,7 +207,7 @@
 }
 
 void
-ClaimLedger::KeepAnswer(LogIndex aIndex, const ClaimCommand& aCommand, Entries::iterator aEntry)
+ClaimRegistry::KeepAnswer(LogIndex aIndex, const ClaimCommand& aCommand, Entries::iterator aEntry)
 {
   if (!aCommand.answer) {
     return;
@@ -221,7 +221,7 @@
 }
 
 void
-ClaimLedger::DropAnswer(Entries::iterator aEntry)
+ClaimRegistry::DropAnswer(Entries::iterator aEntry)
 {
   ClaimEntry& entry = aEntry->second;
   if (entry.answer == nullptr) {
@@ -233,7 +233,7 @@
 }
 
 void
-ClaimLedger::Extend(Entries::iterator aEntry, WallTime aExpiry)
+ClaimRegistry::Extend(Entries::iterator aEntry, WallTime aExpiry)
 {
   ClaimEntry& entry = aEntry->second;
   const bool fresh = entry.expiry == WallTime();
@@ -241,18 +241,18 @@
   entry.expiry = std::max(entry.expiry, aExpiry);
   const std::int64_t after = SecondOf(entry.expiry);
   if (fresh || after != before) {
-    this->endings[after].push_back(aEntry);
+    this->expiries[after].push_back(aEntry);
   }
 }
 
 void
-ClaimLedger::ForgetExpired(WallTime aNow)
+ClaimRegistry::ForgetExpired(WallTime aNow)
 {
   const std::int64_t now = SecondOf(aNow);
-  std::size_t left = kForgottenAtOnce;
-  while (left > 0 && !this->endings.empty() && this->endings.begin()->first < now) {
-    const std::int64_t second = this->endings.begin()->first;
-    std::vector<Entries::iterator>& ending = this->endings.begin()->second;
+  std::size_t left = kMaxExpiredPerCommand;
+  while (left > 0 && !this->expiries.empty() && this->expiries.begin()->first < now) {
+    const std::int64_t second = this->expiries.begin()->first;
+    std::vector<Entries::iterator>& ending = this->expiries.begin()->second;
     while (left > 0 && !ending.empty()) {
       const auto entry = ending.back();
       ending.pop_back();
@@ -265,13 +265,13 @@
       }
     }
     if (ending.empty()) {
-      this->endings.erase(this->endings.begin());
+      this->expiries.erase(this->expiries.begin());
     }
   }
 }
 
 void
-ClaimLedger::NoteIncarnation(const ApplyContext& aContext)
+ClaimRegistry::UpdateIncarnation(const ApplyContext& aContext)
 {
   if (aContext.incarnation <= this->header.incarnation) {
     return;
@@ -281,20 +281,21 @@
 }
 
 bool
-ClaimLedger::MayPredateGroup(const ApplyContext& aContext, const ClaimCommand& aCommand) const
+ClaimRegistry::MayPredateReformation(const ApplyContext& aContext,
+                                     const ClaimCommand& aCommand) const
 {
   if (!this->header.reformedAt) {
     return false;
   }
   const WallTime reformed = *this->header.reformedAt;
   if (aCommand.birth) {
-    return *aCommand.birth <= After(reformed, kMostClockSkew);
+    return *aCommand.birth <= After(reformed, kMaxClockSkew);
   }
   return aContext.proposedAt < After(reformed, aCommand.retention);
 }
 
 void
-ClaimLedger::Visit(const std::function<void(const ClaimName&, const ClaimEntry&)>& aVisitor) const
+ClaimRegistry::Visit(const std::function<void(const ClaimName&, const ClaimEntry&)>& aVisitor) const
 {
   for (const auto& [name, entry] : this->entries) {
     aVisitor(name, entry);
@@ -302,7 +303,7 @@
 }
 
 void
-ClaimLedger::Restore(const ClaimName& aName, ClaimEntry aEntry)
+ClaimRegistry::Restore(const ClaimName& aName, ClaimEntry aEntry)
 {
   const WallTime expiry = aEntry.expiry;
   aEntry.expiry = WallTime();
--- a/src/coordination/CrashWatch.cpp
+++ b/src/coordination/CrashFilter.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashWatch.h"
+#include "damasklink/coordination/CrashFilter.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,16 +6,16 @@
 namespace damasklink {
 
 void
-CrashWatch::OnCrash(CrashReport aReport)
+CrashFilter::OnCrash(CrashReport aReport)
 {
-  if (this->reports.size() >= kMostReports) {
+  if (this->reports.size() >= kMaxReports) {
     this->reports.erase(this->reports.begin());
   }
   this->reports.push_back(OwnReport{ std::move(aReport), this->clock.MonotonicNow(), false });
 }
 
 void
-CrashWatch::OnSound(const SoundRun& aRun)
+CrashFilter::OnSuccessfulRun(const SoundRun& aRun)
 {
   const auto isOfRun = [&](const OwnReport& aOwn) {
     return aOwn.report.request == aRun.request && aOwn.report.service == aRun.service;
@@ -27,7 +27,7 @@
 }
 
 void
-CrashWatch::Take(const HostId& aFrom, const CrashingRequests& aTold)
+CrashFilter::Take(const HostId& aFrom, const CrashingRequests& aTold)
 {
   std::erase_if(this->words, [](const auto& aItem) { return !aItem.second.connected; });
   this->words[aFrom] = Word{ aTold, true };
@@ -35,7 +35,7 @@
 }
 
 void
-CrashWatch::OnLost(const HostId& aHost)
+CrashFilter::OnLost(const HostId& aHost)
 {
   const auto found = this->words.find(aHost);
   if (found == this->words.end()) {
@@ -52,7 +52,7 @@
 }
 
 void
-CrashWatch::Merge()
+CrashFilter::Merge()
 {
   this->refused.clear();
   this->watched.clear();
@@ -64,7 +64,7 @@
 }
 
 void
-CrashWatch::TellAllAnew()
+CrashFilter::ResendAll()
 {
   for (OwnReport& own : this->reports) {
     own.told = false;
@@ -72,10 +72,11 @@
 }
 
 std::vector<CrashReport>
-CrashWatch::TakeReports()
+CrashFilter::TakeReports()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  std::erase_if(this->reports, [&](const OwnReport& aOwn) { return now - aOwn.at >= kRetold; });
+  std::erase_if(this->reports,
+                [&](const OwnReport& aOwn) { return now - aOwn.at >= kReportLifetime; });
   std::vector<CrashReport> untold;
   for (OwnReport& own : this->reports) {
     if (!std::exchange(own.told, true)) {
@@ -86,7 +87,7 @@
 }
 
 std::vector<SoundRun>
-CrashWatch::TakeSound()
+CrashFilter::TakeSuccessfulRuns()
 {
   const std::set<SoundRun> taken = std::exchange(this->sound, {});
   return std::vector<SoundRun>(taken.begin(), taken.end());
--- a/src/coordination/CrashLedger.cpp
+++ b/src/coordination/CrashRegistry.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashLedger.h"
+#include "damasklink/coordination/CrashRegistry.h"
 
 #include <algorithm>
 #include <tuple>
@@ -6,10 +6,10 @@
 namespace damasklink {
 
 void
-CrashLedger::Take(const std::vector<CrashReport>& aReports)
+CrashRegistry::Take(const std::vector<CrashReport>& aReports)
 {
   for (const CrashReport& report : aReports) {
-    if (!this->entries.contains(report.request) && this->entries.size() >= kMostRequests) {
+    if (!this->entries.contains(report.request) && this->entries.size() >= kMaxRequests) {
       this->MakeRoom();
     }
     Entry& entry = this->entries[report.request];
@@ -25,7 +25,7 @@
 // Forgets the request with the fewest crashes, the oldest of these: one that is sent once only must
 // not push out those that come again.
 void
-CrashLedger::MakeRoom()
+CrashRegistry::MakeRoom()
 {
   const auto least = std::min_element(
     this->entries.begin(), this->entries.end(), [](const auto& aLeft, const auto& aRight) {
@@ -36,7 +36,7 @@
 }
 
 void
-CrashLedger::TakeSound(const std::vector<SoundRun>& aRuns)
+CrashRegistry::TakeSuccessfulRuns(const std::vector<SoundRun>& aRuns)
 {
   for (const SoundRun& run : aRuns) {
     const auto found = this->entries.find(run.request);
@@ -55,7 +55,7 @@
 }
 
 void
-CrashLedger::SetRefused(const RefusedRequests& aRefused)
+CrashRegistry::SetRefused(const RefusedRequests& aRefused)
 {
   for (const auto& [request, facts] : this->refused) {
     if (!aRefused.contains(request)) {
@@ -68,14 +68,14 @@
 }
 
 bool
-CrashLedger::IsConvicted(const Entry& aEntry) const
+CrashRegistry::ShouldRefuse(const Entry& aEntry) const
 {
   return aEntry.ended.size() >= kCrashesToRefuse &&
-         this->clock.MonotonicNow() - aEntry.lastCrash >= kSettling;
+         this->clock.MonotonicNow() - aEntry.lastCrash >= kSettleTime;
 }
 
 CrashingRequests
-CrashLedger::Told() const
+CrashRegistry::Verdicts() const
 {
   CrashingRequests told;
   for (const auto& [request, facts] : this->refused) {
@@ -84,9 +84,9 @@
     }
   }
   for (const auto& [request, entry] : this->entries) {
-    if (this->IsConvicted(entry)) {
+    if (this->ShouldRefuse(entry)) {
       told.refused.insert(request);
-    } else if (entry.ended.size() >= kCrashesToSuspect && told.suspected.size() < kMostSuspects) {
+    } else if (entry.ended.size() >= kCrashesToSuspect && told.suspected.size() < kMaxSuspects) {
       told.suspected.insert(request);
     }
   }
@@ -94,11 +94,11 @@
 }
 
 std::vector<RefuseRequest>
-CrashLedger::ToRefuse() const
+CrashRegistry::ToRefuse() const
 {
   std::vector<RefuseRequest> requests;
   for (const auto& [request, entry] : this->entries) {
-    if (this->IsConvicted(entry) && !this->refused.contains(request)) {
+    if (this->ShouldRefuse(entry) && !this->refused.contains(request)) {
       requests.push_back(RefuseRequest{ request, { entry.workspace, this->clock.WallNow() } });
     }
   }
@@ -106,11 +106,11 @@
 }
 
 std::vector<ReleaseRequest>
-CrashLedger::ToRelease() const
+CrashRegistry::ToRelease() const
 {
   std::vector<ReleaseRequest> requests;
   for (const auto& [request, facts] : this->refused) {
-    const bool over = this->clock.WallNow() - facts.since >= kRefusedFor;
+    const bool over = this->clock.WallNow() - facts.since >= kRefusalPeriod;
     if (over || this->cleared.contains(request)) {
       requests.push_back(ReleaseRequest{ request });
     }
@@ -119,7 +119,7 @@
 }
 
 std::vector<CrashReport>
-CrashLedger::All() const
+CrashRegistry::All() const
 {
   std::vector<CrashReport> reports;
   for (const auto& [request, entry] : this->entries) {
--- a/src/coordination/DispatchRecord.cpp
+++ b/src/coordination/DispatchRecord.cpp
@@ -60,7 +60,7 @@
 }
 
 void
-DispatchRecord::NoteEarlier(RunOutcome aOutcome)
+DispatchRecord::AddEarlierOutcome(RunOutcome aOutcome)
 {
   this->earlier = std::max(this->earlier, aOutcome);
 }
--- a/src/coordination/IdempotencyKeys.cpp
+++ b/src/coordination/IdempotencyKeys.cpp
@@ -83,7 +83,7 @@
 ReadKeyOrigin(const WorkspaceId& aWorkspace, const IdempotencyKey& aKey)
 {
   const std::string& text = aKey.Value();
-  if (text.empty() || text.size() > kMostKeyBytes) {
+  if (text.empty() || text.size() > kMaxKeyBytes) {
     return BadKey("is empty or too long");
   }
   if (!std::all_of(text.begin(), text.end(), IsVisible)) {
--- a/src/coordination/SendsSum.cpp
+++ b/src/coordination/InFlightLoadSum.cpp
@@ -1,12 +1,12 @@
-#include "damasklink/coordination/SendsSum.h"
+#include "damasklink/coordination/InFlightLoadSum.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace damasklink {
 
-SentLoad&
-SentLoad::operator+=(const SentLoad& aOther)
+LoadCounts&
+LoadCounts::operator+=(const LoadCounts& aOther)
 {
   this->requests += aOther.requests;
   this->unread += aOther.unread;
@@ -14,8 +14,8 @@
   return *this;
 }
 
-SentLoad&
-SentLoad::operator-=(const SentLoad& aOther)
+LoadCounts&
+LoadCounts::operator-=(const LoadCounts& aOther)
 {
   this->requests -= std::min(this->requests, aOther.requests);
   this->unread -= std::min(this->unread, aOther.unread);
@@ -24,14 +24,14 @@
 }
 
 void
-SendsSum::Take(const SendsNews& aNews, MonotonicTime aNow)
+InFlightLoadSum::Take(const SendsNews& aNews, MonotonicTime aNow)
 {
   Host& host = this->hosts[aNews.host];
   host.heard = aNow;
   for (const TargetSendsNow& sends : aNews.sends) {
-    const SentLoad now{ sends.requests, sends.unread.Value(), sends.memory.Value() };
-    SentLoad& load = host.loads[sends.target];
-    SentLoad& sum = this->sums[sends.target];
+    const LoadCounts now{ sends.requests, sends.unread.Value(), sends.memory.Value() };
+    LoadCounts& load = host.loads[sends.target];
+    LoadCounts& sum = this->sums[sends.target];
     sum -= load;
     sum += now;
     load = now;
@@ -45,10 +45,10 @@
 }
 
 void
-SendsSum::Drop(const Host& aHost)
+InFlightLoadSum::Drop(const Host& aHost)
 {
   for (const auto& [target, load] : aHost.loads) {
-    SentLoad& sum = this->sums[target];
+    LoadCounts& sum = this->sums[target];
     sum -= load;
     if (sum.IsEmpty()) {
       this->sums.erase(target);
@@ -57,7 +57,7 @@
 }
 
 std::vector<TargetId>
-SendsSum::Forget(const HostId& aHost)
+InFlightLoadSum::Forget(const HostId& aHost)
 {
   std::vector<TargetId> targets;
   const auto found = this->hosts.find(aHost);
@@ -73,7 +73,7 @@
 }
 
 std::vector<TargetId>
-SendsSum::ForgetBefore(MonotonicTime aTime)
+InFlightLoadSum::ForgetBefore(MonotonicTime aTime)
 {
   std::vector<HostId> silent;
   for (const auto& [name, host] : this->hosts) {
@@ -90,22 +90,22 @@
 }
 
 void
-SendsSum::AddTargets(std::set<TargetId>& aTo) const
+InFlightLoadSum::AddTargets(std::set<TargetId>& aTo) const
 {
   for (const auto& [target, load] : this->sums) {
     aTo.insert(target);
   }
 }
 
-SentLoad
-SendsSum::Of(const TargetId& aTarget) const
+LoadCounts
+InFlightLoadSum::Of(const TargetId& aTarget) const
 {
   const auto found = this->sums.find(aTarget);
-  return found == this->sums.end() ? SentLoad() : found->second;
+  return found == this->sums.end() ? LoadCounts() : found->second;
 }
 
 TargetSendsNow
-StateSends(const TargetId& aTarget, const SentLoad& aLoad, std::vector<SizedPart> aParts)
+ToInFlightLoad(const TargetId& aTarget, const LoadCounts& aLoad, std::vector<SizedPart> aParts)
 {
   TargetSendsNow sends;
   sends.target = aTarget;
--- a/src/coordination/BrokenRuns.cpp
+++ b/src/coordination/InterruptedRequests.cpp
@@ -1,30 +1,32 @@
-#include "damasklink/coordination/BrokenRuns.h"
+#include "damasklink/coordination/InterruptedRequests.h"
 
 #include <utility>
 
 namespace damasklink {
 
 void
-BrokenRuns::Forget()
+InterruptedRequests::Forget()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  while (!this->runs.empty() && now - this->runs.front().brokeAt > kSilentWithin) {
+  while (!this->runs.empty() && now - this->runs.front().brokeAt > kSilenceWindow) {
     this->runs.pop_front();
   }
 }
 
 void
-BrokenRuns::Note(CrashReport aRun, const Endpoint& aAddress)
+InterruptedRequests::Note(CrashReport aRun, const Endpoint& aAddress)
 {
   this->Forget();
-  if (this->runs.size() >= kMostRuns) {
+  if (this->runs.size() >= kMaxInterrupted) {
     this->runs.pop_front();
   }
   this->runs.push_back(Run{ std::move(aRun), aAddress, this->clock.MonotonicNow() });
 }
 
 void
-BrokenRuns::OnAnswered(const TargetId& aTarget, Incarnation aIncarnation, MonotonicTime aSentAt)
+InterruptedRequests::OnAnswered(const TargetId& aTarget,
+                                Incarnation aIncarnation,
+                                MonotonicTime aSentAt)
 {
   std::erase_if(this->runs, [&](const Run& aRun) {
     return aRun.report.target == aTarget && aRun.report.incarnation == aIncarnation &&
@@ -34,7 +36,7 @@
 
 template<typename Matches>
 std::vector<CrashReport>
-BrokenRuns::Take(const Matches& aMatches)
+InterruptedRequests::Take(const Matches& aMatches)
 {
   this->Forget();
   std::vector<CrashReport> taken;
@@ -49,19 +51,19 @@
 }
 
 std::vector<CrashReport>
-BrokenRuns::TakeEndedBy(const TargetRecord& aStarted)
+InterruptedRequests::TakeConfirmedByStart(const TargetRecord& aStarted)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   return this->Take([&](const Run& aRun) {
     const bool sameTarget = aRun.report.target == aStarted.id;
     const bool earlier = sameTarget ? aRun.report.incarnation < aStarted.incarnation
                                     : aRun.address == aStarted.endpoint;
-    return earlier && now - aRun.brokeAt <= kStartsWithin;
+    return earlier && now - aRun.brokeAt <= kRestartWindow;
   });
 }
 
 std::vector<CrashReport>
-BrokenRuns::TakeSilent(const TargetRecord& aTarget)
+InterruptedRequests::TakeConfirmedBySilence(const TargetRecord& aTarget)
 {
   return this->Take([&](const Run& aRun) {
     return aRun.report.target == aTarget.id && aRun.report.incarnation == aTarget.incarnation;
--- a/src/coordination/SendsHub.cpp
+++ b/src/coordination/LoadReportAggregator.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/SendsHub.h"
+#include "damasklink/coordination/LoadReportAggregator.h"
 
 #include <utility>
 
 namespace damasklink {
 
 void
-SendsHub::Untold::Add(const SendsNews& aNews)
+LoadReportAggregator::PendingUpdate::Add(const SendsNews& aNews)
 {
   for (const TargetSendsNow& told : aNews.sends) {
     std::vector<SizedPart>& parts = this->sends[told.target];
@@ -26,7 +26,7 @@
 }
 
 void
-SendsHub::Untold::MoveFindings(SendsNews& aTo)
+LoadReportAggregator::PendingUpdate::MoveExcessesAndFindings(SendsNews& aTo)
 {
   for (auto& [store, excess] : std::exchange(this->excesses, {})) {
     aTo.excesses.push_back(std::move(excess));
@@ -37,29 +37,29 @@
 }
 
 void
-SendsHub::Take(const SendsNews& aNews, MonotonicTime aNow)
+LoadReportAggregator::Take(const SendsNews& aNews, MonotonicTime aNow)
 {
   if (aNews.last) {
     this->Forget(aNews.host);
     return;
   }
-  this->tellers.insert(aNews.host);
+  this->publishers.insert(aNews.host);
   this->sum.Take(aNews, aNow);
   this->changes.Add(aNews);
   this->totals.Add(aNews);
 }
 
 void
-SendsHub::TakeSum(const SendsNews& aNews, MonotonicTime aNow)
+LoadReportAggregator::TakePeerSum(const SendsNews& aNews, MonotonicTime aNow)
 {
-  this->sumsOfOthers.Take(aNews, aNow);
+  this->peerSums.Take(aNews, aNow);
   this->totals.Add(aNews);
 }
 
 void
-SendsHub::Forget(const HostId& aHost)
+LoadReportAggregator::Forget(const HostId& aHost)
 {
-  if (this->tellers.erase(aHost) == 0) {
+  if (this->publishers.erase(aHost) == 0) {
     return;
   }
   const std::vector<TargetId> targets = this->sum.Forget(aHost);
@@ -70,69 +70,69 @@
 }
 
 void
-SendsHub::ForgetSumsBefore(MonotonicTime aTime)
+LoadReportAggregator::RemovePeersSilentSince(MonotonicTime aTime)
 {
-  this->MarkTotals(this->sumsOfOthers.ForgetBefore(aTime));
+  this->MarkTotals(this->peerSums.ForgetBefore(aTime));
 }
 
 void
-SendsHub::MarkTotals(const std::vector<TargetId>& aTargets)
+LoadReportAggregator::MarkTotals(const std::vector<TargetId>& aTargets)
 {
   for (const TargetId& target : aTargets) {
     this->totals.sends.try_emplace(target);
   }
 }
 
-SentLoad
-SendsHub::TotalOf(const TargetId& aTarget) const
+LoadCounts
+LoadReportAggregator::TotalOf(const TargetId& aTarget) const
 {
-  SentLoad total = this->sum.Of(aTarget);
-  total += this->sumsOfOthers.Of(aTarget);
+  LoadCounts total = this->sum.Of(aTarget);
+  total += this->peerSums.Of(aTarget);
   return total;
 }
 
 namespace {
 
 // Moves what was not told yet into news in the name of aSelf; aLoadOf gives a target's figures now.
-template<typename Untold, typename LoadOf>
+template<typename PendingUpdate, typename LoadOf>
 SendsNews
-TellAll(Untold& aUntold, const HostId& aSelf, LoadOf aLoadOf)
+TellAll(PendingUpdate& aUntold, const HostId& aSelf, LoadOf aLoadOf)
 {
   SendsNews news;
   news.host = aSelf;
   for (auto& [target, parts] : std::exchange(aUntold.sends, {})) {
-    news.sends.push_back(StateSends(target, aLoadOf(target), std::move(parts)));
+    news.sends.push_back(ToInFlightLoad(target, aLoadOf(target), std::move(parts)));
   }
-  aUntold.MoveFindings(news);
+  aUntold.MoveExcessesAndFindings(news);
   return news;
 }
 
 } // namespace
 
 SendsNews
-SendsHub::TakeChanges(const HostId& aSelf)
+LoadReportAggregator::TakeChanges(const HostId& aSelf)
 {
   return TellAll(
     this->changes, aSelf, [this](const TargetId& aTarget) { return this->sum.Of(aTarget); });
 }
 
 SendsNews
-SendsHub::TakeTotals(const HostId& aSelf)
+LoadReportAggregator::TakeTotals(const HostId& aSelf)
 {
   return TellAll(
     this->totals, aSelf, [this](const TargetId& aTarget) { return this->TotalOf(aTarget); });
 }
 
 SendsNews
-SendsHub::AllTotals(const HostId& aSelf) const
+LoadReportAggregator::AllTotals(const HostId& aSelf) const
 {
   std::set<TargetId> targets;
   this->sum.AddTargets(targets);
-  this->sumsOfOthers.AddTargets(targets);
+  this->peerSums.AddTargets(targets);
   SendsNews news;
   news.host = aSelf;
   for (const TargetId& target : targets) {
-    news.sends.push_back(StateSends(target, this->TotalOf(target), {}));
+    news.sends.push_back(ToInFlightLoad(target, this->TotalOf(target), {}));
   }
   return news;
 }
--- a/src/coordination/LimitBook.cpp
+++ b/src/coordination/RateLimitAllocator.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/LimitBook.h"
+#include "damasklink/coordination/RateLimitAllocator.h"
 
 #include <algorithm>
 
@@ -62,7 +62,7 @@
 // Cold targets whose rate is divided at a time. All shares are told to all entry hosts together,
 // over links that calls need too; where hundreds of targets start at once, those beyond get nothing
 // until they are warm or others are.
-constexpr std::size_t kMostColdDivided = 64;
+constexpr std::size_t kMaxColdTargets = 64;
 
 // How many hosts share a rate, and what each of them gets.
 struct Division
@@ -74,7 +74,7 @@
 Division
 DivideLimit(RequestRate aRate, std::size_t aHosts)
 {
-  const double most = std::max(aRate.perSecond / LimitBook::kLeastShare.perSecond, 1.0);
+  const double most = std::max(aRate.perSecond / RateLimitAllocator::kMinShare.perSecond, 1.0);
   const double hosts = static_cast<double>(std::max<std::size_t>(aHosts, 1));
   const auto count = static_cast<std::size_t>(std::min(most, hosts));
   return Division{ count, RequestRate{ aRate.perSecond / static_cast<double>(count) } };
@@ -102,7 +102,7 @@
 } // namespace
 
 void
-LimitBook::Take(const std::vector<LimitReport>& aReports)
+RateLimitAllocator::Take(const std::vector<LimitReport>& aReports)
 {
   for (const LimitReport& report : aReports) {
     const auto found = this->limits.find(report.target);
@@ -126,7 +126,7 @@
 }
 
 void
-LimitBook::TakeCold(const ColdTarget& aCold, MonotonicTime aNow)
+RateLimitAllocator::UpdateColdTarget(const ColdTarget& aCold, MonotonicTime aNow)
 {
   Entry& entry = this->limits[aCold.target];
   if (aCold.incarnation < entry.incarnation) {
@@ -137,7 +137,8 @@
     entry.incarnation = aCold.incarnation;
   }
   const MonotonicTime until = aNow + aCold.coldFor;
-  const bool sameEnd = entry.coldFor > Duration::zero() && until <= entry.coldUntil + kSameEnd;
+  const bool sameEnd =
+    entry.coldFor > Duration::zero() && until <= entry.coldUntil + kColdEndTolerance;
   if (!sameEnd) {
     entry.coldFor = aCold.coldFor;
     entry.coldUntil = until;
@@ -146,7 +147,7 @@
 }
 
 void
-LimitBook::ForgetWarm(MonotonicTime aNow)
+RateLimitAllocator::RemoveWarmTargets(MonotonicTime aNow)
 {
   for (auto& [target, entry] : this->limits) {
     if (entry.coldUntil <= aNow) {
@@ -159,7 +160,7 @@
 }
 
 void
-LimitBook::KeepOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsThere)
+RateLimitAllocator::RetainOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsThere)
 {
   std::erase_if(this->limits, [&](const auto& aItem) {
     return !aIsThere(aItem.first, aItem.second.incarnation);
@@ -167,15 +168,15 @@
 }
 
 std::vector<TargetLimit>
-LimitBook::Shares(const std::set<HostId>& aEntryHosts) const
+RateLimitAllocator::Shares(const std::set<HostId>& aEntryHosts) const
 {
   std::vector<TargetLimit> shares;
   const std::vector<RankedHost> hosts = NumberHosts(aEntryHosts);
   std::size_t coldDivided = 0;
   for (const auto& [target, entry] : this->limits) {
-    const RequestRate named = std::max(entry.limit.value_or(RequestRate()), kLeast);
+    const RequestRate named = std::max(entry.limit.value_or(RequestRate()), kMinRate);
     const bool cold = entry.coldFor > Duration::zero();
-    if (cold && !entry.limit && ++coldDivided > kMostColdDivided) {
+    if (cold && !entry.limit && ++coldDivided > kMaxColdTargets) {
       continue;
     }
     const bool coldBinds = cold && (!entry.limit || entry.coldRate < named);
@@ -193,7 +194,7 @@
 }
 
 std::vector<LimitReport>
-LimitBook::All() const
+RateLimitAllocator::All() const
 {
   std::vector<LimitReport> reports;
   for (const auto& [target, entry] : this->limits) {
--- a/src/coordination/RetryShares.cpp
+++ b/src/coordination/ServiceRetryBudgets.cpp
@@ -1,41 +1,41 @@
-#include "damasklink/coordination/RetryShares.h"
+#include "damasklink/coordination/ServiceRetryBudgets.h"
 
 namespace damasklink {
 
 void
-RetryShares::SetHosts(std::uint64_t aHosts)
+ServiceRetryBudgets::SetHosts(std::uint64_t aHosts)
 {
   if (aHosts == this->hosts) {
     return;
   }
   this->hosts = aHosts;
   for (auto& [service, budget] : this->budgets) {
-    if (this->knowsHosts) {
+    if (this->hostsKnown) {
       budget.SetReserve(this->Reserve());
     } else {
       budget = this->Fresh();
     }
   }
-  this->knowsHosts = true;
+  this->hostsKnown = true;
 }
 
 double
-RetryShares::Reserve() const
+ServiceRetryBudgets::Reserve() const
 {
   if (this->hosts == 0) {
     return 0;
   }
-  return this->allowance.reserve * kUsedOfReserve / static_cast<double>(this->hosts);
+  return this->allowance.reserve * kReserveUtilization / static_cast<double>(this->hosts);
 }
 
 RetryBudget
-RetryShares::Fresh() const
+ServiceRetryBudgets::Fresh() const
 {
-  return RetryBudget(this->allowance.share * kUsedOfShare, this->Reserve());
+  return RetryBudget(this->allowance.share * kShareUtilization, this->Reserve());
 }
 
 RetryBudget&
-RetryShares::Of(const ServiceName& aService)
+ServiceRetryBudgets::Of(const ServiceName& aService)
 {
   const auto found = this->budgets.find(aService);
   if (found != this->budgets.end()) {
--- /dev/null
+++ b/src/coordination/StartupRetryDelay.cpp
@@ -0,0 +1,15 @@
+#include "damasklink/coordination/StartupRetryDelay.h"
+
+namespace damasklink {
+
+Duration
+StartupRetryDelay::DelayDuringStartup(Duration aSinceStart)
+{
+  if (aSinceStart >= kStartupDuration) {
+    return kLateStartupDelay;
+  }
+  std::uniform_int_distribution<Duration::rep> spread(0, kRetrySpread.count());
+  return kStartupDuration - aSinceStart + Duration(spread(this->random));
+}
+
+} // namespace damasklink
--- a/src/coordination/SubtreeLimiter.cpp
+++ b/src/coordination/SubtreeLimiter.cpp
@@ -8,7 +8,7 @@
 namespace damasklink {
 namespace {
 
-constexpr Duration kBusyComeBack = std::chrono::seconds(1);
+constexpr Duration kBusyRetryAfter = std::chrono::seconds(1);
 
 AdmissionRefusal
 TooLong(std::uint64_t aMost)
@@ -45,10 +45,10 @@
   if (bounded && static_cast<double>(team.running) >= this->Part(*limits.concurrentRequests)) {
     return Busy("the team runs as many requests as its limit allows",
                 "wait for one to end, or ask the operator for a higher concurrent_requests",
-                kBusyComeBack);
+                kBusyRetryAfter);
   }
   if (limits.requestsPerSecond) {
-    if (const auto wait = this->TakeAllowance(team, *limits.requestsPerSecond)) {
+    if (const auto wait = this->SpendAllowance(team, *limits.requestsPerSecond)) {
       return Busy("the team sends more requests a second than its limit allows",
                   "send fewer, or ask the operator for a higher requests_per_second",
                   *wait);
@@ -59,7 +59,7 @@
 }
 
 std::optional<Duration>
-SubtreeLimiter::TakeAllowance(Team& aTeam, std::uint64_t aPerSecond) const
+SubtreeLimiter::SpendAllowance(Team& aTeam, std::uint64_t aPerSecond) const
 {
   const double rate = this->Part(aPerSecond);
   const MonotonicTime now = this->clock.MonotonicNow();
--- a/src/coordination/TargetPicker.cpp
+++ b/src/coordination/TargetPicker.cpp
@@ -163,10 +163,10 @@
 }
 
 // This host's own load, and that of the others: the sums less what this host told of itself.
-SentLoad
+LoadCounts
 TargetPicker::LoadOf(const TargetId& aTarget) const
 {
-  SentLoad all = this->told.Of(aTarget);
+  LoadCounts all = this->told.Of(aTarget);
   if (const auto own = this->ownTold.find(aTarget); own != this->ownTold.end()) {
     all -= own->second;
   }
@@ -200,7 +200,7 @@
 TargetPicker::QueueAt(const PickQuestion& aQuestion, const TargetRecord& aTarget) const
 {
   const EnginePace& pace = this->PaceOf(aQuestion.model);
-  const SentLoad load = this->LoadOf(aTarget.id);
+  const LoadCounts load = this->LoadOf(aTarget.id);
   const double reading = pace.PerToken() * static_cast<double>(load.unread);
   const std::uint64_t slots = aTarget.load.slots;
   if (slots == 0 || load.requests < slots) {
@@ -224,7 +224,7 @@
 TargetPicker::CostOf(const PickQuestion& aQuestion, const TargetRecord& aTarget) const
 {
   double cost = aTarget.zone == aQuestion.zone ? 0 : this->costs.otherZone;
-  const SentLoad load = this->LoadOf(aTarget.id);
+  const LoadCounts load = this->LoadOf(aTarget.id);
   const auto requests = static_cast<double>(load.requests);
   const double perToken = this->PaceOf(aQuestion.model).PerToken();
   const double perOwnToken = perToken * (1 + this->costs.readingHoldsUp);
@@ -266,7 +266,7 @@
                      const PickQuestion& aQuestion,
                      const PickedWork& aWork)
 {
-  SentLoad& load = this->loads[aTarget];
+  LoadCounts& load = this->loads[aTarget];
   ++load.requests;
   load.unread += aWork.toRead.Value();
   load.memory += aWork.memory.Value();
@@ -288,13 +288,13 @@
   this->urgent = false;
   for (auto& [target, parts] : std::exchange(this->untold, {})) {
     const auto found = this->loads.find(target);
-    const SentLoad load = found == this->loads.end() ? SentLoad() : found->second;
+    const LoadCounts load = found == this->loads.end() ? LoadCounts() : found->second;
     if (load.IsEmpty()) {
       this->ownTold.erase(target);
     } else {
       this->ownTold[target] = load;
     }
-    sends.push_back(StateSends(target, load, std::move(parts)));
+    sends.push_back(ToInFlightLoad(target, load, std::move(parts)));
   }
   return sends;
 }
@@ -387,7 +387,7 @@
 {
   if (!aWork.answering && !this->IsOfEarlierStart(aTarget, aWork)) {
     aWork.answering = true;
-    SentLoad& load = this->loads[aTarget];
+    LoadCounts& load = this->loads[aTarget];
     load.unread -= std::min(load.unread, aWork.toRead.Value());
     this->untold.try_emplace(aTarget);
   }
@@ -400,7 +400,7 @@
   if (found == this->loads.end() || this->IsOfEarlierStart(aTarget, aWork)) {
     return;
   }
-  SentLoad& load = found->second;
+  LoadCounts& load = found->second;
   load.requests -= std::min<std::uint64_t>(load.requests, 1);
   load.memory -= std::min(load.memory, aWork.memory.Value());
   if (!aWork.answering) {
--- a/src/coordination/TargetLimits.cpp
+++ b/src/coordination/TargetRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetLimits.h"
+#include "damasklink/coordination/TargetRateLimiter.h"
 
 #include <algorithm>
 #include <iterator>
@@ -10,7 +10,7 @@
 // Returns what a host that gets its first share of a cold target may send at once: hosts begin one
 // after the other, so that all together send evenly from the first second on.
 double
-FirstPermits(const std::set<HostId>& aHosts, const HostId& aSelf)
+InitialPermits(const std::set<HostId>& aHosts, const HostId& aSelf)
 {
   const auto position = std::distance(aHosts.begin(), aHosts.find(aSelf));
   return 1 - (static_cast<double>(position) / static_cast<double>(aHosts.size()));
@@ -19,26 +19,26 @@
 } // namespace
 
 bool
-TargetLimits::IsCold(const Entry& aEntry) const
+TargetRateLimiter::IsCold(const Entry& aEntry) const
 {
   return this->clock.MonotonicNow() < aEntry.coldUntil;
 }
 
 bool
-TargetLimits::IsLimited(const Entry& aEntry) const
+TargetRateLimiter::IsLimited(const Entry& aEntry) const
 {
   return aEntry.limit || this->IsCold(aEntry);
 }
 
 double
-TargetLimits::PermitsNow(const Entry& aEntry) const
+TargetRateLimiter::PermitsNow(const Entry& aEntry) const
 {
   const std::chrono::duration<double> since = this->clock.MonotonicNow() - aEntry.filledAt;
   return std::min(1.0, aEntry.permits + (aEntry.share.perSecond * since.count()));
 }
 
 bool
-TargetLimits::MaySend(const TargetId& aTarget) const
+TargetRateLimiter::MaySend(const TargetId& aTarget) const
 {
   const auto found = this->entries.find(aTarget);
   return found == this->entries.end() || !this->IsLimited(found->second) ||
@@ -46,7 +46,7 @@
 }
 
 void
-TargetLimits::OnSent(const TargetId& aTarget)
+TargetRateLimiter::OnSent(const TargetId& aTarget)
 {
   const auto found = this->entries.find(aTarget);
   if (found != this->entries.end()) {
@@ -60,7 +60,7 @@
 // Returns how long until this host may send one, or until the target is warm where that is all that
 // keeps it; nothing when neither is known.
 std::optional<Duration>
-TargetLimits::UntilPermit(const Entry& aEntry) const
+TargetRateLimiter::TimeUntilPermit(const Entry& aEntry) const
 {
   if (aEntry.share.perSecond > 0) {
     const double missing = std::max(1 - this->PermitsNow(aEntry), 0.0);
@@ -74,7 +74,7 @@
 }
 
 std::optional<Duration>
-TargetLimits::UntilPermit(const std::vector<TargetRecord>& aTargets) const
+TargetRateLimiter::TimeUntilPermit(const std::vector<TargetRecord>& aTargets) const
 {
   std::optional<Duration> soonest;
   for (const TargetRecord& target : aTargets) {
@@ -82,7 +82,7 @@
     if (found == this->entries.end() || !this->IsLimited(found->second)) {
       continue;
     }
-    if (const std::optional<Duration> wait = this->UntilPermit(found->second)) {
+    if (const std::optional<Duration> wait = this->TimeUntilPermit(found->second)) {
       soonest = soonest ? std::min(*soonest, *wait) : *wait;
     }
   }
@@ -90,9 +90,9 @@
 }
 
 void
-TargetLimits::OnAnswer(const TargetRecord& aTarget,
-                       const std::optional<RequestRate>& aLimit,
-                       MonotonicTime aSentAt)
+TargetRateLimiter::OnAnswer(const TargetRecord& aTarget,
+                            const std::optional<RequestRate>& aLimit,
+                            MonotonicTime aSentAt)
 {
   const auto found = this->entries.find(aTarget.id);
   const bool known = found != this->entries.end();
@@ -104,7 +104,7 @@
     if (named && aSentAt > found->second.knownSince) {
       this->Report(aTarget.id, found->second, true);
       found->second.limit.reset();
-      this->ForgetWarm();
+      this->RemoveWarmTargets();
     }
     return;
   }
@@ -125,7 +125,7 @@
 }
 
 void
-TargetLimits::OnCold(const TargetRecord& aTarget, Duration aColdFor)
+TargetRateLimiter::OnCold(const TargetRecord& aTarget, Duration aColdFor)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const auto [position, isNew] = this->entries.try_emplace(aTarget.id);
@@ -140,7 +140,7 @@
 }
 
 void
-TargetLimits::Report(const TargetId& aTarget, const Entry& aEntry, bool aLifted)
+TargetRateLimiter::Report(const TargetId& aTarget, const Entry& aEntry, bool aLifted)
 {
   LimitReport report{ aTarget, aEntry.incarnation, aEntry.limit };
   if (aLifted) {
@@ -150,7 +150,7 @@
 }
 
 void
-TargetLimits::TakeShare(const TargetLimit& aTold, Entry& aTo) const
+TargetRateLimiter::ApplyShare(const TargetLimit& aTold, Entry& aTo) const
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const bool hadShare = aTo.share.perSecond > 0;
@@ -166,12 +166,12 @@
   }
   aTo.share = aTold.share;
   if (!hadShare && !aTo.sent && !aTo.limit && this->IsCold(aTo)) {
-    aTo.permits = FirstPermits(aTold.hosts, this->self);
+    aTo.permits = InitialPermits(aTold.hosts, this->self);
   }
 }
 
 void
-TargetLimits::Take(const std::vector<TargetLimit>& aTold)
+TargetRateLimiter::Take(const std::vector<TargetLimit>& aTold)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   std::map<TargetId, Entry> taken;
@@ -186,10 +186,10 @@
       // Of a target that it knows, this host has heard itself until when it is cold.
       entry.coldUntil = now + told.coldFor;
     }
-    this->TakeShare(told, entry);
+    this->ApplyShare(told, entry);
   }
   for (const auto& [target, entry] : this->entries) {
-    const bool reportUnderWay = entry.reportedAt && now - *entry.reportedAt < kReportUnderWay;
+    const bool reportUnderWay = entry.reportedAt && now - *entry.reportedAt < kReportInFlight;
     if (!reportUnderWay && !this->IsCold(entry)) {
       continue;
     }
@@ -202,7 +202,7 @@
 }
 
 void
-TargetLimits::TellAllAnew()
+TargetRateLimiter::ResendAll()
 {
   for (auto& [target, entry] : this->entries) {
     if (entry.limit) {
@@ -213,16 +213,16 @@
 }
 
 void
-TargetLimits::ForgetWarm()
+TargetRateLimiter::RemoveWarmTargets()
 {
   std::erase_if(this->entries,
                 [this](const auto& aItem) { return !this->IsLimited(aItem.second); });
 }
 
 std::vector<LimitReport>
-TargetLimits::TakeReports()
+TargetRateLimiter::TakeReports()
 {
-  this->ForgetWarm();
+  this->RemoveWarmTargets();
   std::vector<LimitReport> reports;
   for (auto& [target, report] : std::exchange(this->untold, {})) {
     reports.push_back(std::move(report));
--- a/src/program/AdmissionDesk.cpp
+++ b/src/program/AdmissionDesk.cpp
@@ -169,7 +169,7 @@
 
 void
 AdmissionDesk::OnEnd(const TargetId& aTarget,
-                     AttemptLoad aLoad,
+                     LoadSignal aLoad,
                      HealthSign aSign,
                      Duration aFirstToken)
 {
--- a/src/program/ClaimGate.cpp
+++ b/src/program/ClaimGate.cpp
@@ -151,7 +151,7 @@
     return entrance;
   }
   const ClaimRefusal refusal = RefusalOf(reply.value());
-  aRecord.NoteEarlier(refusal.earlier);
+  aRecord.AddEarlierOutcome(refusal.earlier);
   return refuse(refusal.error, refusal.retryAfter);
 }
 
--- a/src/program/CompletionRun.cpp
+++ b/src/program/CompletionRun.cpp
@@ -60,7 +60,7 @@
 CompletionRun::End()
 {
   this->context.reuse.Keep(this->route, this->decision, this->stream->Assembled().Usage());
-  this->CloseBooks(AttemptLoad::Served, HealthSign::Good);
+  this->CloseBooks(LoadSignal::Served, HealthSign::Good);
   this->outstanding = false;
   this->context.routing.Done(this->route, this->decision, true);
 }
@@ -303,7 +303,7 @@
 }
 
 void
-CompletionRun::CloseBooks(AttemptLoad aLoad, HealthSign aSign)
+CompletionRun::CloseBooks(LoadSignal aLoad, HealthSign aSign)
 {
   if (this->booksOpen) {
     this->booksOpen = false;
@@ -315,11 +315,11 @@
 CompletionRun::CloseBooksAfter(ErrorKind aFailure)
 {
   if (aFailure == ErrorKind::Overloaded) {
-    return this->CloseBooks(AttemptLoad::Overloaded, HealthSign::Good);
+    return this->CloseBooks(LoadSignal::Overloaded, HealthSign::Good);
   }
   const bool endedHere = aFailure == ErrorKind::Cancelled || aFailure == ErrorKind::Conflict ||
                          this->TimeLeft() <= Duration(0) || this->context.state.MustStop();
-  this->CloseBooks(AttemptLoad::Failed, endedHere ? HealthSign::None : HealthSign::Bad);
+  this->CloseBooks(LoadSignal::Failed, endedHere ? HealthSign::None : HealthSign::Bad);
 }
 
 Duration
@@ -332,7 +332,7 @@
 CompletionRun::EndAttempt(bool aWhole)
 {
   this->stream.reset();
-  this->CloseBooks(AttemptLoad::Failed, HealthSign::None);
+  this->CloseBooks(LoadSignal::Failed, HealthSign::None);
   if (this->outstanding) {
     this->outstanding = false;
     this->context.routing.Done(this->route, this->decision, aWhole);
--- a/src/program/CompletionRun.h
+++ b/src/program/CompletionRun.h
@@ -95,7 +95,7 @@
   void EndAttempt(bool aWhole);
 
   // Closes the books on the attempt, if they are open.
-  void CloseBooks(AttemptLoad aLoad, HealthSign aSign);
+  void CloseBooks(LoadSignal aLoad, HealthSign aSign);
   void CloseBooksAfter(ErrorKind aFailure);
 
   const RelayContext& context;
--- a/src/program/ControlPicture.h
+++ b/src/program/ControlPicture.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "damasklink/coordination/LimitBook.h"
+#include "damasklink/coordination/RateLimitAllocator.h"
 #include "damasklink/coordination/ServingConfig.h"
 #include "damasklink/coordination/ServingPicture.h"
 #include "damasklink/coordination/TargetRegistry.h"
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -148,18 +148,18 @@
   asio::io_context loop{ 1 };
   EntryPicture picture;
   FirstConfiguration firstConfiguration;
-  RetryShares retries;
+  ServiceRetryBudgets retries;
   TargetHealth health;
   ZoneReach reach;
   TargetPicker picker;
   TargetChannelPool pool;
   StorePace pace;
-  ComeBack comeBack;
+  StartupRetryDelay comeBack;
   ReturnQueue returns;
   TargetCheck checks;
-  CrashWatch crashes;
-  BrokenRuns broken;
-  TargetLimits limits;
+  CrashFilter crashes;
+  InterruptedRequests broken;
+  TargetRateLimiter limits;
   PeerMesh mesh;
   EntryContext context;
   ConfigurationFeed configuration;
@@ -370,14 +370,14 @@
       .With("before", before.value_or(HostId()));
     this->picture.ListenForStores(chosen);
     this->picker.TellAllAnew();
-    this->crashes.TellAllAnew();
-    this->limits.TellAllAnew();
+    this->crashes.ResendAll();
+    this->limits.ResendAll();
     // The totals of the next hub contain all that those of the former did.
     this->picker.ForgetSumsBefore(this->clock.MonotonicNow());
   }
   this->TellWhatChanged(changed);
   this->configuration.Step();
-  this->picker.ForgetSumsBefore(this->clock.MonotonicNow() - SendsSum::kMemory);
+  this->picker.ForgetSumsBefore(this->clock.MonotonicNow() - InFlightLoadSum::kSilenceLimit);
   this->sharing.expires_after(kShareStep);
   this->sharing.async_wait([this](const IoError& aError) {
     if (!aError) {
@@ -397,7 +397,7 @@
   news.excesses = this->pace.TakeNotes();
   news.findings = this->health.TakeFindings();
   news.crashes = this->crashes.TakeReports();
-  news.sound = this->crashes.TakeSound();
+  news.sound = this->crashes.TakeSuccessfulRuns();
   news.limitReports = this->limits.TakeReports();
   const bool anything = !news.sends.empty() || !news.excesses.empty() || !news.findings.empty() ||
                         !news.crashes.empty() || !news.sound.empty() || !news.limitReports.empty();
@@ -504,7 +504,7 @@
   }
   this->ProveEnds(aTold);
   for (const TargetRecord& target : this->picture.Targets().TakeRestarted()) {
-    this->ReportEnded(this->broken.TakeEndedBy(target), "restarted");
+    this->ReportEnded(this->broken.TakeConfirmedByStart(target), "restarted");
     LogEvent(LogLevel::Info, "target_restarted")
       .With("target", target.id)
       .With("incarnation", target.incarnation)
@@ -528,14 +528,14 @@
 EntryHost::Impl::ProveEnds(const Picture& aTold)
 {
   for (const TargetRecord& target : this->picture.Targets().TakeAppeared()) {
-    this->ReportEnded(this->broken.TakeEndedBy(target), "replaced");
+    this->ReportEnded(this->broken.TakeConfirmedByStart(target), "replaced");
   }
   for (const TargetStatement& statement : aTold.targets) {
     const TargetRecord& record = statement.record;
     const bool ended = statement.standing == TargetStanding::Silent && !this->broken.IsEmpty() &&
                        !this->picture.Targets().IsMostlySilent(record.zone);
     if (ended) {
-      this->ReportEnded(this->broken.TakeSilent(record), "silent");
+      this->ReportEnded(this->broken.TakeConfirmedBySilence(record), "silent");
     }
   }
 }
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -92,8 +92,8 @@
   if (this->routes == nullptr) {
     CallerError error = Refusal(
       ErrorKind::Unavailable, "this host has no configuration yet", "come back a little later");
-    error.retryAfter = this->context.comeBack.WhileStarting(this->context.clock.MonotonicNow() -
-                                                            this->context.started);
+    error.retryAfter = this->context.comeBack.DelayDuringStartup(
+      this->context.clock.MonotonicNow() - this->context.started);
     return error;
   }
   this->route = this->routes->FindRoute(this->call.host, PathOf(this->request.head.target));
@@ -439,7 +439,7 @@
     return kComeBackAfter;
   }
   return std::max(kComeBackAfter,
-                  this->context.limits.UntilPermit(this->Targets()).value_or(kComeBackAfter));
+                  this->context.limits.TimeUntilPermit(this->Targets()).value_or(kComeBackAfter));
 }
 
 // Gives the caller its final answer. Returns whether its channel may be used again.
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -9,18 +9,18 @@
 #include "EntryPicture.h"
 #include "FirstConfiguration.h"
 #include "TargetCheck.h"
-#include "damasklink/coordination/BrokenRuns.h"
-#include "damasklink/coordination/ComeBack.h"
-#include "damasklink/coordination/CrashWatch.h"
+#include "damasklink/coordination/CrashFilter.h"
 #include "damasklink/coordination/EventFramer.h"
 #include "damasklink/coordination/ExchangePlan.h"
 #include "damasklink/coordination/HomeRegions.h"
+#include "damasklink/coordination/InterruptedRequests.h"
 #include "damasklink/coordination/RequestFingerprint.h"
-#include "damasklink/coordination/RetryShares.h"
 #include "damasklink/coordination/ReturnQueue.h"
+#include "damasklink/coordination/ServiceRetryBudgets.h"
+#include "damasklink/coordination/StartupRetryDelay.h"
 #include "damasklink/coordination/StorePace.h"
-#include "damasklink/coordination/TargetLimits.h"
 #include "damasklink/coordination/TargetPicker.h"
+#include "damasklink/coordination/TargetRateLimiter.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
 #include "damasklink/transport/CallerChannel.h"
@@ -38,18 +38,18 @@
   Metrics& metrics;
   EntryPicture& picture;
   FirstConfiguration& firstConfiguration;
-  RetryShares& retries;
+  ServiceRetryBudgets& retries;
   TargetHealth& health;
   ZoneReach& reach;
   TargetPicker& picker;
   TargetChannelPool& pool;
   StorePace& pace;
-  ComeBack& comeBack;
+  StartupRetryDelay& comeBack;
   ReturnQueue& returns;
   TargetCheck& checks;
-  CrashWatch& crashes;
-  BrokenRuns& broken;
-  TargetLimits& limits;
+  CrashFilter& crashes;
+  InterruptedRequests& broken;
+  TargetRateLimiter& limits;
   MonotonicTime started;
   // Tells the other hosts at once what this one has sent.
   std::function<void()> tellSends;
--- a/src/program/ExchangeRecord.cpp
+++ b/src/program/ExchangeRecord.cpp
@@ -66,7 +66,7 @@
   if (underWay) {
     this->context.broken.Note(report, aTarget.endpoint);
   }
-  CrashWatch& watch = this->context.crashes;
+  CrashFilter& watch = this->context.crashes;
   this->context.checks.Run(aTarget, [&watch, report, underWay](EndProof aProof) {
     if (underWay || aProof == EndProof::Refused) {
       watch.OnCrash(report);
@@ -115,7 +115,7 @@
 Exchange::NoteSound()
 {
   if (this->ranWell && this->context.crashes.IsActive()) {
-    this->context.crashes.OnSound(SoundRun{ this->Fingerprint(), this->service });
+    this->context.crashes.OnSuccessfulRun(SoundRun{ this->Fingerprint(), this->service });
   }
 }
 
@@ -174,7 +174,7 @@
     return std::count_if(
       aMoves.begin(), aMoves.end(), [](const PartMove& aMove) { return aMove.peer.has_value(); });
   };
-  const SentLoad load = this->context.picker.LoadOf(aTarget.id);
+  const LoadCounts load = this->context.picker.LoadOf(aTarget.id);
   LogEvent(LogLevel::Info, "prompt_sent")
     .With("request", this->call.request)
     .With("target", aTarget.id)
--- a/src/program/PictureTeller.cpp
+++ b/src/program/PictureTeller.cpp
@@ -33,7 +33,7 @@
                              const StoreWatcher& aStores,
                              ControlPicture& aPicture,
                              HostRoster& aRoster,
-                             CrashLedger& aCrashes,
+                             CrashRegistry& aCrashes,
                              PeerMesh& aMesh,
                              WorkAccount& aAccount)
   : clock(aClock)
@@ -60,7 +60,7 @@
   if (named) {
     changes.controlHosts = this->roster.AllControlHosts();
   }
-  CrashingRequests crashing = this->crashes.Told();
+  CrashingRequests crashing = this->crashes.Verdicts();
   const bool crashingChanged = crashing != this->toldCrashing;
   if (crashingChanged) {
     this->toldCrashing = crashing;
@@ -213,11 +213,11 @@
   this->TakeCrashes(aNews, ofOwnHost);
   this->TakeLimits(aNews, ofOwnHost);
   if (!ofOwnHost) {
-    this->sends.TakeSum(aNews, now);
+    this->sends.TakePeerSum(aNews, now);
   } else {
-    const bool known = this->sends.Tellers().contains(aFrom);
+    const bool known = this->sends.Publishers().contains(aFrom);
     this->sends.Take(aNews, now);
-    if (!known && this->sends.Tellers().contains(aFrom)) {
+    if (!known && this->sends.Publishers().contains(aFrom)) {
       this->TellAllStores(aFrom);
       SendsNews totals = this->sends.AllTotals(this->settings.host);
       totals.limits = this->LimitShares();
@@ -233,7 +233,7 @@
 PictureTeller::TakeCrashes(const SendsNews& aNews, bool aOfOwnHost)
 {
   this->crashes.Take(aNews.crashes);
-  this->crashes.TakeSound(aNews.sound);
+  this->crashes.TakeSuccessfulRuns(aNews.sound);
   if (aOfOwnHost) {
     this->untoldCrashes.insert(
       this->untoldCrashes.end(), aNews.crashes.begin(), aNews.crashes.end());
@@ -265,13 +265,13 @@
   const MonotonicTime now = this->clock.MonotonicNow();
   this->recentHosts.Note(this->roster.AllEntryHosts(), now);
   for (const ColdTarget& cold : this->picture.TakeCold()) {
-    this->limits.TakeCold(cold, now);
+    this->limits.UpdateColdTarget(cold, now);
   }
-  this->limits.ForgetWarm(now);
+  this->limits.RemoveWarmTargets(now);
   if (this->limits.IsEmpty() && this->toldLimits.empty()) {
     return;
   }
-  this->limits.KeepOnly([this](const TargetId& aTarget, Incarnation aIncarnation) {
+  this->limits.RetainOnly([this](const TargetId& aTarget, Incarnation aIncarnation) {
     const TargetRecord* record = this->picture.Registry().Find(aTarget);
     return record != nullptr && !record->leaving && record->incarnation <= aIncarnation;
   });
@@ -293,7 +293,7 @@
   news.host = this->settings.host;
   news.limits = this->toldLimits;
   const std::string payload = EncodePacked(news);
-  for (const HostId& host : this->sends.Tellers()) {
+  for (const HostId& host : this->sends.Publishers()) {
     this->Send(Work::Totals, host, payload);
   }
 }
@@ -319,7 +319,7 @@
 PictureTeller::TellSends()
 {
   const WorkTimer timer(this->account, Work::Loads);
-  this->sends.ForgetSumsBefore(this->clock.MonotonicNow() - SendsSum::kMemory);
+  this->sends.RemovePeersSilentSince(this->clock.MonotonicNow() - InFlightLoadSum::kSilenceLimit);
   SendsNews own = this->sends.TakeChanges(this->settings.host);
   own.urgent = std::exchange(this->ownUrgentWaits, false);
   own.crashes = std::exchange(this->untoldCrashes, {});
@@ -373,7 +373,7 @@
 PictureTeller::TellTellers(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodeServingMessage(aMessage);
-  for (const HostId& host : this->sends.Tellers()) {
+  for (const HostId& host : this->sends.Publishers()) {
     this->Send(aWork, host, payload);
   }
 }
--- a/src/program/PictureTeller.h
+++ b/src/program/PictureTeller.h
@@ -10,12 +10,12 @@
 #include "ServingGroup.h"
 #include "StoreWatcher.h"
 #include "WorkAccount.h"
-#include "damasklink/coordination/CrashLedger.h"
+#include "damasklink/coordination/CrashRegistry.h"
 #include "damasklink/coordination/DocumentSource.h"
 #include "damasklink/coordination/HostRoster.h"
-#include "damasklink/coordination/LimitBook.h"
+#include "damasklink/coordination/LoadReportAggregator.h"
+#include "damasklink/coordination/RateLimitAllocator.h"
 #include "damasklink/coordination/RecentHosts.h"
-#include "damasklink/coordination/SendsHub.h"
 #include "damasklink/transport/PeerMesh.h"
 
 namespace damasklink {
@@ -31,7 +31,7 @@
                 const StoreWatcher& aStores,
                 ControlPicture& aPicture,
                 HostRoster& aRoster,
-                CrashLedger& aCrashes,
+                CrashRegistry& aCrashes,
                 PeerMesh& aMesh,
                 WorkAccount& aAccount);
 
@@ -90,10 +90,10 @@
   const StoreWatcher& stores;
   ControlPicture& picture;
   HostRoster& roster;
-  CrashLedger& crashes;
+  CrashRegistry& crashes;
   PeerMesh& mesh;
   WorkAccount& account;
-  SendsHub sends;
+  LoadReportAggregator sends;
   DocumentSource document;
   // When entry hosts were told totals last.
   MonotonicTime toldTotals;
@@ -117,7 +117,7 @@
   // Since when this host has heard others tell of entry hosts.
   MonotonicTime startedAt;
   RecentHosts recentHosts;
-  LimitBook limits;
+  RateLimitAllocator limits;
   std::vector<TargetLimit> toldLimits;
   // What own entry hosts reported, for the other control hosts.
   std::vector<LimitReport> untoldLimits;
--- a/src/program/ReportCommand.cpp
+++ b/src/program/ReportCommand.cpp
@@ -60,7 +60,7 @@
 {
   const ServiceLevelCount& count = aRow.windows.at(aWindow);
   return absl::StrFormat(
-    "%.2f (%d/%d)", BurnOf(count, aRow.objective), count.total - count.good, count.total);
+    "%.2f (%d/%d)", BurnRateOf(count, aRow.objective), count.total - count.good, count.total);
 }
 
 void
--- a/src/program/Responses.h
+++ b/src/program/Responses.h
@@ -1,7 +1,7 @@
 // Responses and credentials that the handlers of all addresses share.
 #pragma once
 
-#include "damasklink/coordination/ClaimLedger.h"
+#include "damasklink/coordination/ClaimRegistry.h"
 #include "damasklink/protocol/ErrorBody.h"
 #include "damasklink/transport/HttpServer.h"
 
--- a/src/protocol/BurnApi.cpp
+++ b/src/protocol/BurnApi.cpp
@@ -18,7 +18,7 @@
     windows.push_back({ { "window", FormatDuration(kBurnWindows.at(index)) },
                         { "good", count.good },
                         { "total", count.total },
-                        { "burn", BurnOf(count, aBurn.objective) } });
+                        { "burn", BurnRateOf(count, aBurn.objective) } });
   }
   return { { "workspace", aBurn.workspace.Value() },
            { "first_token", FormatDuration(aBurn.objective.firstToken) },
--- a/src/protocol/ClaimMachine.cpp
+++ b/src/protocol/ClaimMachine.cpp
@@ -145,10 +145,10 @@
   return whole && aTo.state >= ClaimState::Running && aTo.state <= ClaimState::Released;
 }
 
-ClaimLedger::Header
+ClaimRegistry::Header
 UnpackHeader(const wire::ClaimSnapshot& aFrom)
 {
-  ClaimLedger::Header header;
+  ClaimRegistry::Header header;
   header.incarnation = Incarnation(aFrom.incarnation());
   header.forgottenBirth = TimeOf(aFrom.forgotten_birth());
   if (aFrom.has_reformed()) {
@@ -214,7 +214,7 @@
   FlatBufferBuilder builder;
   const auto answer = PackAnswer(builder, aReply.answer);
   const auto verdict = static_cast<std::uint8_t>(aReply.verdict);
-  builder.Finish(wire::CreateClaimReply(builder, verdict, aReply.comeBack.count(), answer));
+  builder.Finish(wire::CreateClaimReply(builder, verdict, aReply.retryAfter.count(), answer));
   return Finished(builder);
 }
 
@@ -230,7 +230,7 @@
   if (reply.verdict < ClaimVerdict::Granted || reply.verdict > ClaimVerdict::NotReady) {
     return Fail(Corrupt("a claim's answer"));
   }
-  reply.comeBack = Duration(packed->come_back());
+  reply.retryAfter = Duration(packed->come_back());
   reply.answer = UnpackAnswer(packed->answer());
   return reply;
 }
@@ -254,7 +254,7 @@
   this->ledger.Visit([&](const ClaimName& aName, const ClaimEntry& aEntry) {
     entries.push_back(PackEntry(builder, aName, aEntry));
   });
-  const ClaimLedger::Header& head = this->ledger.Head();
+  const ClaimRegistry::Header& head = this->ledger.GetHeader();
   const auto packed = builder.CreateVector(entries);
   builder.Finish(wire::CreateClaimSnapshot(builder,
                                            kWireVersion,
@@ -273,8 +273,8 @@
   if (packed == nullptr || packed->version() != kWireVersion || packed->entries() == nullptr) {
     return Fail(Corrupt("a snapshot of claims"));
   }
-  ClaimLedger fresh;
-  fresh.SetHead(UnpackHeader(*packed));
+  ClaimRegistry fresh;
+  fresh.SetHeader(UnpackHeader(*packed));
   for (const wire::ClaimEntry* entry : *packed->entries()) {
     ClaimName name{};
     ClaimEntry unpacked;
--- a/test/coordination/AdmissionQueueTest.cpp
+++ b/test/coordination/AdmissionQueueTest.cpp
@@ -71,7 +71,7 @@
   std::vector<AdmissionRefusal> refusals;
 };
 
-TEST_F(AdmissionQueueTest, SharesAreKeptWhateverIsAskedFor)
+TEST_F(AdmissionQueueTest, SharesCapacityByWeightWhateverTheDemand)
 {
   this->FillPool();
   this->Offer("large", 1, 5);
@@ -81,7 +81,7 @@
   EXPECT_EQ(counts.at("large"), 1);
 }
 
-TEST_F(AdmissionQueueTest, PriorityOrdersTheRequestsOfOneWorkspace)
+TEST_F(AdmissionQueueTest, OrdersRequestsOfOneWorkspaceByPriority)
 {
   this->FillPool();
   this->Offer("office", 1, 1);
@@ -92,7 +92,7 @@
   EXPECT_EQ(this->Admitted(), std::vector<AdmissionId>{ id });
 }
 
-TEST_F(AdmissionQueueTest, FullQueueTakesFromTheWorkspaceThatWaitsWithTheMost)
+TEST_F(AdmissionQueueTest, FullQueueEvictsFromTheWorkspaceWithMostWaiting)
 {
   this->FillPool();
   this->Offer("large", 1, 8);
@@ -103,7 +103,7 @@
   EXPECT_EQ(this->AdmitInTurn(2).at("small"), 1);
 }
 
-TEST_F(AdmissionQueueTest, FullQueueRefusesItsLargestWorkspaceAtOnce)
+TEST_F(AdmissionQueueTest, FullQueueRefusesNewRequestOfItsLargestWorkspace)
 {
   this->FillPool();
   this->Offer("large", 1, 9);
@@ -113,7 +113,7 @@
   EXPECT_GT(this->refusals[0].retryAfter, Duration(0));
 }
 
-TEST_F(AdmissionQueueTest, RequestThatCannotMakeItsDeadlineIsRefusedAtOnceWithTheTimeToComeBack)
+TEST_F(AdmissionQueueTest, RefusesRequestThatCannotMeetItsDeadlineWithRetryAfter)
 {
   this->FillPool();
   this->clock.Advance(std::chrono::seconds(10));
@@ -128,7 +128,7 @@
 }
 
 // Long answers of others say little of this one, and nobody else waits for the room.
-TEST_F(AdmissionQueueTest, ShortDeadlineIsTriedWhileThereIsRoom)
+TEST_F(AdmissionQueueTest, AdmitsShortDeadlineWhileCapacityIsFree)
 {
   this->FillPool();
   this->clock.Advance(std::chrono::seconds(10));
@@ -140,7 +140,7 @@
 }
 
 // Sent with too little time left, it would only waste what it uses.
-TEST_F(AdmissionQueueTest, RequestWhoseTurnComesTooLateIsRefusedThen)
+TEST_F(AdmissionQueueTest, RefusesQueuedRequestThatCanNoLongerMeetItsDeadline)
 {
   this->FillPool();
   this->clock.Advance(std::chrono::seconds(10));
@@ -155,7 +155,7 @@
   EXPECT_EQ(this->refusals.size(), 1U);
 }
 
-TEST_F(AdmissionQueueTest, UseOnAnotherHostCountsAgainstTheShare)
+TEST_F(AdmissionQueueTest, RemoteUseCountsAgainstTheShare)
 {
   this->FillPool();
   this->queue.AddRemoteUse(WorkspaceId("elsewhere"), 4);
--- a/test/coordination/BurnReportTest.cpp
+++ b/test/coordination/BurnReportTest.cpp
@@ -19,14 +19,14 @@
   return row;
 }
 
-TEST(BurnReportTest, BurnOfOneUsesUpTheObjectiveExactly)
+TEST(BurnReportTest, BurnRateOfOneUsesUpTheErrorBudgetExactly)
 {
-  EXPECT_NEAR(BurnOf({ 950, kTotal }, ServiceLevel{}), 1.0, 1e-9);
-  EXPECT_NEAR(BurnOf({ 0, kTotal }, ServiceLevel{}), 20.0, 1e-9);
-  EXPECT_EQ(BurnOf({}, ServiceLevel{}), 0);
+  EXPECT_NEAR(BurnRateOf({ 950, kTotal }, ServiceLevel{}), 1.0, 1e-9);
+  EXPECT_NEAR(BurnRateOf({ 0, kTotal }, ServiceLevel{}), 20.0, 1e-9);
+  EXPECT_EQ(BurnRateOf({}, ServiceLevel{}), 0);
 }
 
-TEST(BurnReportTest, LevelsNeedBothOfTheirWindows)
+TEST(BurnReportTest, LevelsRequireBothTheirWindows)
 {
   EXPECT_EQ(BurnLevelOf(RowWith(0, 0, 0)), BurnLevel::Calm);
   EXPECT_EQ(BurnLevelOf(RowWith(0, 0, 60)), BurnLevel::Watch);
--- a/test/coordination/ClaimLedgerTest.cpp
+++ b/test/coordination/ClaimRegistryTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ClaimLedger.h"
+#include "damasklink/coordination/ClaimRegistry.h"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-class ClaimLedgerTest : public testing::Test
+class ClaimRegistryTest : public testing::Test
 {
 protected:
   ClaimReply Apply(const ClaimCommand& aCommand)
@@ -46,28 +46,28 @@
     this->context.proposedAt += std::chrono::duration_cast<WallTime::duration>(aTime);
   }
 
-  ClaimLedger ledger{ ClaimLedger::Limits{ 3, 100 } };
+  ClaimRegistry ledger{ ClaimRegistry::Limits{ 3, 100 } };
   ApplyContext context{ GroupId("claims/north"), {}, Term(1), WallTime(hours(500'000)),
                         Incarnation(1),          {} };
   std::optional<WallTime> birth;
 };
 
-TEST_F(ClaimLedgerTest, SecondAttemptIsToldThatTheFirstRuns)
+TEST_F(ClaimRegistryTest, SecondAttemptIsRefusedWhileTheFirstRuns)
 {
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
   this->Pass(seconds(10));
   const ClaimReply second = this->Claim("b");
   EXPECT_EQ(second.verdict, ClaimVerdict::Running);
-  EXPECT_EQ(second.comeBack, seconds(20));
+  EXPECT_EQ(second.retryAfter, seconds(20));
 }
 
-TEST_F(ClaimLedgerTest, SameAttemptGetsTheSameAnswer)
+TEST_F(ClaimRegistryTest, RepeatedClaimOfOneAttemptIsGrantedAgain)
 {
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, FinishedRunHandsOutItsAnswer)
+TEST_F(ClaimRegistryTest, FinishedRunReturnsItsKeptAnswer)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Finish, "a");
@@ -76,28 +76,28 @@
   EXPECT_EQ(second.answer, KeptAnswer({ 200, "text/plain", "plate 17" }));
 }
 
-TEST_F(ClaimLedgerTest, RunLostWithItsHostMayHaveRun)
+TEST_F(ClaimRegistryTest, RunWithExpiredLeaseMayHaveRun)
 {
   this->Claim("a");
   this->Pass(seconds(30));
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::MayHaveRun);
 }
 
-TEST_F(ClaimLedgerTest, BrokenOffRunMayHaveRunAtOnce)
+TEST_F(ClaimRegistryTest, AbandonedRunMayHaveRun)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Abandon, "a");
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::MayHaveRun);
 }
 
-TEST_F(ClaimLedgerTest, ReleasedClaimLetsAnotherAttemptRun)
+TEST_F(ClaimRegistryTest, ReleasedClaimLetsAnotherAttemptRun)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Release, "a");
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, LateReleaseOfAnEarlierAttemptFreesNothing)
+TEST_F(ClaimRegistryTest, LateReleaseOfAnEarlierAttemptFreesNothing)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Release, "a");
@@ -106,22 +106,22 @@
   EXPECT_EQ(this->Claim("c").verdict, ClaimVerdict::Running);
 }
 
-TEST_F(ClaimLedgerTest, ClaimThatItsReleaseOvertookIsNotGranted)
+TEST_F(ClaimRegistryTest, ClaimThatArrivesAfterItsReleaseIsNotGranted)
 {
   this->Settle(ClaimVerb::Release, "a");
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Withdrawn);
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, SameKeyWithAnotherBodyIsRefused)
+TEST_F(ClaimRegistryTest, SameKeyWithAnotherBodyIsRefused)
 {
   this->Claim("a");
   ClaimCommand other = this->Command("b");
   other.body = Digest("other");
-  EXPECT_EQ(this->Apply(other).verdict, ClaimVerdict::OtherBody);
+  EXPECT_EQ(this->Apply(other).verdict, ClaimVerdict::BodyMismatch);
 }
 
-TEST_F(ClaimLedgerTest, KeysOfTwoWorkspacesAreTwoKeys)
+TEST_F(ClaimRegistryTest, SameKeyInTwoWorkspacesIsTwoClaims)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Finish, "a");
@@ -130,7 +130,7 @@
   EXPECT_EQ(this->Apply(other).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, ForgottenMintedKeyIsExpiredAndNotRunAgain)
+TEST_F(ClaimRegistryTest, ForgottenMintedKeyIsExpired)
 {
   this->birth = this->context.proposedAt;
   this->Claim("a");
@@ -142,7 +142,7 @@
 }
 
 // A host whose settings remember keys for longer must not revive what the ledger forgot.
-TEST_F(ClaimLedgerTest, LongerRetentionDoesNotReviveAForgottenKey)
+TEST_F(ClaimRegistryTest, LongerRetentionDoesNotReviveAForgottenKey)
 {
   this->birth = this->context.proposedAt;
   this->Claim("a");
@@ -152,16 +152,16 @@
   EXPECT_EQ(this->Apply(longer).verdict, ClaimVerdict::Expired);
 }
 
-TEST_F(ClaimLedgerTest, OldKeyThatWasNeverSeenIsExpired)
+TEST_F(ClaimRegistryTest, OldKeyThatWasNeverSeenIsExpired)
 {
   this->birth = this->context.proposedAt - hours(48);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Expired);
 }
 
-TEST_F(ClaimLedgerTest, ReleaseAfterTheRunEndedFreesNothing)
+TEST_F(ClaimRegistryTest, ReleaseAfterTheRunEndedFreesNothing)
 {
   for (const ClaimVerb end : { ClaimVerb::Finish, ClaimVerb::Abandon }) {
-    this->ledger = ClaimLedger();
+    this->ledger = ClaimRegistry();
     this->Claim("a");
     this->Settle(end, "a");
     this->Settle(ClaimVerb::Release, "a");
@@ -169,13 +169,13 @@
   }
 }
 
-TEST_F(ClaimLedgerTest, KeyFromTheFutureIsRefused)
+TEST_F(ClaimRegistryTest, KeyFromTheFutureIsRefused)
 {
   this->birth = this->context.proposedAt + minutes(5);
-  EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::NotYetBorn);
+  EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::CreatedInFuture);
 }
 
-TEST_F(ClaimLedgerTest, GroupFormedAnewRunsNoKeyFromBefore)
+TEST_F(ClaimRegistryTest, ReformedGroupGrantsNoEarlierKey)
 {
   this->birth = this->context.proposedAt - minutes(1);
   this->context.incarnation = Incarnation(2);
@@ -186,7 +186,7 @@
 }
 
 // Until the control group has numbered it, a group may be one whose records were lost.
-TEST_F(ClaimLedgerTest, GroupThatIsNotYetNumberedGrantsNothing)
+TEST_F(ClaimRegistryTest, GroupWithoutIncarnationGrantsNothing)
 {
   this->context.incarnation = Incarnation();
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::NotReady);
@@ -194,7 +194,7 @@
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, ReleaseInAGroupNotYetNumberedFreesNothingLater)
+TEST_F(ClaimRegistryTest, ReleaseInAGroupWithoutIncarnationFreesNothing)
 {
   this->context.incarnation = Incarnation();
   this->Settle(ClaimVerb::Release, "a");
@@ -202,7 +202,7 @@
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::MayHaveRun);
 }
 
-TEST_F(ClaimLedgerTest, GroupFormedAnewRunsKeysWithoutABirthOnlyAfterTheRetention)
+TEST_F(ClaimRegistryTest, ReformedGroupGrantsCallersOwnKeysOnlyAfterTheRetention)
 {
   this->context.incarnation = Incarnation(2);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::MayHaveRun);
@@ -210,7 +210,7 @@
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, FullLedgerRefusesNewKeysAndKeepsTheOld)
+TEST_F(ClaimRegistryTest, FullRegistryRefusesNewKeysAndKeepsTheOld)
 {
   for (const char* key : { "k1", "k2", "k3", "k4" }) {
     ClaimCommand command = this->Command("a");
@@ -220,7 +220,7 @@
   }
 }
 
-TEST_F(ClaimLedgerTest, OldestAnswersGoFirstAndTheirKeysStay)
+TEST_F(ClaimRegistryTest, DropsOldestAnswersFirstAndKeepsTheirKeys)
 {
   for (const char* key : { "k1", "k2" }) {
     ClaimCommand command = this->Command("a");
@@ -232,7 +232,7 @@
   }
   ClaimCommand again = this->Command("b");
   again.key = IdempotencyKey("k1");
-  EXPECT_EQ(this->Apply(again).verdict, ClaimVerdict::AnswerGone);
+  EXPECT_EQ(this->Apply(again).verdict, ClaimVerdict::AnswerDropped);
   again.key = IdempotencyKey("k2");
   EXPECT_EQ(this->Apply(again).verdict, ClaimVerdict::Kept);
 }
--- a/test/coordination/ColdModelTest.cpp
+++ b/test/coordination/ColdModelTest.cpp
@@ -12,9 +12,9 @@
 
 #include <gtest/gtest.h>
 
-#include "damasklink/coordination/LimitBook.h"
+#include "damasklink/coordination/RateLimitAllocator.h"
 #include "damasklink/coordination/RecentHosts.h"
-#include "damasklink/coordination/TargetLimits.h"
+#include "damasklink/coordination/TargetRateLimiter.h"
 
 namespace damasklink {
 namespace {
@@ -131,7 +131,7 @@
   struct Entry
   {
     HostId host;
-    std::optional<TargetLimits> limits;
+    std::optional<TargetRateLimiter> limits;
     std::size_t hub = 0;
     MonotonicTime downUntil;
     bool greeted = false;
@@ -141,7 +141,7 @@
 
   struct Control
   {
-    LimitBook book;
+    RateLimitAllocator book;
     RecentHosts recent;
     std::vector<TargetLimit> told;
     MonotonicTime downUntil;
@@ -309,7 +309,7 @@
       return;
     }
     const Target& target = this->targets[*aMessage.target];
-    control.book.TakeCold(
+    control.book.UpdateColdTarget(
       ColdTarget{ target.record.id, target.record.incarnation, aMessage.coldFor, kColdRate },
       this->Now());
     for (std::size_t to = 0; to < this->entries.size(); ++to) {
@@ -352,7 +352,7 @@
         continue;
       }
       control.recent.Note(this->RosterOf(index), this->Now());
-      control.book.ForgetWarm(this->Now());
+      control.book.RemoveWarmTargets(this->Now());
       const bool gathers = this->Now() - control.startedAt < kGathers;
       const std::vector<TargetLimit> shares =
         control.book.Shares(gathers ? std::set<HostId>() : control.recent.All());
@@ -416,7 +416,7 @@
 class ColdFaultsTest : public testing::TestWithParam<Deployment>
 {};
 
-TEST_P(ColdFaultsTest, RestartsAndLostNewsStayWithinTheTolerance)
+TEST_P(ColdFaultsTest, RestartsAndLostMessagesStayWithinTheTolerance)
 {
   for (std::uint32_t seed = 1; seed <= 3; ++seed) {
     ColdModel model(GetParam(), seed);
@@ -433,7 +433,7 @@
                                          Deployment{ 80, 6, 20, kHeavy, true, true }));
 
 // Both halves know all hosts from before, so they divide the rate alike.
-TEST(ColdCutTest, HalvesThatDoNotHearEachOtherKeepToOneRate)
+TEST(ColdPartitionTest, PartitionedHalvesKeepToOneRate)
 {
   for (std::uint32_t seed = 1; seed <= 2; ++seed) {
     ColdModel model(Deployment{ 80, 6, 20, kHeavy, false, true }, seed);
--- a/test/coordination/ConcurrencyLimitTest.cpp
+++ b/test/coordination/ConcurrencyLimitTest.cpp
@@ -9,7 +9,7 @@
 
 // Runs rounds in which the limit is used up and every request ends alike.
 void
-RunRounds(ConcurrencyLimit& aLimit, int aRounds, AttemptLoad aLoad, Duration aFirstToken)
+RunRounds(ConcurrencyLimit& aLimit, int aRounds, LoadSignal aLoad, Duration aFirstToken)
 {
   for (int round = 0; round < aRounds; ++round) {
     while (aLimit.Free() > 0) {
@@ -25,16 +25,16 @@
 {
   ConcurrencyLimit limit;
   const std::size_t before = limit.Limit();
-  RunRounds(limit, 50, AttemptLoad::Served, kFast);
+  RunRounds(limit, 50, LoadSignal::Served, kFast);
   EXPECT_GT(limit.Limit(), before);
 }
 
-TEST(ConcurrencyLimitTest, StartsAtTheSlotsThatTheTargetDeclares)
+TEST(ConcurrencyLimitTest, StartsAtTheDeclaredSlots)
 {
   ConcurrencyLimit limit;
   limit.SetSlots(800);
   EXPECT_EQ(limit.Limit(), 800U);
-  RunRounds(limit, 1, AttemptLoad::Overloaded, kFast);
+  RunRounds(limit, 1, LoadSignal::Overloaded, kFast);
   const std::size_t learnt = limit.Limit();
   EXPECT_LT(learnt, 800U);
   limit.SetSlots(800);
@@ -44,37 +44,37 @@
 TEST(ConcurrencyLimitTest, ShrinksWhenTheTargetRefuses)
 {
   ConcurrencyLimit limit;
-  RunRounds(limit, 20, AttemptLoad::Overloaded, kFast);
+  RunRounds(limit, 20, LoadSignal::Overloaded, kFast);
   EXPECT_LE(limit.Limit(), 2U);
   EXPECT_GE(limit.Limit(), 1U);
 }
 
-TEST(ConcurrencyLimitTest, ShrinksWhenAnswersComeFarLaterThanUsual)
+TEST(ConcurrencyLimitTest, ShrinksWhenFirstTokensAreFarSlowerThanUsual)
 {
   ConcurrencyLimit limit;
-  RunRounds(limit, 20, AttemptLoad::Served, kFast);
+  RunRounds(limit, 20, LoadSignal::Served, kFast);
   const std::size_t before = limit.Limit();
-  RunRounds(limit, 5, AttemptLoad::Served, 10 * kFast);
+  RunRounds(limit, 5, LoadSignal::Served, 10 * kFast);
   EXPECT_LT(limit.Limit(), before);
 }
 
 // Longer prompts make every answer slower, and no lower limit would help against that.
-TEST(ConcurrencyLimitTest, LearnsASlowerNormal)
+TEST(ConcurrencyLimitTest, AdaptsToASlowerBaseline)
 {
   ConcurrencyLimit limit;
-  RunRounds(limit, 20, AttemptLoad::Served, kFast);
+  RunRounds(limit, 20, LoadSignal::Served, kFast);
   const std::size_t before = limit.Limit();
-  RunRounds(limit, 200, AttemptLoad::Served, 10 * kFast);
+  RunRounds(limit, 200, LoadSignal::Served, 10 * kFast);
   EXPECT_GT(limit.Limit(), before / 2);
 }
 
-TEST(ConcurrencyLimitTest, DoesNotGrowWhileItIsHardlyUsed)
+TEST(ConcurrencyLimitTest, DoesNotGrowWhileHardlyUsed)
 {
   ConcurrencyLimit limit;
   const std::size_t before = limit.Limit();
   for (int index = 0; index < 1000; ++index) {
     limit.OnStart();
-    limit.OnEnd(AttemptLoad::Served, kFast);
+    limit.OnEnd(LoadSignal::Served, kFast);
   }
   EXPECT_EQ(limit.Limit(), before);
 }
--- a/test/coordination/CrashWatchTest.cpp
+++ b/test/coordination/CrashFilterTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashWatch.h"
+#include "damasklink/coordination/CrashFilter.h"
 
 #include <gtest/gtest.h>
 
@@ -12,49 +12,49 @@
 const HostId kTwo("control-2");
 const CrashReport kReport{ kRequest, WorkspaceId("w"), kService, TargetId("t"), Incarnation(1) };
 
-class CrashWatchTest : public testing::Test
+class CrashFilterTest : public testing::Test
 {
 protected:
   ManualClock clock;
-  CrashWatch watch{ this->clock };
+  CrashFilter watch{ this->clock };
 };
 
-TEST_F(CrashWatchTest, IsNotActiveWhileNothingCrashes)
+TEST_F(CrashFilterTest, IsInactiveWithoutCrashes)
 {
   this->watch.Take(kOne, CrashingRequests{});
   EXPECT_FALSE(this->watch.IsActive());
-  this->watch.OnSound(kSound);
-  EXPECT_TRUE(this->watch.TakeSound().empty());
+  this->watch.OnSuccessfulRun(kSound);
+  EXPECT_TRUE(this->watch.TakeSuccessfulRuns().empty());
   this->watch.OnCrash(kReport);
   EXPECT_TRUE(this->watch.IsActive());
 }
 
-TEST_F(CrashWatchTest, ReportsAreToldOnceAndAnewToTheNextControlHost)
+TEST_F(CrashFilterTest, SendsReportsOnceToEachControlHost)
 {
   this->watch.OnCrash(kReport);
   EXPECT_EQ(this->watch.TakeReports(), std::vector<CrashReport>{ kReport });
   EXPECT_TRUE(this->watch.TakeReports().empty());
-  this->watch.TellAllAnew();
+  this->watch.ResendAll();
   EXPECT_EQ(this->watch.TakeReports(), std::vector<CrashReport>{ kReport });
-  this->clock.Advance(CrashWatch::kRetold);
-  this->watch.TellAllAnew();
+  this->clock.Advance(CrashFilter::kReportLifetime);
+  this->watch.ResendAll();
   EXPECT_TRUE(this->watch.TakeReports().empty());
   EXPECT_FALSE(this->watch.IsActive());
 }
 
-TEST_F(CrashWatchTest, SoundRunsOfReportedAndSuspectedRequestsAreTold)
+TEST_F(CrashFilterTest, SendsSuccessfulRunsOfReportedAndSuspectedRequests)
 {
   this->watch.OnCrash(kReport);
-  this->watch.OnSound(kSound);
-  EXPECT_EQ(this->watch.TakeSound(), std::vector<SoundRun>{ kSound });
+  this->watch.OnSuccessfulRun(kSound);
+  EXPECT_EQ(this->watch.TakeSuccessfulRuns(), std::vector<SoundRun>{ kSound });
   const SoundRun suspected{ RequestFingerprint(8), kService };
   this->watch.Take(kOne, CrashingRequests{ {}, { suspected.request } });
-  this->watch.OnSound(suspected);
-  this->watch.OnSound(SoundRun{ RequestFingerprint(9), kService });
-  EXPECT_EQ(this->watch.TakeSound(), std::vector<SoundRun>{ suspected });
+  this->watch.OnSuccessfulRun(suspected);
+  this->watch.OnSuccessfulRun(SoundRun{ RequestFingerprint(9), kService });
+  EXPECT_EQ(this->watch.TakeSuccessfulRuns(), std::vector<SoundRun>{ suspected });
 }
 
-TEST_F(CrashWatchTest, OneControlHostIsEnoughToRefuse)
+TEST_F(CrashFilterTest, OneControlHostIsEnoughToRefuse)
 {
   this->watch.Take(kOne, CrashingRequests{});
   this->watch.Take(kTwo, CrashingRequests{ { kRequest }, {} });
@@ -63,7 +63,7 @@
   EXPECT_FALSE(this->watch.IsRefused(kRequest));
 }
 
-TEST_F(CrashWatchTest, TheLastWordHoldsWhileNoControlHostIsConnected)
+TEST_F(CrashFilterTest, LastVerdictsHoldWhileNoControlHostIsConnected)
 {
   this->watch.Take(kOne, CrashingRequests{ { kRequest }, {} });
   this->watch.Take(kTwo, CrashingRequests{ { kRequest }, {} });
@@ -74,12 +74,12 @@
   EXPECT_FALSE(this->watch.IsRefused(kRequest));
 }
 
-TEST_F(CrashWatchTest, ReportsAreBounded)
+TEST_F(CrashFilterTest, ReportsAreBounded)
 {
-  for (std::uint64_t index = 0; index < 2 * CrashWatch::kMostReports; ++index) {
+  for (std::uint64_t index = 0; index < 2 * CrashFilter::kMaxReports; ++index) {
     this->watch.OnCrash(CrashReport{ RequestFingerprint(index), {}, {}, TargetId("t"), {} });
   }
-  EXPECT_EQ(this->watch.TakeReports().size(), CrashWatch::kMostReports);
+  EXPECT_EQ(this->watch.TakeReports().size(), CrashFilter::kMaxReports);
 }
 
 } // namespace
--- a/test/coordination/CrashModelTest.cpp
+++ b/test/coordination/CrashModelTest.cpp
@@ -7,8 +7,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "damasklink/coordination/CrashLedger.h"
-#include "damasklink/coordination/CrashWatch.h"
+#include "damasklink/coordination/CrashFilter.h"
+#include "damasklink/coordination/CrashRegistry.h"
 
 namespace damasklink {
 namespace {
@@ -77,9 +77,9 @@
     {
     }
 
-    CrashWatch& Watch() { return *this->held; }
+    CrashFilter& Watch() { return *this->held; }
 
-    std::optional<CrashWatch> held;
+    std::optional<CrashFilter> held;
     std::size_t hub = 0;
     MonotonicTime downUntil;
     // Control hosts have told it what they know since it started.
@@ -93,10 +93,10 @@
     {
     }
 
-    CrashLedger& Ledger() { return *this->held; }
+    CrashRegistry& Ledger() { return *this->held; }
 
     HostId host;
-    std::optional<CrashLedger> held;
+    std::optional<CrashRegistry> held;
     CrashingRequests told;
     MonotonicTime downUntil;
   };
@@ -171,7 +171,7 @@
       entry.Watch().OnLost(aControl.host);
       if (this->controls[entry.hub].host == aControl.host) {
         entry.hub = (entry.hub + 1) % this->controls.size();
-        entry.Watch().TellAllAnew();
+        entry.Watch().ResendAll();
       }
     }
   }
@@ -192,7 +192,7 @@
     if (inTouch && this->thirdCrash && this->Now() > *this->thirdCrash + kNotice) {
       ++this->repeatsAfterNotice;
     }
-    if (++this->guiltyCrashes == static_cast<int>(CrashLedger::kCrashesToRefuse)) {
+    if (++this->guiltyCrashes == static_cast<int>(CrashRegistry::kCrashesToRefuse)) {
       this->thirdCrash = this->Now();
     }
     this->Crash(target, &entry);
@@ -245,7 +245,7 @@
                                            Incarnation(this->targets[target].start) });
         this->waiting.push_back(request);
       } else {
-        entry.Watch().OnSound(SoundRun{ request, {} });
+        entry.Watch().OnSuccessfulRun(SoundRun{ request, {} });
       }
     }
   }
@@ -259,7 +259,7 @@
       if (entry.Watch().IsRefused(kShared)) {
         ++this->sharedRefused;
       } else {
-        entry.Watch().OnSound(SoundRun{ kShared, {} });
+        entry.Watch().OnSuccessfulRun(SoundRun{ kShared, {} });
       }
     }
   }
@@ -287,9 +287,9 @@
 
   void TakeNews(const Message& aMessage)
   {
-    CrashLedger& ledger = this->controls[aMessage.to].Ledger();
+    CrashRegistry& ledger = this->controls[aMessage.to].Ledger();
     ledger.Take(aMessage.news.crashes);
-    ledger.TakeSound(aMessage.news.sound);
+    ledger.TakeSuccessfulRuns(aMessage.news.sound);
     for (std::size_t other = 0; aMessage.fromEntry && other < this->controls.size(); ++other) {
       if (other != aMessage.to) {
         this->Post(Message{ {}, other, aMessage.news, false, std::nullopt, {} });
@@ -320,7 +320,7 @@
       }
       SendsNews news;
       news.crashes = entry.Watch().TakeReports();
-      news.sound = entry.Watch().TakeSound();
+      news.sound = entry.Watch().TakeSuccessfulRuns();
       if (this->IsUp(entry) && (!news.crashes.empty() || !news.sound.empty())) {
         this->Post(Message{ {}, entry.hub, std::move(news), true, std::nullopt, {} });
       }
@@ -331,7 +331,7 @@
       }
       control.Ledger().SetRefused(this->log.Refused());
       this->Commit(control);
-      const CrashingRequests told = control.Ledger().Told();
+      const CrashingRequests told = control.Ledger().Verdicts();
       if (told != control.told) {
         control.told = told;
         for (std::size_t to = 0; to < this->entries.size(); ++to) {
--- a/test/coordination/CrashLedgerTest.cpp
+++ b/test/coordination/CrashRegistryTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashLedger.h"
+#include "damasklink/coordination/CrashRegistry.h"
 
 #include <gtest/gtest.h>
 
@@ -16,23 +16,23 @@
   return CrashReport{ aRequest, kWorkspace, kService, TargetId(aTarget), Incarnation(aStart) };
 }
 
-class CrashLedgerTest : public testing::Test
+class CrashRegistryTest : public testing::Test
 {
 protected:
-  bool IsRefused() const { return this->ledger.Told().refused.contains(kGuilty); }
+  bool IsRefused() const { return this->ledger.Verdicts().refused.contains(kGuilty); }
 
-  void Settle() { this->clock.Advance(CrashLedger::kSettling); }
+  void Settle() { this->clock.Advance(CrashRegistry::kSettleTime); }
 
   ManualClock clock;
-  CrashLedger ledger{ this->clock };
+  CrashRegistry ledger{ this->clock };
 };
 
-TEST_F(CrashLedgerTest, RequestThatEndedThreeTargetsIsRefusedOnceNewsHasSettled)
+TEST_F(CrashRegistryTest, RefusesRequestAfterThreeCrashesAndTheSettleTime)
 {
   this->ledger.Take({ Crash("a"), Crash("b") });
   this->Settle();
   EXPECT_FALSE(this->IsRefused());
-  EXPECT_TRUE(this->ledger.Told().suspected.contains(kGuilty));
+  EXPECT_TRUE(this->ledger.Verdicts().suspected.contains(kGuilty));
   this->ledger.Take({ Crash("c") });
   EXPECT_FALSE(this->IsRefused());
   this->Settle();
@@ -41,7 +41,7 @@
   EXPECT_EQ(this->ledger.ToRefuse()[0].facts.workspace, kWorkspace);
 }
 
-TEST_F(CrashLedgerTest, OneEndThatSeveralHostsReportCountsOnce)
+TEST_F(CrashRegistryTest, CrashReportedBySeveralHostsCountsOnce)
 {
   this->ledger.Take({ Crash("a"), Crash("a"), Crash("b") });
   this->ledger.Take({ Crash("b"), Crash("a") });
@@ -49,31 +49,31 @@
   EXPECT_FALSE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, StartsOfOneTargetCountEach)
+TEST_F(CrashRegistryTest, IncarnationsOfOneTargetCountSeparately)
 {
   this->ledger.Take({ Crash("a", kGuilty, 1), Crash("a", kGuilty, 2), Crash("a", kGuilty, 3) });
   this->Settle();
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, RequestThatRanWellBeginsAnew)
+TEST_F(CrashRegistryTest, SuccessfulRunResetsTheCount)
 {
   this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
-  this->ledger.TakeSound({ kSound });
+  this->ledger.TakeSuccessfulRuns({ kSound });
   this->ledger.Take({ Crash("d"), Crash("e") });
   this->Settle();
   EXPECT_FALSE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, SoundRunAtAnotherServiceClearsNothing)
+TEST_F(CrashRegistryTest, SuccessfulRunAtAnotherServiceClearsNothing)
 {
   this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
-  this->ledger.TakeSound({ SoundRun{ kGuilty, ServiceName("another") } });
+  this->ledger.TakeSuccessfulRuns({ SoundRun{ kGuilty, ServiceName("another") } });
   this->Settle();
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, LaterCrashesDoNotPutOffTheRefusal)
+TEST_F(CrashRegistryTest, LaterCrashesDoNotDelayTheRefusal)
 {
   this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
   this->Settle();
@@ -81,24 +81,24 @@
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, WhatTheGroupRefusesHoldsWithoutReports)
+TEST_F(CrashRegistryTest, CommittedRefusalHoldsWithoutReports)
 {
   this->ledger.SetRefused({ { kGuilty, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
   EXPECT_TRUE(this->IsRefused());
   EXPECT_TRUE(this->ledger.ToRelease().empty());
 }
 
-TEST_F(CrashLedgerTest, RefusedRequestThatRanWellAfterAllIsReleased)
+TEST_F(CrashRegistryTest, SuccessfulRunReleasesARefusedRequest)
 {
   this->ledger.SetRefused({ { kGuilty, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
-  this->ledger.TakeSound({ kSound });
+  this->ledger.TakeSuccessfulRuns({ kSound });
   EXPECT_FALSE(this->IsRefused());
   EXPECT_EQ(this->ledger.ToRelease().size(), 1U);
   this->ledger.SetRefused({});
   EXPECT_TRUE(this->ledger.ToRelease().empty());
 }
 
-TEST_F(CrashLedgerTest, ReleasedRequestMustCrashThreeTargetsAgain)
+TEST_F(CrashRegistryTest, ReleasedRequestMustCrashThreeTargetsAgain)
 {
   this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
   this->ledger.SetRefused({ { kGuilty, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
@@ -108,32 +108,32 @@
   EXPECT_FALSE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, RefusalEndsWithItsTime)
+TEST_F(CrashRegistryTest, RefusalExpires)
 {
   this->ledger.SetRefused({ { kGuilty, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
-  this->clock.Advance(CrashLedger::kRefusedFor);
+  this->clock.Advance(CrashRegistry::kRefusalPeriod);
   EXPECT_EQ(this->ledger.ToRelease().size(), 1U);
 }
 
-TEST_F(CrashLedgerTest, ManyOtherRequestsDoNotPushOutOneThatComesAgain)
+TEST_F(CrashRegistryTest, EvictsRequestsWithFewestCrashesFirst)
 {
   this->ledger.Take({ Crash("a"), Crash("b") });
-  for (std::uint64_t other = 0; other < 2 * CrashLedger::kMostRequests; ++other) {
+  for (std::uint64_t other = 0; other < 2 * CrashRegistry::kMaxRequests; ++other) {
     this->ledger.Take({ Crash("x", RequestFingerprint(1000 + other)) });
   }
-  EXPECT_EQ(this->ledger.All().size(), CrashLedger::kMostRequests + 1);
+  EXPECT_EQ(this->ledger.All().size(), CrashRegistry::kMaxRequests + 1);
   this->ledger.Take({ Crash("c") });
   this->Settle();
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, AnotherControlHostLearnsAll)
+TEST_F(CrashRegistryTest, ReportsOfAllRestoreAnotherControlHost)
 {
   this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
-  CrashLedger other(this->clock);
+  CrashRegistry other(this->clock);
   other.Take(this->ledger.All());
   this->Settle();
-  EXPECT_EQ(other.Told(), this->ledger.Told());
+  EXPECT_EQ(other.Verdicts(), this->ledger.Verdicts());
 }
 
 } // namespace
--- a/test/coordination/DispatchRecordTest.cpp
+++ b/test/coordination/DispatchRecordTest.cpp
@@ -6,7 +6,7 @@
 namespace damasklink {
 namespace {
 
-TEST(DispatchRecordTest, ConnectionThatNeverCameToBeIsNotRun)
+TEST(DispatchRecordTest, AttemptWithoutConnectionIsNotRun)
 {
   DispatchRecord record;
   record.Begin(AttemptId("a-1"), TargetId("engine-1"));
--- a/test/coordination/IdempotencyKeysTest.cpp
+++ b/test/coordination/IdempotencyKeysTest.cpp
@@ -10,7 +10,7 @@
 const ZoneId kNorth("hall-north");
 const WallTime kBirth(std::chrono::milliseconds(1'764'700'000'123));
 
-TEST(IdempotencyKeysTest, MintedKeyNamesItsHomeAndBirth)
+TEST(IdempotencyKeysTest, MintedKeyCarriesItsHomeAndCreationTime)
 {
   const IdempotencyKey key = MintKey(kOffice, kNorth, kBirth, "00ff");
   const auto origin = ReadKeyOrigin(kOffice, key);
@@ -25,12 +25,12 @@
   EXPECT_FALSE(ReadKeyOrigin(WorkspaceId("branch"), key));
 }
 
-TEST(IdempotencyKeysTest, OwnKeySaysNothingOfItself)
+TEST(IdempotencyKeysTest, CallersOwnKeyHasNoOrigin)
 {
   EXPECT_EQ(ReadKeyOrigin(kOffice, IdempotencyKey("order-17")).value(), KeyOrigin());
 }
 
-TEST(IdempotencyKeysTest, RefusesWhatNobodyCouldReadBack)
+TEST(IdempotencyKeysTest, RefusesEmptyOverlongAndInvisibleKeys)
 {
   for (const std::string& text :
        { std::string(), std::string("a b"), std::string("a\n"), std::string(256, 'k') }) {
--- a/test/coordination/LimitModelTest.cpp
+++ b/test/coordination/LimitModelTest.cpp
@@ -8,8 +8,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "damasklink/coordination/LimitBook.h"
-#include "damasklink/coordination/TargetLimits.h"
+#include "damasklink/coordination/RateLimitAllocator.h"
+#include "damasklink/coordination/TargetRateLimiter.h"
 
 namespace damasklink {
 namespace {
@@ -83,7 +83,7 @@
   struct Entry
   {
     HostId host;
-    std::optional<TargetLimits> held;
+    std::optional<TargetRateLimiter> held;
     std::size_t hub = 0;
     MonotonicTime downUntil;
     bool greeted = false;
@@ -92,7 +92,7 @@
 
   struct Control
   {
-    LimitBook book;
+    RateLimitAllocator book;
     std::vector<TargetLimit> told;
     MonotonicTime downUntil;
   };
@@ -147,7 +147,7 @@
     for (Entry& entry : this->entries) {
       if (entry.hub == aControl) {
         entry.hub = (entry.hub + 1) % this->controls.size();
-        entry.held->TellAllAnew();
+        entry.held->ResendAll();
         entry.greeted = false;
       }
     }
--- a/test/coordination/SendsHubTest.cpp
+++ b/test/coordination/LoadReportAggregatorTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/SendsHub.h"
+#include "damasklink/coordination/LoadReportAggregator.h"
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
   };
 }
 
-class SendsHubTest : public testing::Test
+class LoadReportAggregatorTest : public testing::Test
 {
 protected:
   void Take(const std::string& aHost, std::vector<TargetSendsNow> aSends)
@@ -25,10 +25,10 @@
   }
 
   ManualClock clock;
-  SendsHub hub;
+  LoadReportAggregator hub;
 };
 
-TEST_F(SendsHubTest, HostsAreAddedUp)
+TEST_F(LoadReportAggregatorTest, AddsUpTheLoadOfHosts)
 {
   this->Take("x", { Sends("a", 2) });
   this->Take("y", { Sends("a", 3), Sends("b", 1) });
@@ -37,7 +37,7 @@
   EXPECT_EQ(news.sends, (std::vector<TargetSendsNow>{ Sends("a", 5), Sends("b", 1) }));
 }
 
-TEST_F(SendsHubTest, OnlyWhatHasChangedIsToldAgain)
+TEST_F(LoadReportAggregatorTest, TakeChangesReturnsOnlyChangedTargets)
 {
   this->Take("x", { Sends("a", 2), Sends("b", 1) });
   this->hub.TakeChanges(kSelf);
@@ -46,32 +46,32 @@
   EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("b", 4) });
 }
 
-TEST_F(SendsHubTest, LaterWordsOfAHostTakeThePlaceOfEarlierOnes)
+TEST_F(LoadReportAggregatorTest, LaterUpdateOfAHostReplacesEarlierOnes)
 {
   this->Take("x", { Sends("a", 2) });
   this->Take("x", { Sends("a", 1) });
   EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 1) });
 }
 
-TEST_F(SendsHubTest, HostThatIsGoneTakesItsShareAlong)
+TEST_F(LoadReportAggregatorTest, RemovingAHostSubtractsItsLoad)
 {
   this->Take("x", { Sends("a", 2) });
   this->Take("y", { Sends("a", 3) });
   this->hub.TakeChanges(kSelf);
   this->hub.Forget(HostId("x"));
   EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 3) });
-  EXPECT_EQ(this->hub.Tellers(), std::set<HostId>{ HostId("y") });
+  EXPECT_EQ(this->hub.Publishers(), std::set<HostId>{ HostId("y") });
 }
 
-TEST_F(SendsHubTest, HostThatTellsAnotherFromNowOnCountsNoMore)
+TEST_F(LoadReportAggregatorTest, LastUpdateOfAHostRemovesIt)
 {
   this->Take("x", { Sends("a", 2) });
   this->hub.Take(SendsNews{ HostId("x"), {}, {}, {}, true }, this->clock.MonotonicNow());
-  EXPECT_TRUE(this->hub.Tellers().empty());
+  EXPECT_TRUE(this->hub.Publishers().empty());
   EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 0) });
 }
 
-TEST_F(SendsHubTest, ExcessesOfStoresAreAddedUpOnce)
+TEST_F(LoadReportAggregatorTest, AddsUpStoreExcessesOnce)
 {
   this->hub.Take(SendsNews{ HostId("x"), {}, { StoreExcess{ "s", 2, 10 } }, {}, false },
                  this->clock.MonotonicNow());
@@ -82,7 +82,7 @@
   EXPECT_TRUE(this->hub.TakeChanges(kSelf).excesses.empty());
 }
 
-TEST_F(SendsHubTest, PartsOfAllHostsAreToldOnce)
+TEST_F(LoadReportAggregatorTest, ReturnsPartsOfAllHostsOnce)
 {
   TargetSendsNow first = Sends("a", 1);
   first.parts = { SizedPart{ PartKey(1), TokenCount(800) } };
@@ -97,11 +97,12 @@
   EXPECT_TRUE(this->hub.TakeChanges(kSelf).sends.front().parts.empty());
 }
 
-TEST_F(SendsHubTest, EntryHostsAreToldOneTotalOfAllControlHosts)
+TEST_F(LoadReportAggregatorTest, TotalsIncludeOtherControlHosts)
 {
   this->Take("x", { Sends("a", 2) });
-  this->hub.TakeSum(SendsNews{ HostId("north"), { Sends("a", 5), Sends("b", 1) }, {}, {}, false },
-                    this->clock.MonotonicNow());
+  this->hub.TakePeerSum(
+    SendsNews{ HostId("north"), { Sends("a", 5), Sends("b", 1) }, {}, {}, false },
+    this->clock.MonotonicNow());
   EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 2) });
   const SendsNews totals = this->hub.TakeTotals(kSelf);
   EXPECT_EQ(totals.host, kSelf);
@@ -109,32 +110,32 @@
   EXPECT_TRUE(this->hub.TakeTotals(kSelf).sends.empty());
 }
 
-TEST_F(SendsHubTest, ControlHostThatFallsSilentTakesItsShareAlong)
+TEST_F(LoadReportAggregatorTest, RemovingASilentControlHostSubtractsItsLoad)
 {
   this->Take("x", { Sends("a", 2) });
-  this->hub.TakeSum(SendsNews{ HostId("north"), { Sends("a", 5) }, {}, {}, false },
-                    this->clock.MonotonicNow());
+  this->hub.TakePeerSum(SendsNews{ HostId("north"), { Sends("a", 5) }, {}, {}, false },
+                        this->clock.MonotonicNow());
   this->hub.TakeTotals(kSelf);
   this->clock.Advance(std::chrono::seconds(3));
-  this->hub.ForgetSumsBefore(this->clock.MonotonicNow() - std::chrono::seconds(2));
+  this->hub.RemovePeersSilentSince(this->clock.MonotonicNow() - std::chrono::seconds(2));
   EXPECT_EQ(this->hub.TakeTotals(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 2) });
 }
 
-TEST_F(SendsHubTest, NewTellerIsToldAllTotals)
+TEST_F(LoadReportAggregatorTest, AllTotalsContainEveryTargetInUse)
 {
   this->Take("x", { Sends("a", 2) });
-  this->hub.TakeSum(SendsNews{ HostId("north"), { Sends("b", 1) }, {}, {}, false },
-                    this->clock.MonotonicNow());
+  this->hub.TakePeerSum(SendsNews{ HostId("north"), { Sends("b", 1) }, {}, {}, false },
+                        this->clock.MonotonicNow());
   this->hub.TakeTotals(kSelf);
   EXPECT_EQ(this->hub.AllTotals(kSelf).sends,
             (std::vector<TargetSendsNow>{ Sends("a", 2), Sends("b", 1) }));
 }
 
-TEST_F(SendsHubTest, FindingsOfAllAreToldOnceToEntryHosts)
+TEST_F(LoadReportAggregatorTest, ReturnsFindingsOfAllHostsOnce)
 {
   this->hub.Take(SendsNews{ HostId("x"), {}, {}, { TargetFindings{ TargetId("a"), 1, 0 } }, false },
                  this->clock.MonotonicNow());
-  this->hub.TakeSum(
+  this->hub.TakePeerSum(
     SendsNews{ HostId("north"), {}, {}, { TargetFindings{ TargetId("a"), 2, 0 } }, false },
     this->clock.MonotonicNow());
   const std::vector<TargetFindings> expected{ TargetFindings{ TargetId("a"), 3, 0 } };
@@ -145,13 +146,13 @@
 // The load: 195 entry hosts in five zones, one control host in each, 98 targets. In every step each
 // host has something new of some targets. What an entry host hears in a step is one message with
 // each target once, whatever the number of hosts.
-TEST(SendsHubLoadTest, WhatAnEntryHostHearsDoesNotGrowWithTheNumberOfHosts)
+TEST(LoadReportAggregatorLoadTest, TotalsDoNotGrowWithTheNumberOfHosts)
 {
   constexpr int kTargets = 98;
   constexpr int kHubs = 5;
   const auto heardOf = [](int aEntryHosts) {
     ManualClock clock;
-    std::vector<SendsHub> hubs(kHubs);
+    std::vector<LoadReportAggregator> hubs(kHubs);
     for (int host = 0; host < aEntryHosts; ++host) {
       SendsNews news;
       news.host = HostId("entry-" + std::to_string(host));
@@ -162,7 +163,7 @@
     }
     for (std::size_t hub = 1; hub < kHubs; ++hub) {
       const HostId name("hub-" + std::to_string(hub));
-      hubs.front().TakeSum(hubs[hub].TakeChanges(name), clock.MonotonicNow());
+      hubs.front().TakePeerSum(hubs[hub].TakeChanges(name), clock.MonotonicNow());
     }
     std::uint64_t requests = 0;
     const SendsNews totals = hubs.front().TakeTotals(kSelf);
--- a/test/coordination/LimitBookTest.cpp
+++ b/test/coordination/RateLimitAllocatorTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/LimitBook.h"
+#include "damasklink/coordination/RateLimitAllocator.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -28,9 +28,9 @@
   return report;
 }
 
-TEST(LimitBookTest, FewHostsShareASmallLimit)
+TEST(RateLimitAllocatorTest, FewHostsShareASmallLimit)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   book.Take({ Report(3.9) });
   const std::vector<TargetLimit> shares = book.Shares(Hosts(195));
   ASSERT_EQ(shares.size(), 1U);
@@ -38,21 +38,23 @@
   EXPECT_DOUBLE_EQ(shares[0].share.perSecond, 1.3);
 }
 
-RC_GTEST_PROP(LimitBookTest, SharesAddUpToTheLimit, (std::uint16_t aTenths, std::uint8_t aHosts))
+RC_GTEST_PROP(RateLimitAllocatorTest,
+              SharesAddUpToTheLimit,
+              (std::uint16_t aTenths, std::uint8_t aHosts))
 {
-  LimitBook book;
+  RateLimitAllocator book;
   const double limit = static_cast<double>(aTenths) / 10;
   book.Take({ Report(limit) });
   const TargetLimit share = book.Shares(Hosts(aHosts)).at(0);
   const double all = share.share.perSecond * static_cast<double>(share.hosts.size());
   RC_ASSERT(share.hosts.size() <= aHosts);
-  RC_ASSERT(all <= std::max(limit, LimitBook::kLeast.perSecond) + 1e-9);
+  RC_ASSERT(all <= std::max(limit, RateLimitAllocator::kMinRate.perSecond) + 1e-9);
   RC_ASSERT(aHosts == 0 || all >= limit - 1e-9);
 }
 
-TEST(LimitBookTest, ALostHostMovesItsShareAlone)
+TEST(RateLimitAllocatorTest, LostHostMovesOnlyItsOwnShare)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   book.Take({ Report(4) });
   std::set<HostId> hosts = Hosts(9);
   const std::set<HostId> before = book.Shares(hosts)[0].hosts;
@@ -66,25 +68,25 @@
   EXPECT_EQ(kept, 3U);
 }
 
-TEST(LimitBookTest, LiftedLimitIsGone)
+TEST(RateLimitAllocatorTest, LiftedLimitIsRemoved)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   book.Take({ Report(4), Report(std::nullopt) });
   EXPECT_TRUE(book.IsEmpty());
 }
 
-TEST(LimitBookTest, WordOfAnEarlierStartChangesNothing)
+TEST(RateLimitAllocatorTest, IgnoresReportsOfAnEarlierIncarnation)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   book.Take({ Report(4, 2), Report(9, 1), Report(std::nullopt, 1) });
   EXPECT_EQ(book.All(), std::vector<LimitReport>{ Report(4, 2) });
 }
 
-TEST(LimitBookTest, TargetsThatAreGoneAreForgotten)
+TEST(RateLimitAllocatorTest, RetainOnlyRemovesOtherTargets)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   book.Take({ Report(4) });
-  book.KeepOnly([](const TargetId&, Incarnation) { return false; });
+  book.RetainOnly([](const TargetId&, Incarnation) { return false; });
   EXPECT_TRUE(book.IsEmpty());
 }
 
@@ -96,10 +98,10 @@
   return ColdTarget{ kTarget, Incarnation(1), aColdFor, RequestRate{ 16 } };
 }
 
-TEST(LimitBookTest, WhatAColdTargetBearsIsDividedIntoWholeRequestsASecond)
+TEST(RateLimitAllocatorTest, DividesColdRateIntoWholeRequestsPerSecond)
 {
-  LimitBook book;
-  book.TakeCold(Cold(), MonotonicTime());
+  RateLimitAllocator book;
+  book.UpdateColdTarget(Cold(), MonotonicTime());
   const TargetLimit many = book.Shares(Hosts(80)).at(0);
   EXPECT_EQ(many.hosts.size(), 16U);
   EXPECT_DOUBLE_EQ(many.share.perSecond, 1);
@@ -109,44 +111,45 @@
   EXPECT_EQ(few.limit, std::nullopt);
 }
 
-TEST(LimitBookTest, AColdTargetIsForgottenOnceItIsWarm)
+TEST(RateLimitAllocatorTest, RemovesColdTargetOnceItIsWarm)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   const MonotonicTime start;
-  book.TakeCold(Cold(), start);
-  book.ForgetWarm(start + kColdFor - std::chrono::milliseconds(1));
+  book.UpdateColdTarget(Cold(), start);
+  book.RemoveWarmTargets(start + kColdFor - std::chrono::milliseconds(1));
   EXPECT_FALSE(book.IsEmpty());
-  book.ForgetWarm(start + kColdFor);
+  book.RemoveWarmTargets(start + kColdFor);
   EXPECT_TRUE(book.IsEmpty());
 }
 
 // Entry hosts are told of changes only, so the word of each heartbeat must not be one.
-TEST(LimitBookTest, HeartbeatsThatTellTheSameEndChangeNothing)
+TEST(RateLimitAllocatorTest, HeartbeatsWithTheSameEndDoNotChangeShares)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   const MonotonicTime start;
   const Duration later = std::chrono::milliseconds(1200);
-  book.TakeCold(Cold(), start);
+  book.UpdateColdTarget(Cold(), start);
   const std::vector<TargetLimit> before = book.Shares(Hosts(9));
-  book.TakeCold(Cold(kColdFor - later + LimitBook::kSameEnd), start + later);
+  book.UpdateColdTarget(Cold(kColdFor - later + RateLimitAllocator::kColdEndTolerance),
+                        start + later);
   EXPECT_EQ(book.Shares(Hosts(9)), before);
 }
 
-TEST(LimitBookTest, ATargetThatIsColdAgainIsColdForLonger)
+TEST(RateLimitAllocatorTest, LaterReportExtendsTheColdPeriod)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   const MonotonicTime start;
-  book.TakeCold(Cold(), start);
-  book.TakeCold(Cold(), start + kColdFor / 2);
-  book.ForgetWarm(start + kColdFor);
+  book.UpdateColdTarget(Cold(), start);
+  book.UpdateColdTarget(Cold(), start + kColdFor / 2);
+  book.RemoveWarmTargets(start + kColdFor);
   EXPECT_FALSE(book.IsEmpty());
 }
 
-TEST(LimitBookTest, OfALimitAndAColdRateTheSmallerOneBinds)
+TEST(RateLimitAllocatorTest, AppliesTheSmallerOfLimitAndColdRate)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   book.Take({ Report(4) });
-  book.TakeCold(Cold(), MonotonicTime());
+  book.UpdateColdTarget(Cold(), MonotonicTime());
   EXPECT_DOUBLE_EQ(book.Shares(Hosts(9))[0].share.perSecond, 1);
   book.Take({ Report(100) });
   EXPECT_DOUBLE_EQ(book.Shares(Hosts(9))[0].share.perSecond, 2);
@@ -156,13 +159,13 @@
 }
 
 // The pattern: hundreds of targets start at one moment; what hosts are told of them stays bounded.
-TEST(LimitBookTest, OfManyColdTargetsOnlySoManyAreDivided)
+TEST(RateLimitAllocatorTest, DividesABoundedNumberOfColdTargets)
 {
-  LimitBook book;
+  RateLimitAllocator book;
   for (int index = 0; index < 1000; ++index) {
     ColdTarget cold = Cold();
     cold.target = TargetId("t" + std::to_string(index));
-    book.TakeCold(cold, MonotonicTime());
+    book.UpdateColdTarget(cold, MonotonicTime());
   }
   book.Take({ Report(4) });
   EXPECT_EQ(book.Shares(Hosts(300)).size(), 64U + 1U);
--- a/test/coordination/RequestFingerprintTest.cpp
+++ b/test/coordination/RequestFingerprintTest.cpp
@@ -11,14 +11,14 @@
   return RequestIdentity{ WorkspaceId("w"), "h", "POST", "/jobs/7?x=1", "body" };
 }
 
-TEST(RequestFingerprintTest, RepeatsHaveTheSameOnEveryHost)
+TEST(RequestFingerprintTest, IsTheSameOnEveryHostAndBuild)
 {
   EXPECT_EQ(FingerprintOf(Identity()), FingerprintOf(Identity()));
   // The value goes between hosts of different builds and into files.
   EXPECT_EQ(FingerprintOf(RequestIdentity{}), RequestFingerprint(15051567215856270734U));
 }
 
-TEST(RequestFingerprintTest, EachPartOfTheIdentityCounts)
+TEST(RequestFingerprintTest, DependsOnEveryFieldOfTheIdentity)
 {
   const RequestFingerprint own = FingerprintOf(Identity());
   RequestIdentity other = Identity();
@@ -38,7 +38,7 @@
   EXPECT_NE(FingerprintOf(other), own);
 }
 
-TEST(RequestFingerprintTest, TextsDoNotRunIntoEachOther)
+TEST(RequestFingerprintTest, KeepsAdjacentFieldsApart)
 {
   RequestIdentity left = Identity();
   left.method = "PO";
--- a/test/coordination/ServiceLevelWindowsTest.cpp
+++ b/test/coordination/ServiceLevelWindowsTest.cpp
@@ -8,7 +8,7 @@
 
 const WorkspaceId kWorkspace("a");
 
-TEST(ServiceLevelWindowsTest, EachWindowEndsInItsOwnTime)
+TEST(ServiceLevelWindowsTest, EachWindowExpiresAfterItsOwnLength)
 {
   ManualClock clock;
   ServiceLevelWindows windows(clock, 8);
--- a/test/coordination/RetrySharesTest.cpp
+++ b/test/coordination/ServiceRetryBudgetsTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/RetryShares.h"
+#include "damasklink/coordination/ServiceRetryBudgets.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -9,7 +9,7 @@
 const ServiceName kService("s");
 
 std::uint64_t
-TakeAll(RetryShares& aShares)
+TakeAll(ServiceRetryBudgets& aShares)
 {
   std::uint64_t taken = 0;
   while (aShares.Of(kService).TryTake()) {
@@ -18,11 +18,11 @@
   return taken;
 }
 
-TEST(RetrySharesTest, HostsTogetherStayWithinTheReserve)
+TEST(ServiceRetryBudgetsTest, HostsTogetherStayWithinTheReserve)
 {
   std::uint64_t taken = 0;
   for (int host = 0; host < 9; ++host) {
-    RetryShares shares(RetryAllowance{});
+    ServiceRetryBudgets shares(RetryAllowance{});
     shares.SetHosts(9);
     taken += TakeAll(shares);
   }
@@ -30,20 +30,20 @@
   EXPECT_LE(static_cast<double>(taken), RetryAllowance{}.reserve);
 }
 
-TEST(RetrySharesTest, RestartOfEveryHostStaysWithinTheReserve)
+TEST(ServiceRetryBudgetsTest, RestartOfEveryHostStaysWithinTheReserve)
 {
   std::uint64_t taken = 0;
   for (int life = 0; life < 2 * 9; ++life) {
-    RetryShares shares(RetryAllowance{});
+    ServiceRetryBudgets shares(RetryAllowance{});
     shares.SetHosts(9);
     taken += TakeAll(shares);
   }
   EXPECT_LE(static_cast<double>(taken), RetryAllowance{}.reserve);
 }
 
-TEST(RetrySharesTest, UnknownNumberOfHostsLeavesTheShareOfCallsOnly)
+TEST(ServiceRetryBudgetsTest, UnknownHostCountAllowsOnlyTheShareOfCalls)
 {
-  RetryShares shares(RetryAllowance{});
+  ServiceRetryBudgets shares(RetryAllowance{});
   EXPECT_EQ(TakeAll(shares), 0U);
   for (int call = 0; call < 100; ++call) {
     shares.OnCall(kService);
@@ -51,9 +51,9 @@
   EXPECT_EQ(TakeAll(shares), 1U);
 }
 
-TEST(RetrySharesTest, HostsThatComeAndGoBringNoNewReserve)
+TEST(ServiceRetryBudgetsTest, ChangingHostCountAddsNoReserve)
 {
-  RetryShares shares(RetryAllowance{});
+  ServiceRetryBudgets shares(RetryAllowance{});
   shares.SetHosts(9);
   const std::uint64_t first = TakeAll(shares);
   EXPECT_GT(first, 0U);
@@ -63,9 +63,9 @@
   }
 }
 
-TEST(RetrySharesTest, ManyHostsMayStillRetryByTheShareOfTheirCalls)
+TEST(ServiceRetryBudgetsTest, ManyHostsCanStillRetryFromTheShareOfCalls)
 {
-  RetryShares shares(RetryAllowance{});
+  ServiceRetryBudgets shares(RetryAllowance{});
   shares.SetHosts(1000);
   std::uint64_t taken = 0;
   for (int call = 0; call < 100; ++call) {
@@ -75,10 +75,10 @@
   EXPECT_GE(taken, 10U);
 }
 
-RC_GTEST_PROP(RetrySharesTest, RetriesStayBelowShareAndReserve, ())
+RC_GTEST_PROP(ServiceRetryBudgetsTest, RetriesStayBelowShareAndReserve, ())
 {
   const RetryAllowance allowance;
-  RetryShares shares(allowance);
+  ServiceRetryBudgets shares(allowance);
   shares.SetHosts(9);
   const auto tries = *rc::gen::container<std::vector<bool>>(rc::gen::arbitrary<bool>());
   double calls = 0;
--- a/test/coordination/SubtreeLimiterTest.cpp
+++ b/test/coordination/SubtreeLimiterTest.cpp
@@ -24,7 +24,7 @@
   ResolvedPolicy policy;
 };
 
-TEST_F(SubtreeLimiterTest, EachHostOfTheZoneEnforcesItsPartOfTheRunningRequests)
+TEST_F(SubtreeLimiterTest, EachHostEnforcesItsPartOfTheConcurrencyLimit)
 {
   this->policy.limits.concurrentRequests = 6;
   EXPECT_TRUE(this->Enters());
@@ -34,7 +34,7 @@
   EXPECT_TRUE(this->Enters());
 }
 
-TEST_F(SubtreeLimiterTest, RequestsASecondAreHeldWithTheTimeToComeBack)
+TEST_F(SubtreeLimiterTest, RefusesExcessRequestsPerSecondWithRetryAfter)
 {
   this->policy.limits.requestsPerSecond = 6;
   EXPECT_TRUE(this->Enters());
@@ -53,7 +53,7 @@
   EXPECT_FALSE(this->Enters(101));
 }
 
-TEST_F(SubtreeLimiterTest, LimitsOfOneTeamDoNotTouchAnother)
+TEST_F(SubtreeLimiterTest, LimitsOfOneTeamDoNotAffectAnother)
 {
   this->policy.limits.concurrentRequests = 1;
   EXPECT_TRUE(this->Enters());
--- a/test/coordination/TargetLimitsTest.cpp
+++ b/test/coordination/TargetRateLimiterTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetLimits.h"
+#include "damasklink/coordination/TargetRateLimiter.h"
 
 #include <gtest/gtest.h>
 
@@ -11,10 +11,10 @@
 const HostId kSelf("self");
 const TargetId kTarget("t");
 
-class TargetLimitsTest : public testing::Test
+class TargetRateLimiterTest : public testing::Test
 {
 protected:
-  TargetLimitsTest()
+  TargetRateLimiterTest()
   {
     this->record.id = kTarget;
     this->record.incarnation = Incarnation(1);
@@ -36,11 +36,11 @@
   }
 
   ManualClock clock;
-  TargetLimits limits{ this->clock, kSelf };
+  TargetRateLimiter limits{ this->clock, kSelf };
   TargetRecord record;
 };
 
-TEST_F(TargetLimitsTest, NothingIsSentBetweenTheLimitAndTheShare)
+TEST_F(TargetRateLimiterTest, SendsNothingBeforeItHasAShare)
 {
   EXPECT_TRUE(this->limits.MaySend(kTarget));
   this->Answer(4);
@@ -50,7 +50,7 @@
             (std::vector<LimitReport>{ { kTarget, Incarnation(1), RequestRate{ 4 } } }));
 }
 
-TEST_F(TargetLimitsTest, AShareBeginsEmptyAndIsNotSavedUp)
+TEST_F(TargetRateLimiterTest, ShareStartsEmptyAndDoesNotAccumulate)
 {
   this->Tell(2);
   EXPECT_FALSE(this->limits.MaySend(kTarget));
@@ -59,18 +59,18 @@
   this->clock.Advance(seconds(60));
   this->limits.OnSent(kTarget);
   EXPECT_FALSE(this->limits.MaySend(kTarget));
-  EXPECT_EQ(this->limits.UntilPermit({ this->record }), milliseconds(500));
+  EXPECT_EQ(this->limits.TimeUntilPermit({ this->record }), milliseconds(500));
 }
 
-TEST_F(TargetLimitsTest, SharesOfOthersAreNotUsed)
+TEST_F(TargetRateLimiterTest, DoesNotUseSharesOfOtherHosts)
 {
   this->Tell(2, { HostId("other") });
   this->clock.Advance(seconds(20));
   EXPECT_FALSE(this->limits.MaySend(kTarget));
-  EXPECT_EQ(this->limits.UntilPermit({ this->record }), std::nullopt);
+  EXPECT_EQ(this->limits.TimeUntilPermit({ this->record }), std::nullopt);
 }
 
-TEST_F(TargetLimitsTest, RepeatedWordsDoNotFillTheShare)
+TEST_F(TargetRateLimiterTest, RepeatedSharesDoNotRefillPermits)
 {
   this->Tell(1);
   for (int word = 0; word < 100; ++word) {
@@ -82,7 +82,7 @@
   EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
-TEST_F(TargetLimitsTest, AnswerToAnEarlierRequestDoesNotLiftTheLimit)
+TEST_F(TargetRateLimiterTest, AnswerToAnEarlierRequestDoesNotLiftTheLimit)
 {
   this->Answer(4);
   this->clock.Advance(seconds(1));
@@ -94,25 +94,25 @@
             (std::vector<LimitReport>{ { kTarget, Incarnation(1), std::nullopt } }));
 }
 
-TEST_F(TargetLimitsTest, AWordThatIsOlderThanTheReportDoesNotLiftTheLimit)
+TEST_F(TargetRateLimiterTest, SharesOlderThanTheReportDoNotLiftTheLimit)
 {
   this->Answer(4);
   this->limits.Take({});
   EXPECT_FALSE(this->limits.MaySend(kTarget));
-  this->clock.Advance(TargetLimits::kReportUnderWay);
+  this->clock.Advance(TargetRateLimiter::kReportInFlight);
   this->limits.Take({});
   EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
-TEST_F(TargetLimitsTest, AnotherControlHostIsToldAll)
+TEST_F(TargetRateLimiterTest, ResendAllQueuesEveryKnownLimit)
 {
   this->Tell(2);
   EXPECT_TRUE(this->limits.TakeReports().empty());
-  this->limits.TellAllAnew();
+  this->limits.ResendAll();
   EXPECT_EQ(this->limits.TakeReports().size(), 1U);
 }
 
-TEST_F(TargetLimitsTest, ARestartEndsTheLimit)
+TEST_F(TargetRateLimiterTest, RestartRemovesTheLimit)
 {
   this->Answer(4);
   this->limits.OnRestart(kTarget);
@@ -129,18 +129,18 @@
   };
 }
 
-TEST_F(TargetLimitsTest, NothingIsSentToAColdTargetWithoutAShare)
+TEST_F(TargetRateLimiterTest, SendsNothingToAColdTargetWithoutAShare)
 {
   this->limits.OnCold(this->record, kColdFor);
   EXPECT_FALSE(this->limits.MaySend(kTarget));
-  EXPECT_EQ(this->limits.UntilPermit({ this->record }), kColdFor);
+  EXPECT_EQ(this->limits.TimeUntilPermit({ this->record }), kColdFor);
   this->clock.Advance(kColdFor);
   EXPECT_TRUE(this->limits.MaySend(kTarget));
   EXPECT_TRUE(this->limits.TakeReports().empty());
   EXPECT_TRUE(this->limits.IsEmpty());
 }
 
-TEST_F(TargetLimitsTest, ShareOfAColdTargetIsSpentEvenly)
+TEST_F(TargetRateLimiterTest, SpendsShareOfAColdTargetEvenly)
 {
   this->limits.OnCold(this->record, kColdFor);
   this->limits.Take({ ColdShare(2, { kSelf }) });
@@ -152,7 +152,7 @@
   EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
-TEST_F(TargetLimitsTest, HostsBeginToUseAColdTargetInTurn)
+TEST_F(TargetRateLimiterTest, HostsStartSendingToAColdTargetInTurn)
 {
   this->limits.Take({ ColdShare(1, { HostId("a"), HostId("b"), HostId("c"), kSelf }) });
   EXPECT_FALSE(this->limits.MaySend(kTarget));
@@ -161,7 +161,7 @@
 }
 
 // Guards against a share that is moved away and back, which would begin anew each time.
-TEST_F(TargetLimitsTest, AShareThatComesBackIsNotFilledAgain)
+TEST_F(TargetRateLimiterTest, ReturnedShareDoesNotRefillPermits)
 {
   this->limits.Take({ ColdShare(1, { kSelf }) });
   this->limits.OnSent(kTarget);
@@ -170,14 +170,14 @@
   EXPECT_FALSE(this->limits.MaySend(kTarget));
 }
 
-TEST_F(TargetLimitsTest, AControlHostThatDoesNotKnowOfAColdTargetDoesNotFreeIt)
+TEST_F(TargetRateLimiterTest, SharesWithoutTheColdTargetKeepItLimited)
 {
   this->limits.OnCold(this->record, kColdFor);
   this->limits.Take({});
   EXPECT_FALSE(this->limits.MaySend(kTarget));
 }
 
-TEST_F(TargetLimitsTest, AnAnswerThatNamesNoLimitDoesNotWarmTheTarget)
+TEST_F(TargetRateLimiterTest, AnswerWithoutLimitDoesNotEndTheColdPeriod)
 {
   this->limits.OnCold(this->record, kColdFor);
   this->clock.Advance(milliseconds(10));
@@ -187,7 +187,7 @@
 }
 
 // Shares are told whole whenever one of them changes; that must not begin a cold time anew.
-TEST_F(TargetLimitsTest, SharesThatAreToldAgainDoNotKeepATargetCold)
+TEST_F(TargetRateLimiterTest, RepeatedSharesDoNotExtendTheColdPeriod)
 {
   this->limits.OnCold(this->record, kColdFor);
   this->limits.Take({ ColdShare(1, { kSelf }) });
@@ -198,7 +198,7 @@
   EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
-TEST_F(TargetLimitsTest, AHostThatHasJustStartedHearsOfAColdTargetWithItsShare)
+TEST_F(TargetRateLimiterTest, NewHostLearnsOfAColdTargetFromShares)
 {
   this->limits.Take({ ColdShare(1, { HostId("other") }) });
   EXPECT_FALSE(this->limits.MaySend(kTarget));
--- a/test/program/ExchangeFixture.h
+++ b/test/program/ExchangeFixture.h
@@ -213,19 +213,19 @@
   NoMetrics metrics;
   EntryPicture picture{ this->clock };
   FirstConfiguration firstConfiguration{ this->loop };
-  RetryShares retries{ RetryAllowance{} };
+  ServiceRetryBudgets retries{ RetryAllowance{} };
   TargetHealth health{ this->clock, 1 };
   ZoneReach reach{ this->clock, 1 };
   TargetPicker picker{ this->health, this->reach, 1 };
   TargetChannelPool pool{ this->clock };
   StorePace pace{ 1 };
-  ComeBack comeBack{ 1 };
+  StartupRetryDelay comeBack{ 1 };
   ReturnQueue returns{ this->clock, 1 };
   TargetCheck checks{ this->loop, this->clock };
-  CrashWatch crashes{ this->clock };
-  BrokenRuns broken{ this->clock };
+  CrashFilter crashes{ this->clock };
+  InterruptedRequests broken{ this->clock };
   HostId self{ "entry" };
-  TargetLimits limits{ this->clock, this->self };
+  TargetRateLimiter limits{ this->clock, this->self };
   EntryContext context{ this->loop,
                         this->clock,
                         this->settings,
--- a/test/program/ExchangeTest.cpp
+++ b/test/program/ExchangeTest.cpp
@@ -127,7 +127,7 @@
   this->Call("/nowhere/");
   this->Receive();
   const std::vector<SoundRun> expected{ SoundRun{ suspected, testing::kService } };
-  EXPECT_EQ(this->crashes.TakeSound(), expected);
+  EXPECT_EQ(this->crashes.TakeSuccessfulRuns(), expected);
 }
 
 TEST_F(ExchangeTest, BrokenAnswerOfATargetThatStillListensIsNoCrash)
