--- a/include/damasklink/coordination/AdmissionQueue.h
+++ b/include/damasklink/coordination/AdmissionQueue.h
@@ -1,4 +1,4 @@
-// Which waiting request goes next, and which is refused at once.
+// Admission control: which queued request is sent next, and which is refused.
 #pragma once
 
 #include <cstdint>
@@ -14,43 +14,43 @@
 
 namespace damasklink {
 
-// Targets that can take each other's requests: those of one model, or of one service.
+// Names a pool: the targets of one model or of one service, which can serve each other's requests.
 using PoolId = StringId<struct PoolIdTag>;
-// Counts the requests that were offered to one queue.
+// Number of a request in its queue, in the order of Offer().
 using AdmissionId = NumberId<struct AdmissionIdTag>;
 
-// A request that asks to be sent.
+// A request that asks for admission.
 struct AdmissionRequest
 {
   WorkspaceId workspace;
   PoolId pool;
-  // The workspace's weight against the others; at least 1.
+  // Weight of the workspace relative to the others, at least 1.
   std::uint64_t share = 1;
-  // Within the workspace; 0 goes first.
+  // Orders the requests of one workspace; 0 goes first.
   std::uint64_t priority = 1;
-  // What it takes of the pool, in any unit that all requests share; more than 0.
+  // Capacity that the request uses, greater than 0, in any unit that is common to all requests.
   double cost = 1;
-  // When its whole answer is of no use any more.
+  // When the complete answer must have arrived.
   MonotonicTime deadline;
 };
 
-// Why a request was refused, and when it may come back. Surely not run.
+// Why a request was refused and when to retry. A refused request was not run.
 struct AdmissionRefusal
 {
   Error error;
   Duration retryAfter{ 0 };
 };
 
-// The final word on one request.
+// The decision on one request. It is final.
 struct AdmissionDecision
 {
   AdmissionId id;
-  // Empty when it is admitted.
+  // Empty when the request is admitted.
   std::optional<AdmissionRefusal> refusal;
 };
 
 // Shares the capacity of pools between workspaces in proportion to their weights (start-time fair
-// queueing), whatever each of them asks for; priorities order the requests of one workspace.
+// queueing), whatever the demand of each; priorities order the requests of one workspace.
 //
 //   AdmissionQueue queue(clock, 1024);
 //   queue.SetCapacity(pool, 32);
@@ -58,37 +58,39 @@
 //   for (const AdmissionDecision& decision : queue.TakeDecisions()) ...
 //   queue.Finish(id, true);
 //
-// Every request that was offered is decided exactly once, unless Cancel() came first; every one
-// that was admitted needs Finish(). Bounded: when the queue is full, the workspace that waits with
-// the most for its weight loses its last request. Not thread-safe.
+// Every offered request gets exactly one decision, unless it is cancelled first; every admitted
+// request needs a Finish(). The queue is bounded: when it is full, the workspace with the most
+// waiting requests for its weight loses its last one. Not thread-safe.
 class AdmissionQueue
 {
 public:
-  AdmissionQueue(const Clock& aClock, std::size_t aMostWaiting);
+  AdmissionQueue(const Clock& aClock, std::size_t aMaxWaiting);
 
   AdmissionId Offer(const AdmissionRequest& aRequest);
 
-  // Withdraws a waiting request. Returns false when it was decided already.
+  // Removes a waiting request. Returns false when it is decided already.
   bool Cancel(AdmissionId aId);
 
-  // Frees the place of an admitted request. Only one that was answered tells how long they take.
+  // Frees the capacity of an admitted request. Only answered requests count in the mean time that
+  // predicts whether a deadline can be met.
   void Finish(AdmissionId aId, bool aAnswered);
 
-  // Sets how many requests of the pool may run at once.
+  // Sets how many requests of the pool may run concurrently.
   void SetCapacity(const PoolId& aPool, std::size_t aCapacity);
 
-  // Counts what the workspace got on another host of the zone against its share here.
+  // Counts the cost of requests that the workspace ran on another host of the zone against its
+  // share on this host.
   void AddRemoteUse(const WorkspaceId& aWorkspace, double aCost);
 
   // Returns the decisions since the last call.
   std::vector<AdmissionDecision> TakeDecisions();
 
-  // Returns what each workspace got here since the last call.
+  // Returns the cost of the requests that were admitted on this host since the last call.
   std::map<WorkspaceId, double> TakeLocalUse();
 
   std::size_t Waiting() const { return this->waiting; }
 
-  // Returns how long a request would wait now, or zero while the pool has room.
+  // Returns how long a request would wait now; zero while the pool has free capacity.
   Duration ExpectedWait(const AdmissionRequest& aRequest) const;
 
 private:
@@ -106,8 +108,8 @@
   {
     std::size_t capacity = 0;
     std::size_t running = 0;
-    // Mean time from admission to the end of an answer, and mean distance from it; zero while
-    // unknown.
+    // Moving average of the time from admission to the end of the answer, and of the absolute
+    // deviation from it; zero while unknown.
     Duration meanTime{ 0 };
     Duration meanDeviation{ 0 };
     std::map<WorkspaceId, std::deque<Queued>> waiting;
@@ -115,28 +117,29 @@
   struct Account
   {
     std::uint64_t share = 1;
-    // Virtual time at which what the workspace got so far is paid for.
-    double paidUntil = 0;
+    // Virtual finish time of the workspace's last request.
+    double finishTime = 0;
     std::size_t waiting = 0;
   };
 
-  // Whether a request that is sent after aWait will most likely be answered in time.
+  // Returns whether a request that is sent after aWait is likely to meet its deadline.
   bool CanMeetDeadline(const Pool& aPool, const AdmissionRequest& aRequest, Duration aWait) const;
   void RefuseAsTooLate(AdmissionId aId, Duration aRetryAfter);
   void Enqueue(Pool& aPool, Queued aQueued);
-  // Admits waiting requests, in the order of shares, while the pool has room.
+  // Admits waiting requests in fair order while the pool has free capacity.
   void AdmitWaiting(Pool& aPool);
   void Admit(Pool& aPool, const Queued& aQueued);
   void Refuse(AdmissionId aId, Error aError, Duration aRetryAfter);
-  // Refuses a waiting request of a workspace that waits with more for its weight, if there is one.
+  // Refuses the last request of the workspace with the most waiting requests for its weight, unless
+  // that is the workspace of aRequest.
   void EvictFor(const AdmissionRequest& aRequest);
-  // Returns the next request of the workspace that is furthest behind its share.
+  // Returns the queue of the workspace whose next request has the earliest virtual start time.
   std::map<WorkspaceId, std::deque<Queued>>::iterator NextWorkspace(Pool& aPool);
-  // Returns the virtual time at which the workspace's next request is due.
-  double StartOf(const WorkspaceId& aWorkspace) const;
+  // Returns the virtual start time of the workspace's next request.
+  double StartTimeOf(const WorkspaceId& aWorkspace) const;
 
   const Clock& clock;
-  std::size_t mostWaiting;
+  std::size_t maxWaiting;
   std::size_t waiting = 0;
   AdmissionId lastId;
   double virtualTime = 0;
--- a/include/damasklink/coordination/BurnReport.h
+++ b/include/damasklink/coordination/BurnReport.h
@@ -1,4 +1,4 @@
-// How fast workspaces use up what their service-level objectives allow to fail.
+// Error-budget burn rates of workspaces against their service-level objectives.
 #pragma once
 
 #include <string_view>
@@ -9,7 +9,7 @@
 
 namespace damasklink {
 
-// One workspace: its objective and what was counted in each of kBurnWindows.
+// The objective of one workspace and its counts in each of kBurnWindows.
 struct WorkspaceBurn
 {
   WorkspaceId workspace;
@@ -19,7 +19,7 @@
   bool operator==(const WorkspaceBurn&) const = default;
 };
 
-// What one host counted.
+// The counts of one host.
 struct HostBurn
 {
   HostId host;
@@ -31,17 +31,17 @@
 // What an operator should do; docs/OPERATING.md has an example for each.
 enum class BurnLevel
 {
-  Calm,  // Within the objective over 6 hours.
-  Watch, // Beyond it over 6 hours: look within a day.
-  Act,   // At least kActBurn over 1 and 6 hours: look within the hour.
-  Page,  // At least kPageBurn over 5 minutes and 1 hour: look now.
+  Calm,  // Burn rate of at most 1 over 6 hours.
+  Watch, // More than 1 over 6 hours: look within a day.
+  Act,   // At least kActBurn over 1 hour and over 6 hours: look within the hour.
+  Page,  // At least kPageBurn over 5 minutes and over 1 hour: look now.
 };
 
 constexpr double kActBurn = 6.0;
 constexpr double kPageBurn = 14.4;
 
-// Returns the share that failed relative to the share that may fail: 1 uses up the objective
-// exactly, 0 when there were no requests.
+// Returns the burn rate: the share of requests that failed divided by the share that may fail. A
+// rate of 1 uses up the error budget exactly; it is 0 without requests.
 double
 BurnRateOf(const ServiceLevelCount& aCount, const ServiceLevel& aObjective);
 
@@ -52,14 +52,15 @@
 std::string_view
 BurnLevelName(BurnLevel aLevel);
 
-// Returns a row for each workspace of the tree and for each one that was counted. Workspaces
-// without an objective in the tree are held to the default one.
+// Returns a row for each workspace that has an objective or counts. Workspaces without an objective
+// in the configuration tree get the default one.
 std::vector<WorkspaceBurn>
 JoinBurn(const std::map<WorkspaceId, ServiceLevel>& aObjectives,
          const std::map<WorkspaceId, WindowCounts>& aCounts);
 
-// Returns one row for each workspace with the counts of all hosts added up, ordered by workspace.
-// Where hosts still differ in the objective, the stricter share is taken.
+// Returns one row for each workspace, ordered by workspace, with the counts of all hosts added up.
+// Where hosts have different objectives, as during a configuration change, the stricter one
+// applies.
 std::vector<WorkspaceBurn>
 MergeBurn(const std::vector<HostBurn>& aHosts);
 
--- a/include/damasklink/coordination/ClaimRefusal.h
+++ b/include/damasklink/coordination/ClaimRefusal.h
@@ -1,4 +1,4 @@
-// What a caller is told when its key's claim was not granted.
+// Errors for callers whose claim of an idempotency key is not granted.
 #pragma once
 
 #include <optional>
@@ -12,12 +12,12 @@
 struct ClaimRefusal
 {
   Error error;
-  // What is known of earlier calls under the same key.
+  // What is known about earlier calls with the same key.
   RunOutcome earlier = RunOutcome::NotRun;
   std::optional<Duration> retryAfter;
 };
 
-// Returns the refusal for a verdict. Requires a verdict other than Granted and Kept.
+// Returns the refusal for a reply, whose verdict must not be Granted or Kept.
 ClaimRefusal
 RefusalOf(const ClaimReply& aReply);
 
--- a/include/damasklink/coordination/ClaimRegistry.h
+++ b/include/damasklink/coordination/ClaimRegistry.h
@@ -1,4 +1,4 @@
-// The replicated record of idempotency keys: who runs a call, and what came of it.
+// Replicated state of idempotency keys: which attempt runs a call, and how it ended.
 #pragma once
 
 #include <array>
@@ -15,16 +15,16 @@
 
 namespace damasklink {
 
-// What is done to a claim. The numbers stand in log files: never reuse one.
+// Operation on a claim. The values are stored in log files: never reuse one.
 enum class ClaimVerb : std::uint8_t
 {
-  Claim = 1,   // Asks for the right to run; repeated under the same attempt until answered.
+  Claim = 1,   // Requests the right to run; repeated under the same attempt until answered.
   Finish = 2,  // The run ended with an answer.
-  Abandon = 3, // The run broke off and may have done its work.
-  Release = 4, // Surely nothing was run, so another attempt may.
+  Abandon = 3, // The run broke off; it may have taken effect.
+  Release = 4, // Nothing was run, so another attempt may run.
 };
 
-// The answer of a run, kept for callers that ask again.
+// The answer of a run, kept for callers that repeat the call.
 struct KeptAnswer
 {
   int status = 200;
@@ -34,51 +34,52 @@
   bool operator==(const KeptAnswer&) const = default;
 };
 
-// One command to the ledger.
+// A command to the registry.
 struct ClaimCommand
 {
   ClaimVerb verb = ClaimVerb::Claim;
   WorkspaceId workspace;
   IdempotencyKey key;
-  // Tells one run from another; unique over hosts and restarts.
+  // Identifies one run; unique across hosts and restarts.
   AttemptId attempt;
-  // Of method, path, query and body, so that one key stands for one call. Read with Claim.
+  // Digest of method, path, query and body, so that one key is used for one call only. Claim only.
   Digest body;
-  // Empty for a caller's own key. Read with Claim.
-  std::optional<WallTime> birth;
-  // How long the claim is remembered, from its birth or else from the claim. Read with Claim.
+  // Creation time of a minted key; empty for a caller's own key. Claim and Release only.
+  std::optional<WallTime> createdAt;
+  // How long the claim is kept, counted from createdAt if it is set, else from the command. Claim
+  // and Release only.
   Duration retention{ 0 };
-  // How long the run may take before it counts as lost. Read with Claim.
+  // How long the run may take before it counts as lost. Claim only.
   Duration lease{ 0 };
-  // Read with Finish; empty when it exceeds the limit for kept answers.
+  // Empty when it exceeds the size limit for kept answers. Finish only.
   std::optional<KeptAnswer> answer;
 
   bool operator==(const ClaimCommand&) const = default;
 };
 
-// The numbers go between hosts: never reuse one.
+// Reply to a command. The values are sent between hosts: never reuse one.
 enum class ClaimVerdict : std::uint8_t
 {
   Granted = 1,         // This attempt, and no other, may run.
-  Kept = 2,            // It ran; here is its answer.
-  AnswerDropped = 3,   // It ran; its answer is not kept.
-  Running = 4,         // Another attempt runs; come back.
-  MayHaveRun = 5,      // An attempt broke off, or the record of it was lost.
-  BodyMismatch = 6,    // The key stands for another call.
-  Expired = 7,         // The key is older than the retention; it may have run.
-  CreatedInFuture = 8, // The key's birth lies in the future.
-  Full = 9,            // No room for another claim; not claimed.
-  Withdrawn = 10,      // This attempt was released before; it must not run.
-  Recorded = 11,       // Answer to Finish, Abandon and Release.
-  NotReady = 12,       // The group does not know yet whether it was formed anew; not claimed.
+  Kept = 2,            // The call ran; the reply has its answer.
+  AnswerDropped = 3,   // The call ran; its answer is not kept.
+  Running = 4,         // Another attempt is running; retry later.
+  MayHaveRun = 5,      // An attempt broke off, or its record was lost.
+  BodyMismatch = 6,    // The key belongs to another call.
+  Expired = 7,         // The key is older than the retention; its call may have run.
+  CreatedInFuture = 8, // The creation time of the key is in the future.
+  Full = 9,            // The registry is full; not claimed.
+  Withdrawn = 10,      // This attempt was released earlier; it must not run.
+  Recorded = 11,       // Reply to Finish, Abandon and Release.
+  NotReady = 12,       // The group does not know yet whether it is a re-formed one; not claimed.
 };
 
 struct ClaimReply
 {
   ClaimVerdict verdict = ClaimVerdict::Recorded;
-  // With Running: when the lease of the other attempt is over.
+  // Time until the lease of the other attempt expires. Running only.
   Duration retryAfter{ 0 };
-  // With Kept.
+  // Kept only.
   std::optional<KeptAnswer> answer;
 
   bool operator==(const ClaimReply&) const = default;
@@ -88,53 +89,53 @@
 {
   Running = 1,
   Finished = 2,
-  Unknown = 3,  // Broke off.
-  Released = 4, // Not run; free for another attempt.
+  Unknown = 3,  // Broke off; may have run.
+  Released = 4, // Not run; another attempt may run.
 };
 
 using ClaimName = std::array<std::uint8_t, 32>;
 using ClaimTag = std::array<std::uint8_t, 16>;
 
-// An answer and its place in the order of dropping.
+// An answer and the log index that orders answers for dropping.
 struct StoredAnswer
 {
   LogIndex storedAt;
   KeptAnswer answer;
 };
 
-// One claim; kept small, as a zone may hold a million.
+// One claim. Kept small, since a zone may hold a million of them.
 struct ClaimEntry
 {
   WallTime expiry;
   WallTime leaseEnd;
-  // Zero for a key without a birth.
-  WallTime birth;
+  // Zero for a caller's own key.
+  WallTime createdAt;
   std::unique_ptr<StoredAnswer> answer;
   ClaimTag body{};
   ClaimTag attempt{};
   ClaimState state = ClaimState::Running;
-  // Whether `body` is known.
+  // False after a Release that arrived before its Claim.
   bool bodyKnown = false;
 };
 
-// Decides which attempt may run a call. Deterministic: time comes with the log.
+// Decides which attempt may run a call. Deterministic: the time comes with the log entry.
 //
-//   ClaimRegistry ledger;
-//   ClaimReply reply = ledger.Apply(context, command);
+//   ClaimRegistry registry;
+//   ClaimReply reply = registry.Apply(context, command);
 //   if (reply.verdict == ClaimVerdict::Granted) ...
 //
-// Promises, whatever the order and number of commands: at most one attempt of a key is granted
-// unless an earlier one was released; a released attempt is not granted again while it is the
-// last one of its key; a minted key is never granted at or after its birth plus retention, so
-// that forgetting it then cannot lead to a second run. The workspace is part of every name.
+// Guarantees for any order and number of commands: at most one attempt of a key is granted unless
+// an earlier one was released; a released attempt is not granted again while it is the last one of
+// its key; a minted key is never granted at or after its creation time plus retention, so removing
+// it then cannot lead to a second run. Keys of different workspaces never match. Not thread-safe.
 class ClaimRegistry
 {
 public:
-  // Bounds that are alike on all replicas.
+  // Limits; they must be equal on all replicas.
   struct Limits
   {
     std::size_t claims = 2'000'000;
-    // Sum over all kept answers; beyond it the oldest are dropped.
+    // Total size of the kept answers; beyond it the oldest are dropped.
     std::size_t answerBytes = std::size_t{ 64 } << 20;
   };
 
@@ -152,52 +153,55 @@
   std::size_t Size() const { return this->entries.size(); }
   std::size_t AnswerBytes() const { return this->answerBytes; }
 
-  // What a snapshot holds beside the entries.
+  // Part of a snapshot beside the entries.
   struct Header
   {
     Incarnation incarnation{ 1 };
-    // When the group was formed anew after losing all its disks; empty for the first.
+    // When the group was re-formed after losing all its disks; empty for the first incarnation.
     std::optional<WallTime> reformedAt;
-    // Latest birth among the minted keys that were forgotten.
-    WallTime forgottenBirth;
+    // Latest creation time of the minted keys that were removed.
+    WallTime latestRemovedCreation;
   };
   const Header& GetHeader() const { return this->header; }
   void SetHeader(const Header& aHeader) { this->header = aHeader; }
 
-  // Visits all entries in the order of their names.
+  // Calls aVisitor for each entry, ordered by name.
   void Visit(const std::function<void(const ClaimName&, const ClaimEntry&)>& aVisitor) const;
-  // Puts an entry back from a snapshot.
+  // Adds an entry from a snapshot.
   void Restore(const ClaimName& aName, ClaimEntry aEntry);
 
 private:
   using Entries = std::map<ClaimName, ClaimEntry>;
 
   ClaimReply Claim(const ApplyContext& aContext, const ClaimCommand& aCommand);
-  // Answers a claim whose key is not in the ledger.
+  // Handles a claim whose key is not in the registry.
   ClaimReply ClaimNew(const ApplyContext& aContext, const ClaimCommand& aCommand);
-  // Answers a claim whose key is.
+  // Handles a claim whose key is in the registry.
   ClaimReply ClaimKnown(const ApplyContext& aContext,
                         const ClaimCommand& aCommand,
                         Entries::iterator aFound);
+  // Handles Finish, Abandon and Release.
   ClaimReply Settle(const ApplyContext& aContext, const ClaimCommand& aCommand);
+  // Remembers a release that arrives before its claim. Otherwise the late claim would be granted
+  // and hold the key although nobody runs it.
   void RecordEarlyRelease(const ApplyContext& aContext, const ClaimCommand& aCommand);
-  // Gives the entry to the attempt.
+  // Grants the claim to the attempt of aCommand.
   ClaimReply Grant(const ApplyContext& aContext,
                    const ClaimCommand& aCommand,
                    Entries::iterator aEntry);
   void KeepAnswer(LogIndex aIndex, const ClaimCommand& aCommand, Entries::iterator aEntry);
   void DropAnswer(Entries::iterator aEntry);
-  // Moves the entry's end to aExpiry unless it is later already.
+  // Sets the expiry of the entry to aExpiry, unless it is later already.
   void Extend(Entries::iterator aEntry, WallTime aExpiry);
-  void ForgetExpired(WallTime aNow);
+  void RemoveExpired(WallTime aNow);
   void UpdateIncarnation(const ApplyContext& aContext);
-  // Whether an earlier incarnation of the group may have granted the key.
+  // Returns whether an earlier incarnation of the group may have granted the key.
   bool MayPredateReformation(const ApplyContext& aContext, const ClaimCommand& aCommand) const;
 
   Limits limits;
   Header header;
   Entries entries;
-  // Entries by the second in which they end; an entry that was extended stands here twice.
+  // Entries by the second of their expiry. An entry that was extended is listed under both seconds.
   std::map<std::int64_t, std::vector<Entries::iterator>> expiries;
   std::map<LogIndex, Entries::iterator> answers;
   std::size_t answerBytes = 0;
--- a/include/damasklink/coordination/ConcurrencyLimit.h
+++ b/include/damasklink/coordination/ConcurrencyLimit.h
@@ -1,4 +1,4 @@
-// How many requests one target is sent at once, learnt from how it answers.
+// Adaptive limit of the concurrent requests at one target.
 #pragma once
 
 #include <cstddef>
@@ -8,16 +8,16 @@
 
 namespace damasklink {
 
-// How an attempt at a target went, as far as load is concerned.
+// What the end of an attempt says about the load of its target.
 enum class LoadSignal
 {
-  Served,     // It answered.
-  Overloaded, // It refused for being full.
-  Failed,     // It broke off or fell silent; tells nothing of its load.
+  Served,     // The target answered.
+  Overloaded, // The target refused the request because it is full.
+  Failed,     // The attempt broke off or timed out; says nothing about load.
 };
 
-// Additive increase while the limit is in use and the target answers in its usual time,
-// multiplicative decrease when it refuses or answers far slower than usual.
+// Increases the limit additively while it is in use and the target answers in its usual time, and
+// decreases it multiplicatively when the target refuses requests or is far slower than usual.
 //
 //   ConcurrencyLimit limit;
 //   if (limit.Free() > 0) { limit.OnStart(); ... limit.OnEnd(LoadSignal::Served, firstToken); }
@@ -31,12 +31,12 @@
 
   void OnStart() { ++this->running; }
 
-  // aFirstToken is the time from sending to the first token; read with Served.
+  // aFirstToken is the time from sending to the first token; used with Served only.
   void OnEnd(LoadSignal aLoad, Duration aFirstToken);
 
-  // Takes in how many requests the target says that it can run at once, 0 when it does not say.
-  // The first declaration is where the limit starts; it stays at or below it: what exceeds it would
-  // only wait inside the target, where shares are not kept.
+  // Sets how many requests the target declares it can run concurrently; 0 if it declares none. The
+  // limit starts at the first declaration and never exceeds the current one: further requests would
+  // only queue inside the target, where the shares of workspaces are not enforced.
   void SetSlots(std::uint64_t aSlots);
 
   std::size_t Limit() const { return static_cast<std::size_t>(this->limit); }
@@ -47,22 +47,22 @@
   }
 
 private:
-  // Whether first tokens have lately come later than usual.
+  // Adds a first-token time; returns whether recent ones are slower than the baseline.
   bool IsSlow(Duration aFirstToken);
 
   double limit = 16;
-  double most = kMaxLimit;
-  // Whether the target has declared its slots.
-  bool told = false;
+  double maximum = kMaxLimit;
+  // Whether the target has declared its slots before.
+  bool slotsDeclared = false;
   std::size_t running = 0;
-  // Mean of the last few first tokens, so that one long prompt is no sign of a queue.
-  Duration recent{ 0 };
-  // Lowest such mean; drifts up slowly, and is learnt anew when a lower limit does not help.
-  Duration usual{ 0 };
-  // The limit when first tokens began to come late; zero while they do not.
+  // Moving average of first-token times, so that one long prompt does not count as a queue.
+  Duration recentMean{ 0 };
+  // Lowest such average. It drifts up slowly, and is reset when a lower limit does not help.
+  Duration baseline{ 0 };
+  // The limit at which first tokens became slow; zero while they are not.
   double limitAtSlowdown = 0;
-  // Ends to let pass before the next decrease, so that one wave of bad news counts once.
-  std::size_t quiet = 0;
+  // Attempts that must end before the next decrease, so that one burst of refusals counts once.
+  std::size_t cooldown = 0;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/CrashFilter.h
+++ b/include/damasklink/coordination/CrashFilter.h
@@ -1,13 +1,12 @@
-// Which requests an entry host does not send to targets because they crash them.
+// Filters out requests that crash targets; used on entry hosts.
 //
-//   CrashFilter watch(clock);
-//   if (watch.IsActive() && watch.IsRefused(fingerprint)) { ... }
-//   watch.OnCrash(report);                   // A target ended while it ran a request.
-//   watch.OnSuccessfulRun(run);                      // A request ran well.
-//   watch.Take(controlHost, told);           // The verdicts are those of control hosts.
+//   CrashFilter filter(clock);
+//   if (filter.IsActive() && filter.IsRefused(fingerprint)) { ... }
+//   filter.OnCrash(report);                  // A target crashed while it ran a request.
+//   filter.OnSuccessfulRun(run);             // A request ran without a crash.
+//   filter.SetVerdicts(host, verdicts);      // Control hosts decide what is refused.
 //
-// While nothing crashes, IsActive() is false and no request's fingerprint needs to be made. Not
-// thread-safe.
+// While nothing crashes, IsActive() is false and requests need no fingerprints. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -22,8 +21,8 @@
 class CrashFilter
 {
 public:
-  // Reports are told again to each control host that adds up what hosts tell, should the one before
-  // have ended with them.
+  // Reports are sent again to each new hub for this long, in case the previous hub failed before it
+  // passed them on.
   static constexpr Duration kReportLifetime = std::chrono::seconds(10);
   static constexpr std::size_t kMaxReports = 1024;
 
@@ -32,51 +31,54 @@
   {
   }
 
-  // Returns whether any request has crashed a target of late, as far as this host knows.
+  // Returns whether this host knows of a request that has recently crashed a target.
   bool IsActive() const { return !this->reports.empty() || !this->watched.empty(); }
 
   bool IsRefused(RequestFingerprint aRequest) const { return this->refused.contains(aRequest); }
 
+  // A target crashed while it ran a request.
   void OnCrash(CrashReport aReport);
+  // A request ran without a crash. This clears its reports of the same service.
   void OnSuccessfulRun(const SoundRun& aRun);
 
-  // Takes what a control host knows now.
-  void Take(const HostId& aFrom, const CrashingRequests& aTold);
+  // Replaces the verdicts of a control host.
+  void SetVerdicts(const HostId& aFrom, const CrashingRequests& aVerdicts);
 
-  // The connection to a control host is lost. Its word holds until another one tells.
+  // The connection to a control host is lost. Its verdicts are dropped if another control host is
+  // connected; otherwise they apply until the next SetVerdicts().
   void OnLost(const HostId& aHost);
 
-  // The next TakeReports() returns all that are young enough: another control host is told.
+  // Makes the next TakeReports() return all reports up to kReportLifetime old, for a new hub.
   void ResendAll();
 
-  // Returns what is to be told to the control host.
+  // Return the reports and successful runs to send to the hub, each once.
   std::vector<CrashReport> TakeReports();
   std::vector<SoundRun> TakeSuccessfulRuns();
 
 private:
-  struct Word
+  struct Verdicts
   {
-    CrashingRequests told;
+    CrashingRequests requests;
     bool connected = true;
   };
 
-  struct OwnReport
+  struct PendingReport
   {
     CrashReport report;
-    MonotonicTime at;
-    bool told = false;
+    MonotonicTime reportedAt;
+    bool sent = false;
   };
 
-  void Merge();
+  void MergeVerdicts();
 
   const Clock& clock;
-  std::map<HostId, Word> words;
-  // Of all words together.
+  std::map<HostId, Verdicts> verdicts;
+  // Union of the verdicts of all control hosts. `watched` contains refused and suspected requests.
   std::set<RequestFingerprint> refused;
   std::set<RequestFingerprint> watched;
-  // In the order in which they were made.
-  std::vector<OwnReport> reports;
-  std::set<SoundRun> sound;
+  // Oldest first.
+  std::vector<PendingReport> reports;
+  std::set<SoundRun> successfulRuns;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/CrashRegistry.h
+++ b/include/damasklink/coordination/CrashRegistry.h
@@ -1,16 +1,17 @@
-// Which requests crash the targets that run them, as a control host knows it.
+// Detects requests that crash the targets that run them; used on control hosts.
 //
-//   CrashRegistry ledger(clock);
-//   ledger.Take(reports);                 // From entry hosts and other control hosts.
-//   ledger.TakeSuccessfulRuns(runs);               // Requests that ran well somewhere.
-//   ledger.SetRefused(machine.Refused()); // What the replicated log holds.
-//   ledger.Verdicts();                        // For entry hosts.
+//   CrashRegistry registry(clock);
+//   registry.Add(reports);                   // From entry hosts and other control hosts.
+//   registry.AddSuccessfulRuns(runs);        // Requests that ran without a crash.
+//   registry.SetRefused(machine.Refused());  // From the replicated log.
+//   registry.Verdicts();                     // For entry hosts.
 //
-// All requests that run on a target when it ends are suspects, and one of them at most is to blame.
-// What tells them apart: the guilty one ends each target that runs it and never runs well. So a
-// request counts the starts of targets that ended under it, a sound run clears it of those of the
-// same service, and it is refused once it has ended three. Reports are a set of (request, start of
-// a target): they may come late, twice and from several hosts. Not thread-safe.
+// All requests that run on a target when it crashes are suspects, and at most one of them is the
+// cause: the one that crashes each target that runs it and never succeeds. So the registry counts,
+// for each request, the target incarnations that crashed while they ran it. A successful run resets
+// the count for the same service, and after three crashes the request is refused. Reports are a set
+// of (request, target incarnation): they may arrive late, twice and from several hosts. Not
+// thread-safe.
 #pragma once
 
 #include <map>
@@ -27,15 +28,16 @@
 {
 public:
   static constexpr std::size_t kCrashesToRefuse = 3;
-  // From here on entry hosts report sound runs of a request.
+  // From this number of crashes on, entry hosts report successful runs of the request.
   static constexpr std::size_t kCrashesToSuspect = 2;
-  // From the last crash until a request is refused: when several targets end at once, requests that
-  // many callers share are struck by all of them, and the news of their sound runs is on its way.
+  // Time from the last crash until a request is refused. When several targets crash at once, a
+  // request that many callers send was running on all of them, and the reports of its successful
+  // runs arrive later.
   static constexpr Duration kSettleTime = std::chrono::milliseconds(500);
-  // An entry takes some 200 bytes.
+  // An entry takes about 200 bytes.
   static constexpr std::size_t kMaxRequests = 4096;
   static constexpr std::size_t kMaxSuspects = 256;
-  // A refused request may be sent again after this long, should what it crashed be mended.
+  // A refused request is allowed again after this time, in case the fault in the target is fixed.
   static constexpr Duration kRefusalPeriod = std::chrono::hours(24);
 
   explicit CrashRegistry(const Clock& aClock)
@@ -43,41 +45,42 @@
   {
   }
 
-  void Take(const std::vector<CrashReport>& aReports);
-  void TakeSuccessfulRuns(const std::vector<SoundRun>& aRuns);
+  void Add(const std::vector<CrashReport>& aReports);
+  void AddSuccessfulRuns(const std::vector<SoundRun>& aRuns);
   void SetRefused(const RefusedRequests& aRefused);
 
-  // Returns what entry hosts are to know. Requests that this host alone believes to crash targets
-  // count as refused, so that a group without a leader still protects its targets.
+  // Returns the refused and suspected requests for entry hosts. Requests that only this host finds
+  // to crash targets are included as refused, so targets are protected while the group has no
+  // leader.
   CrashingRequests Verdicts() const;
 
-  // Returns the requests that the replicated log should refuse, and those that it should not any
-  // more: they ran well after all, or their time is over.
+  // Return the commands to propose to the replicated log: requests to refuse, and requests to
+  // release because they ran successfully or kRefusalPeriod has passed.
   std::vector<RefuseRequest> ToRefuse() const;
   std::vector<ReleaseRequest> ToRelease() const;
 
-  // Returns the reports that still count, for a control host that was just connected.
+  // Returns all reports that count, for a control host that has just connected.
   std::vector<CrashReport> All() const;
 
 private:
-  using TargetStart = std::pair<TargetId, Incarnation>;
+  using TargetIncarnation = std::pair<TargetId, Incarnation>;
 
   struct Entry
   {
     WorkspaceId workspace;
-    // As many as count, with their services.
-    std::map<TargetStart, ServiceName> ended;
-    // The last one that counts.
+    // Crashed target incarnations, at most kCrashesToRefuse, with the service of the request.
+    std::map<TargetIncarnation, ServiceName> crashed;
+    // When the last of them was reported.
     MonotonicTime lastCrash;
   };
 
   bool ShouldRefuse(const Entry& aEntry) const;
-  void MakeRoom();
+  void EvictOne();
 
   const Clock& clock;
   std::map<RequestFingerprint, Entry> entries;
   RefusedRequests refused;
-  // Refused requests that were reported to have run well.
+  // Refused requests that have since run successfully.
   std::set<RequestFingerprint> cleared;
 };
 
--- a/include/damasklink/coordination/DispatchRecord.h
+++ b/include/damasklink/coordination/DispatchRecord.h
@@ -1,4 +1,4 @@
-// The one record of how far a request got, from which every "not run" is derived.
+// Progress of the attempts of one request, from which its RunOutcome is derived.
 #pragma once
 
 #include <vector>
@@ -8,26 +8,25 @@
 
 namespace damasklink {
 
-// How far one attempt at one target got.
+// Progress of one attempt at one target.
 enum class AttemptStage
 {
-  Prepared,  // Nothing has left this host.
-  Sending,   // A byte may have left.
-  Refused,   // The target itself said that it did not run it, or no connection came to be.
-  Answering, // The target has begun its answer.
-  Finished,  // The whole answer arrived.
+  Prepared,  // Nothing was sent.
+  Sending,   // A byte may have been sent.
+  Refused,   // The target said that it did not run the request, or no connection was made.
+  Answering, // The answer has started.
+  Finished,  // The complete answer arrived.
   Lost,      // The answer broke off.
 };
 
-// Records the attempts of one request. The outcome in refusals and failures is read from here and
-// written nowhere else.
+// Records the attempts of one request. It is the only source of the outcome in refusals and errors.
 //
 //   DispatchRecord record;
 //   record.Begin(attempt, target);
-//   record.Advance(AttemptStage::Sending);   // Before the first byte leaves.
+//   record.Advance(AttemptStage::Sending);   // Before the first byte is sent.
 //   record.Outcome();                        // RunOutcome::MayHaveRun
 //
-// Not thread-safe: one request, one record.
+// Not thread-safe.
 class DispatchRecord
 {
 public:
@@ -38,17 +37,17 @@
     AttemptStage stage = AttemptStage::Prepared;
   };
 
-  // Opens an attempt in the stage Prepared.
+  // Starts an attempt in the stage Prepared.
   void Begin(AttemptId aAttempt, TargetId aTarget);
 
-  // Moves the last attempt on. Requires Begin(). A move that would claim less than what is known
-  // (Sending back to Prepared, Answering to Refused) is ignored.
+  // Sets the stage of the last attempt. Requires Begin(). A transition that contradicts what is
+  // known (Sending back to Prepared, Answering to Refused) is ignored.
   void Advance(AttemptStage aStage);
 
-  // Takes in what the claim ledger says of earlier calls under the same idempotency key.
+  // Adds the outcome of earlier calls with the same idempotency key, from the ClaimRegistry.
   void AddEarlierOutcome(RunOutcome aOutcome);
 
-  // Returns what may be said of the request as a whole.
+  // Returns the outcome of the request over all attempts and earlier calls.
   RunOutcome Outcome() const;
 
   const std::vector<Attempt>& Attempts() const { return this->attempts; }
--- a/include/damasklink/coordination/IdempotencyKeys.h
+++ b/include/damasklink/coordination/IdempotencyKeys.h
@@ -1,4 +1,5 @@
-// Keys that callers send so that a call runs at most once: minted by this system, or their own.
+// Idempotency keys, which callers send so that a call runs at most once. They are minted by this
+// system or chosen by the caller.
 #pragma once
 
 #include <cstdint>
@@ -12,38 +13,38 @@
 
 namespace damasklink {
 
-// Longest key that is taken, in bytes.
+// Longest key that is accepted, in bytes.
 constexpr std::size_t kMaxKeyBytes = 255;
 
-// What a key says of itself. A caller's own key says nothing: both fields are empty.
+// What a minted key contains. Both fields are empty for a caller's own key.
 struct KeyOrigin
 {
   std::optional<ZoneId> home;
-  std::optional<WallTime> birth;
+  std::optional<WallTime> createdAt;
 
   bool operator==(const KeyOrigin&) const = default;
 };
 
-// Returns a fresh key for the workspace that names its home zone and its birth to the millisecond.
+// Returns a new key for the workspace, with its home zone and its creation time in milliseconds.
 //
 //   IdempotencyKey key = MintKey(workspace, zone, clock.WallNow(), random);
 //
-// aRandom holds at least 128 random bits as text. The checksum at its end covers the workspace
-// too, so that a mangled key, or one of another workspace, is refused. It is no signature: a
-// caller who forges one reaches only claims of its own workspace.
+// aRandom holds at least 128 random bits as text. The key ends with a checksum that also covers the
+// workspace, so a damaged key or one of another workspace is refused. The checksum is not a
+// signature: with a forged key a caller reaches only claims of its own workspace.
 IdempotencyKey
 MintKey(const WorkspaceId& aWorkspace,
         const ZoneId& aHome,
-        WallTime aBirth,
+        WallTime aCreatedAt,
         std::string_view aRandom);
 
-// Reads a key as its workspace presents it. Fails with InvalidArgument for an empty or overlong
-// key, control characters, and a minted key whose checksum does not fit.
+// Parses a key that a caller of aWorkspace sent. Fails with InvalidArgument for an empty or
+// overlong key, characters that are not visible ASCII, and a minted key with a wrong checksum.
 Result<KeyOrigin>
 ReadKeyOrigin(const WorkspaceId& aWorkspace, const IdempotencyKey& aKey);
 
-// Returns the zone whose group homes a key without a home, by rendezvous hash: alike on every host
-// that knows the same zones. Requires at least one zone.
+// Returns the zone whose claims group handles a key without a home zone, by rendezvous hashing. The
+// result is the same on every host that knows the same zones. Requires at least one zone.
 ZoneId
 RendezvousHome(const WorkspaceId& aWorkspace,
                const IdempotencyKey& aKey,
--- a/include/damasklink/coordination/InFlightLoadSum.h
+++ b/include/damasklink/coordination/InFlightLoadSum.h
@@ -1,12 +1,12 @@
-// Adds up what several hosts have at targets, from what each of them tells of itself.
+// Adds up the in-flight load at targets from the reports of several hosts.
 //
 //   InFlightLoadSum sum;
-//   sum.Take(news, clock.MonotonicNow());   // What a host has now, where that has changed.
-//   sum.Of(target);                         // What all hosts have there.
-//   sum.ForgetBefore(clock.MonotonicNow() - memory);
+//   sum.Update(report, clock.MonotonicNow());   // The targets at which the load of a host changed.
+//   sum.Of(target);                             // The load of all hosts at the target.
+//   sum.RemoveSilentSince(clock.MonotonicNow() - InFlightLoadSum::kSilenceLimit);
 //
-// A host tells absolute figures, so a lost message does no lasting harm. A control host adds up the
-// entry hosts that tell it, and the sums of other control hosts. Not thread-safe.
+// Reports contain absolute counts, so a lost message has no lasting effect. A control host adds up
+// the reports of its entry hosts, and separately the sums of other control hosts. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -20,18 +20,18 @@
 
 namespace damasklink {
 
-// What runs at one target, as far as it is known.
+// Known requests at one target.
 struct LoadCounts
 {
   std::uint64_t requests = 0;
-  // Prompt tokens among them that the target has not read yet.
+  // Their prompt tokens that the target has not processed yet.
   std::uint64_t unread = 0;
-  // Tokens of theirs that take up the target's memory.
+  // Their tokens that occupy memory of the target.
   std::uint64_t memory = 0;
 
   bool IsEmpty() const { return *this == LoadCounts(); }
   LoadCounts& operator+=(const LoadCounts& aOther);
-  // Takes off what is there at most: figures of different ages may not fit each other.
+  // Subtracts down to zero at most, since counts of different ages may be inconsistent.
   LoadCounts& operator-=(const LoadCounts& aOther);
   bool operator==(const LoadCounts&) const = default;
 };
@@ -39,38 +39,41 @@
 class InFlightLoadSum
 {
 public:
-  // A control host that tells no sums for this long may be gone; its entry hosts tell another one.
+  // A control host that sends no sums for this long may have failed; its entry hosts report to
+  // another one.
   static constexpr Duration kSilenceLimit = std::chrono::seconds(2);
 
-  // Takes what a host has at targets. Its words count until it tells otherwise or is forgotten.
-  void Take(const SendsNews& aNews, MonotonicTime aNow);
+  // Sets the load of a host at the targets of the report. It counts until the host reports another
+  // value or is removed.
+  void Update(const SendsNews& aReport, MonotonicTime aNow);
 
-  // Returns the targets at which the host had something.
-  std::vector<TargetId> Forget(const HostId& aHost);
+  // Removes the load of a host. Returns the targets at which it had any.
+  std::vector<TargetId> Remove(const HostId& aHost);
 
-  // Forgets hosts that have told nothing since a time: they may be gone, and their requests too.
-  // Returns the targets at which they had something.
-  std::vector<TargetId> ForgetBefore(MonotonicTime aTime);
+  // Removes hosts that have not reported since aTime: they may have failed, and their requests with
+  // them. Returns the targets at which they had any load.
+  std::vector<TargetId> RemoveSilentSince(MonotonicTime aTime);
 
-  // Adds the targets at which any host has something.
+  // Adds the targets at which any host has load to aTo.
   void AddTargets(std::set<TargetId>& aTo) const;
 
+  // Returns the load of all hosts at the target.
   LoadCounts Of(const TargetId& aTarget) const;
 
 private:
   struct Host
   {
-    MonotonicTime heard;
+    MonotonicTime reportedAt;
     absl::flat_hash_map<TargetId, LoadCounts> loads;
   };
 
-  void Drop(const Host& aHost);
+  void Subtract(const Host& aHost);
 
   std::map<HostId, Host> hosts;
   absl::flat_hash_map<TargetId, LoadCounts> sums;
 };
 
-// Writes a load, and parts that were sent, as hosts tell them.
+// Makes the entry of a load report for a target, with the parts of prompts that were sent there.
 TargetSendsNow
 ToInFlightLoad(const TargetId& aTarget, const LoadCounts& aLoad, std::vector<SizedPart> aParts);
 
--- a/include/damasklink/coordination/InterruptedRequests.h
+++ b/include/damasklink/coordination/InterruptedRequests.h
@@ -1,14 +1,14 @@
-// Runs whose answers broke off lately, kept for proof that comes late that their targets had ended.
+// Requests whose answers broke off recently, kept until it is known whether their target crashed.
 //
-//   InterruptedRequests runs(clock);
-//   runs.Note(report, target.endpoint);        // An answer broke off.
-//   runs.OnAnswered(target, sentAt);           // The target lives: it broke a single answer.
-//   for (report : runs.TakeConfirmedByStart(started)) ...   // A later start is at its address.
-//   for (report : runs.TakeConfirmedBySilence(target)) ...     // It was not heard any more.
+//   InterruptedRequests interrupted(clock);
+//   interrupted.Add(report, target.endpoint);                // An answer broke off.
+//   interrupted.OnAnswered(target, incarnation, sentAt);     // The target is alive.
+//   for (report : interrupted.TakeConfirmedByStart(started)) ...    // It was started again.
+//   for (report : interrupted.TakeConfirmedBySilence(target)) ...   // Its heartbeats stopped.
 //
-// A target whose process has ended refuses connections, unless somebody else listens at its address
-// or it is started again at once. What proves its end then is the announcement of the next start,
-// under the same id or another one, or that it falls silent. Not thread-safe.
+// A target whose process has ended refuses connections, unless another process listens at its
+// address or it is restarted immediately. In these cases the crash is confirmed by the announcement
+// of the next start, under the same id or another one, or by missing heartbeats. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -22,10 +22,10 @@
 class InterruptedRequests
 {
 public:
-  // From the end of a target until its next start announces itself. One that comes later has
-  // replaced a target that broke the answer and went on.
+  // Longest time from a crash until the next start announces itself. A start that comes later has
+  // replaced a target that went on running after the answer broke off.
   static constexpr Duration kRestartWindow = std::chrono::seconds(5);
-  // From the end of a target until control hosts count it as silent, and the news is here.
+  // Longest time from a crash until this host hears from a control host that the target is silent.
   static constexpr Duration kSilenceWindow = std::chrono::seconds(10);
   static constexpr std::size_t kMaxInterrupted = 1024;
 
@@ -34,35 +34,36 @@
   {
   }
 
-  bool IsEmpty() const { return this->runs.empty(); }
+  bool IsEmpty() const { return this->requests.empty(); }
 
-  void Note(CrashReport aRun, const Endpoint& aAddress);
+  void Add(CrashReport aReport, const Endpoint& aAddress);
 
-  // The target answered a request that was sent to it at a time, so what broke before that did not
-  // end it.
+  // The target answered a request that was sent at aSentAt. It is alive, so the requests that were
+  // interrupted by then did not crash it, and they are removed.
   void OnAnswered(const TargetId& aTarget, Incarnation aIncarnation, MonotonicTime aSentAt);
 
-  // Returns the runs that a target which has just started proves to have ended with their own.
+  // Removes and returns the requests whose target is shown to have crashed by the start of a target
+  // with the same id, or with the same address under another id.
   std::vector<CrashReport> TakeConfirmedByStart(const TargetRecord& aStarted);
 
-  // Returns the runs of a target that is silent.
+  // Removes and returns the requests of a target whose heartbeats have stopped.
   std::vector<CrashReport> TakeConfirmedBySilence(const TargetRecord& aTarget);
 
 private:
-  struct Run
+  struct Interrupted
   {
     CrashReport report;
     Endpoint address;
-    MonotonicTime brokeAt;
+    MonotonicTime interruptedAt;
   };
 
-  void Forget();
+  void RemoveExpired();
   template<typename Matches>
   std::vector<CrashReport> Take(const Matches& aMatches);
 
   const Clock& clock;
-  // The oldest first.
-  std::deque<Run> runs;
+  // Oldest first.
+  std::deque<Interrupted> requests;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/LoadReportAggregator.h
+++ b/include/damasklink/coordination/LoadReportAggregator.h
@@ -1,14 +1,16 @@
-// What entry hosts have at targets, how long their fetches from stores took, and which targets they
-// found gone, added up by a control host: for the others what its own entry hosts tell, and for its
-// entry hosts what all of them do.
+// Adds up load reports on a control host: the in-flight load at targets, the delays of fetches from
+// stores, and which targets were found unreachable or back. The sum over its own entry hosts goes
+// to the other control hosts, and the total over all entry hosts to its own ones.
 //
-//   LoadReportAggregator hub;
-//   hub.Take(news, clock.MonotonicNow());        // From an entry host.
-//   hub.TakePeerSum(sum, clock.MonotonicNow());      // From another control host.
-//   SendsNews sum = hub.TakeChanges(ownHost);    // For the other control hosts.
-//   SendsNews total = hub.TakeTotals(ownHost);   // For its entry hosts, after TakeChanges().
+//   LoadReportAggregator aggregator;
+//   aggregator.Update(report, clock.MonotonicNow());      // From an entry host.
+//   aggregator.UpdatePeerSum(sum, clock.MonotonicNow());  // From another control host.
+//   SendsNews sum = aggregator.TakeChanges(ownHost);      // For the other control hosts.
+//   SendsNews total = aggregator.TakeTotals(ownHost);     // For its own entry hosts.
 //
-// With one total, what an entry host hears grows with the number of targets alone: neither with
+// TakeTotals() is called after TakeChanges().
+//
+// Because entry hosts get totals, their traffic grows only with the number of targets: neither with
 // the number of entry hosts, each of which changes most sums within a second, nor with that of
 // control hosts. Not thread-safe.
 #pragma once
@@ -24,50 +26,52 @@
 class LoadReportAggregator
 {
 public:
-  // Takes what an entry host has at targets; from now on it is one of those that tell this host.
-  void Take(const SendsNews& aNews, MonotonicTime aNow);
+  // Processes the report of an entry host, which becomes one of Publishers(). A report with `last`
+  // set removes the host.
+  void Update(const SendsNews& aReport, MonotonicTime aNow);
 
-  // Takes the sums of another control host.
-  void TakePeerSum(const SendsNews& aNews, MonotonicTime aNow);
+  // Processes the sums of another control host.
+  void UpdatePeerSum(const SendsNews& aReport, MonotonicTime aNow);
 
-  // An entry host is not connected any more, or tells another control host.
-  void Forget(const HostId& aHost);
+  // Removes an entry host that has disconnected or reports to another control host.
+  void Remove(const HostId& aHost);
 
-  // Forgets the sums of control hosts that have told nothing since a time.
+  // Removes the sums of control hosts that have not reported since aTime.
   void RemovePeersSilentSince(MonotonicTime aTime);
 
+  // Returns the entry hosts that report to this host.
   const std::set<HostId>& Publishers() const { return this->publishers; }
 
-  // Returns the sums of its entry hosts that have changed since the last call, with the parts that
-  // were sent since, in the name of aSelf.
+  // Returns the sums over this host's entry hosts that have changed since the last call, with the
+  // parts that were sent since. The sender is aSelf.
   SendsNews TakeChanges(const HostId& aSelf);
 
-  // Returns the totals of all entry hosts that have changed since the last call, with the parts
-  // that were sent since, in the name of aSelf.
+  // Returns the totals over all entry hosts that have changed since the last call, with the parts
+  // that were sent since. The sender is aSelf.
   SendsNews TakeTotals(const HostId& aSelf);
 
-  // Returns all totals, for an entry host that tells this host from now on.
+  // Returns all totals, for an entry host that has just started to report to this host.
   SendsNews AllTotals(const HostId& aSelf) const;
 
 private:
-  // What was taken and not told on yet.
+  // Changes that were received and not sent yet.
   struct PendingUpdate
   {
-    void Add(const SendsNews& aNews);
-    // Moves what was found of stores and targets into the news.
+    void Add(const SendsNews& aReport);
+    // Moves the excesses and findings into aTo.
     void MoveExcessesAndFindings(SendsNews& aTo);
 
-    // Targets whose figures have changed, with the parts sent there since.
+    // Targets whose load has changed, with the parts that were sent there since.
     std::map<TargetId, std::vector<SizedPart>> sends;
     std::map<std::string, StoreExcess> excesses;
     std::map<TargetId, TargetFindings> findings;
   };
 
   LoadCounts TotalOf(const TargetId& aTarget) const;
-  void MarkTotals(const std::vector<TargetId>& aTargets);
+  void MarkTotalsChanged(const std::vector<TargetId>& aTargets);
 
   InFlightLoadSum sum;
-  // By control host.
+  // The sums of the other control hosts.
   InFlightLoadSum peerSums;
   std::set<HostId> publishers;
   PendingUpdate changes;
--- a/include/damasklink/coordination/RateLimitAllocator.h
+++ b/include/damasklink/coordination/RateLimitAllocator.h
@@ -1,16 +1,16 @@
-// Divides what targets take among entry hosts, on a control host.
+// Divides the request rates that targets accept among entry hosts; used on control hosts.
 //
-//   RateLimitAllocator book;
-//   book.Take(reports);              // From entry hosts and other control hosts.
-//   book.UpdateColdTarget(target, now);      // It bears a few requests only for a while.
-//   book.RemoveWarmTargets(now);
-//   book.Shares(allEntryHosts);      // For entry hosts.
+//   RateLimitAllocator allocator;
+//   allocator.Update(reports);                 // From entry hosts and other control hosts.
+//   allocator.UpdateColdTarget(target, now);   // It accepts few requests for some time.
+//   allocator.RemoveWarmTargets(now);
+//   allocator.Shares(allEntryHosts);           // For entry hosts.
 //
-// A target's limit is that of all hosts together, and may be a few requests a second before
-// hundreds of hosts. A part for each host would be too small to use, and one request of each in
-// reserve is more than the target takes. So a few hosts are chosen for each target, by rendezvous
-// hashing: all control hosts choose the same ones without asking each other, and the loss of a host
-// moves its share alone. Not thread-safe.
+// The limit of a target applies to all hosts together and may be a few requests per second for
+// hundreds of hosts. A part for each host would be too small to use, and a burst of one request
+// from each host would exceed what the target accepts. So a few hosts are chosen for each target by
+// rendezvous hashing: all control hosts choose the same ones without coordination, and the loss of
+// a host moves only its own share. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -24,13 +24,13 @@
 
 namespace damasklink {
 
-// A target that bears a few requests only for a while.
+// A target that has started recently and accepts only few requests until it is warm.
 struct ColdTarget
 {
   TargetId target;
   Incarnation incarnation;
   Duration coldFor{ 0 };
-  // What it bears from all hosts together.
+  // The rate that it accepts from all hosts together.
   RequestRate rate;
 
   bool operator==(const ColdTarget&) const = default;
@@ -39,40 +39,43 @@
 class RateLimitAllocator
 {
 public:
-  // The least that is divided: a target that names zero is asked now and then whether it still
-  // does.
+  // Smallest rate that is divided, so that a target with a limit of zero still gets a request now
+  // and then, whose answer tells whether the limit has changed.
   static constexpr RequestRate kMinRate{ 0.2 };
-  // A chosen host sends at least so much where the limit allows it.
+  // Smallest share of a chosen host, if the limit is large enough.
   static constexpr RequestRate kMinShare{ 1 };
-  // A target that tells how long it stays cold says about the same each time; entry hosts are told
-  // again only when its end has moved by more.
+  // The end of a cold period, computed from successive heartbeats, varies a little. Entry hosts get
+  // new shares only when it moves later by more than this.
   static constexpr Duration kColdEndTolerance = std::chrono::milliseconds(300);
 
-  // A later report takes the place of an earlier one of the same start of the target.
-  void Take(const std::vector<LimitReport>& aReports);
+  // A report replaces earlier ones of the same or an earlier incarnation of the target; reports of
+  // an earlier incarnation than the known one are ignored.
+  void Update(const std::vector<LimitReport>& aReports);
 
+  // Sets the cold period and the rate of a target, which override those of an earlier incarnation.
   void UpdateColdTarget(const ColdTarget& aCold, MonotonicTime aNow);
 
-  // Forgets which targets were cold until now.
+  // Ends the cold period of targets that are warm at aNow.
   void RemoveWarmTargets(MonotonicTime aNow);
 
-  // Forgets the targets that are not there any more.
-  void RetainOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsThere);
+  // Removes the targets for which aIsPresent returns false.
+  void RetainOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsPresent);
 
   bool IsEmpty() const { return this->limits.empty(); }
 
+  // Returns the share of each target and the hosts that get it.
   std::vector<TargetLimit> Shares(const std::set<HostId>& aEntryHosts) const;
 
-  // Returns all limits that targets name, for a control host that was just connected.
+  // Returns the limits of all targets, for a control host that has just connected.
   std::vector<LimitReport> All() const;
 
 private:
   struct Entry
   {
     Incarnation incarnation;
-    // Nothing where the target names none.
+    // Empty if the target has no limit.
     std::optional<RequestRate> limit;
-    // Zero for a warm target; the next two are then without meaning.
+    // Zero for a warm target; the next two are then unused.
     Duration coldFor{ 0 };
     RequestRate coldRate;
     MonotonicTime coldUntil;
--- a/include/damasklink/coordination/RequestFingerprint.h
+++ b/include/damasklink/coordination/RequestFingerprint.h
@@ -1,4 +1,4 @@
-// Names a request by what it asks for, so that its repeats are known at every host.
+// Fingerprints of requests, by which every host recognizes a repeated request.
 #pragma once
 
 #include <string_view>
@@ -7,23 +7,24 @@
 
 namespace damasklink {
 
-// The same for all repeats of a request, whatever their request ids and on every host.
+// Equal for all repeats of a request on every host; does not depend on request ids.
 using RequestFingerprint = NumberId<struct RequestFingerprintTag>;
 
-// What makes two requests the same. The texts must outlive the call that takes them.
+// Fields in which repeated requests are equal. The views must stay valid during FingerprintOf().
 struct RequestIdentity
 {
   // Empty on open routes.
   WorkspaceId workspace;
   std::string_view host;
   std::string_view method;
-  // With the query. Not the service: the configuration may lead the same path to another one.
+  // Includes the query. The service is not part of the identity, since the configuration may route
+  // the same path to another service.
   std::string_view path;
   std::string_view body;
 };
 
-// Returns the first 64 bits of a SHA-256 digest: nobody can make another request that bears the
-// fingerprint of a given one.
+// Returns the first 64 bits of a SHA-256 digest of the identity, so that nobody can construct
+// another request with the fingerprint of a given one.
 RequestFingerprint
 FingerprintOf(const RequestIdentity& aIdentity);
 
--- a/include/damasklink/coordination/RetryBudget.h
+++ b/include/damasklink/coordination/RetryBudget.h
@@ -1,26 +1,26 @@
-// Keeps retries a small share of requests, so that an outage is not made worse by them.
+// Limits retries to a small share of requests, so that they do not make an outage worse.
 #pragma once
 
 namespace damasklink {
 
-// Each request pays a share of a retry in; each retry takes a whole one out.
+// A token bucket: each request adds a share of a token, each retry takes a whole one.
 //
 //   RetryBudget budget;
 //   budget.OnRequest();
 //   if (budget.TryTake()) ...   // Retry.
 //
-// Over any stretch of n requests at most aShare * n + aReserve retries are allowed. Not
+// Within any n consecutive requests at most aShare * n + aReserve retries are allowed. Not
 // thread-safe.
 class RetryBudget
 {
 public:
   static constexpr double kShare = 0.08;
-  // Saved up at most, and given at the start, so that a quiet host can retry at all.
+  // Capacity and initial balance, in retries, so that a host with few requests can retry at all.
   static constexpr double kReserve = 8;
 
   RetryBudget() = default;
-  // aShare of a retry for each request, aReserve at the start. At least one whole retry can be
-  // saved up, or a small reserve would forbid them for good.
+  // Adds aShare for each request and starts with aReserve. The capacity is at least one retry, as a
+  // smaller one would never allow any.
   RetryBudget(double aShare, double aReserve)
     : share(aShare)
     , reserve(aReserve)
@@ -30,10 +30,10 @@
 
   void OnRequest();
 
-  // Changes what may be saved up. What is saved up beyond it is lost; nothing is given.
+  // Changes the capacity. Balance beyond it is lost; a larger capacity adds no balance.
   void SetReserve(double aReserve);
 
-  // Returns whether a retry is allowed, and pays for it.
+  // Returns whether a retry is allowed, and if so deducts it from the balance.
   bool TryTake();
 
 private:
--- a/include/damasklink/coordination/ServiceRetryBudgets.h
+++ b/include/damasklink/coordination/ServiceRetryBudgets.h
@@ -1,13 +1,13 @@
-// The part of the shared retry budget that one host may use, for each service.
+// This host's part of the retry budget of each service.
 //
-// All hosts together may send, beyond the first send of each call, a share of the calls for a
-// service and a reserve in each window. Each host keeps to its part without asking the others: the
-// share of its own calls, and the reserve divided by the number of entry hosts.
+// For each service and window, all hosts together may send a share of the calls and a reserve as
+// retries. Each host enforces its part without coordination: the share of its own calls, and the
+// reserve divided by the number of entry hosts.
 //
-//   ServiceRetryBudgets shares(allowance);
-//   shares.SetHosts(9);
-//   shares.OnCall(service);
-//   shares.Of(service).TryTake();
+//   ServiceRetryBudgets budgets(allowance);
+//   budgets.SetHosts(9);
+//   budgets.OnCall(service);
+//   budgets.Of(service).TryTake();
 //
 // Not thread-safe.
 #pragma once
@@ -23,11 +23,11 @@
 class ServiceRetryBudgets
 {
 public:
-  // What is used of the share; the rest covers calls that are counted in another window than
-  // their repeats.
+  // Part of the share that is used. The rest covers calls that are counted in another window than
+  // their retries.
   static constexpr double kShareUtilization = 0.8;
-  // What is used of the reserve: a host that is restarted begins with a full one, and may be
-  // restarted once in a window.
+  // Part of the reserve that is used. A restarted host starts with a full reserve, and may restart
+  // once in a window.
   static constexpr double kReserveUtilization = 0.45;
 
   explicit ServiceRetryBudgets(RetryAllowance aAllowance)
@@ -35,8 +35,8 @@
   {
   }
 
-  // Tells how many entry hosts share the budget. Zero, not known, counts as very many. Only the
-  // first count brings a full reserve: hosts that come and go must not bring a new one each time.
+  // Sets the number of entry hosts that share the budget. Zero means unknown and gives no reserve.
+  // Only the first call grants a full reserve: changes of the number must not grant a new one.
   void SetHosts(std::uint64_t aHosts);
 
   void OnCall(const ServiceName& aService) { this->Of(aService).OnRequest(); }
@@ -44,7 +44,7 @@
 
 private:
   double Reserve() const;
-  RetryBudget Fresh() const;
+  RetryBudget NewBudget() const;
 
   RetryAllowance allowance;
   std::uint64_t hosts = 0;
--- a/include/damasklink/coordination/StartupRetryDelay.h
+++ b/include/damasklink/coordination/StartupRetryDelay.h
@@ -1,10 +1,10 @@
-// When a caller that is refused should come again.
+// Retry-After for callers that are refused while an entry host has no configuration yet.
 //
-//   StartupRetryDelay comeBack(seed);
-//   comeBack.DelayDuringStartup(clock.MonotonicNow() - started);
+//   StartupRetryDelay retryDelay(seed);
+//   retryDelay.DelayDuringStartup(clock.MonotonicNow() - started);
 //
-// A caller comes back once or twice at most, so a time that is too short costs it its last try: it
-// is refused again for the same reason. Not thread-safe.
+// Callers retry once or twice at most. A delay that is too short wastes their last retry: it is
+// refused again for the same reason. Not thread-safe.
 #pragma once
 
 #include <random>
@@ -16,14 +16,14 @@
 class StartupRetryDelay
 {
 public:
-  // From the start of an entry host until it has its first configuration when all hosts start
-  // together and one control host is missing: the others read their logs, wait until the lease of
-  // the leader before must have ended, elect one and tell the picture at once.
-  static constexpr Duration kStartupDuration = std::chrono::milliseconds(1300);
-  // Those who were refused meanwhile return over this time: all at once they would find engines
-  // with 1.3 s of traffic waiting.
+  // Time from the start of an entry host to its first configuration when all hosts start together
+  // and one control host is missing: the others read their logs, wait until the lease of the
+  // previous leader has expired, elect a leader and publish the configuration immediately.
+  static constexpr Duration kStartTakes = std::chrono::milliseconds(1300);
+  // Retries are spread over this time. All at once, they would bring 1.3 s of traffic to the
+  // engines at one moment.
   static constexpr Duration kRetrySpread = std::chrono::milliseconds(500);
-  // When a start takes longer than that, because fewer control hosts came back.
+  // Delay when startup takes longer than kStartTakes, because fewer control hosts are running.
   static constexpr Duration kLateStartupDelay = std::chrono::milliseconds(500);
 
   explicit StartupRetryDelay(std::uint64_t aSeed)
@@ -31,7 +31,8 @@
   {
   }
 
-  // Returns after how long to come back to a host that has no configuration yet.
+  // Returns the delay after which a caller should retry. aSinceStart is the time since the start of
+  // the entry host.
   Duration DelayDuringStartup(Duration aSinceStart);
 
 private:
--- a/include/damasklink/coordination/SubtreeLimiter.h
+++ b/include/damasklink/coordination/SubtreeLimiter.h
@@ -1,4 +1,4 @@
-// Holds each team to the limits of its subtree.
+// Enforces the limits of each team's subtree of the configuration.
 #pragma once
 
 #include <map>
@@ -10,12 +10,13 @@
 
 namespace damasklink {
 
-// Counts running requests and requests a second of each team. A limit holds for a zone: each of
-// its aHosts hosts enforces an equal part, rounded up. Not thread-safe.
+// Limits the prompt length, the concurrent requests and the requests per second of each team. The
+// last two apply to a zone: each of its aHosts hosts enforces an equal part, rounded up. Not
+// thread-safe.
 //
 //   SubtreeLimiter limiter(clock, 3);
 //   if (auto refusal = limiter.Enter(policy, promptTokens)) ...
-//   limiter.Leave(policy);   // After an Enter() without refusal.
+//   limiter.Leave(policy);   // When the request ends, if Enter() did not refuse it.
 class SubtreeLimiter
 {
 public:
@@ -33,13 +34,14 @@
   struct Team
   {
     std::uint64_t running = 0;
-    // Requests that may come now; at most one second's worth.
+    // Requests that are allowed at refilledAt; at most those of one second.
     double allowance = 0;
-    MonotonicTime refilled;
+    MonotonicTime refilledAt;
   };
 
-  double Part(std::uint64_t aLimit) const;
-  // Takes a request out of the allowance; returns the wait for the next when there is none.
+  // Returns this host's part of a limit.
+  double HostPart(std::uint64_t aLimit) const;
+  // Deducts one request from the allowance; returns the time to wait if it is used up.
   std::optional<Duration> SpendAllowance(Team& aTeam, std::uint64_t aPerSecond) const;
 
   const Clock& clock;
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -172,7 +172,7 @@
   void TakeSum(const SendsNews& aNews, MonotonicTime aNow);
 
   // Forgets control hosts that have told nothing since a time.
-  void ForgetSumsBefore(MonotonicTime aTime) { this->told.ForgetBefore(aTime); }
+  void ForgetSumsBefore(MonotonicTime aTime) { this->told.RemoveSilentSince(aTime); }
 
   // Returns what all hosts are believed to have at the target, this one among them.
   LoadCounts LoadOf(const TargetId& aTarget) const;
--- a/include/damasklink/coordination/TargetRateLimiter.h
+++ b/include/damasklink/coordination/TargetRateLimiter.h
@@ -1,15 +1,15 @@
-// What an entry host may send to targets that name a limit or are cold.
+// Limits the requests that an entry host sends to targets with a rate limit and to cold targets.
 //
-//   TargetRateLimiter limits(clock, ownHost);
-//   if (limits.MaySend(target)) {
-//     limits.OnSent(target);
+//   TargetRateLimiter limiter(clock, ownHost);
+//   if (limiter.MaySend(target)) {
+//     limiter.OnSent(target);
 //   }
-//   limits.OnAnswer(record, facts.limit, sentAt);   // Hears of limits.
-//   limits.OnCold(record, record.coldFor);          // Hears that a target is cold.
-//   limits.Take(told);                              // Shares, from the control host.
+//   limiter.OnAnswer(record, facts.limit, sentAt);   // The limit in an answer of the target.
+//   limiter.OnCold(record, record.coldFor);          // The target is cold.
+//   limiter.SetShares(shares);                       // From the control host.
 //
-// The share of a limit that a host has comes from the control host (RateLimitAllocator). A host
-// that hears of a limit, or of a cold target, before it has a share sends nothing there. Not
+// The control host assigns each host its share of a limit (RateLimitAllocator). A host that learns
+// of a limit or of a cold target before it has a share sends nothing to the target. Not
 // thread-safe.
 #pragma once
 
@@ -25,8 +25,8 @@
 class TargetRateLimiter
 {
 public:
-  // A report is on its way to the control host for so long: until then a word of the control host
-  // that does not contain it is older than the report.
+  // Time in which a report may be in flight to the control host. Until then, shares that do not
+  // contain the reported limit may be older than the report.
   static constexpr Duration kReportInFlight = std::chrono::seconds(1);
 
   TargetRateLimiter(const Clock& aClock, const HostId& aSelf)
@@ -35,58 +35,62 @@
   {
   }
 
-  // Returns whether no target is known to name a limit or to be cold.
+  // Returns whether no target is known to have a limit or to be cold.
   bool IsEmpty() const { return this->entries.empty(); }
 
   bool MaySend(const TargetId& aTarget) const;
   void OnSent(const TargetId& aTarget);
 
-  // Returns how long until one of the targets may be sent a request by this host; nothing when it
-  // has a share of none.
+  // Returns the time until this host may send a request to one of the targets; nothing if it has no
+  // share of any of them.
   std::optional<Duration> TimeUntilPermit(const std::vector<TargetRecord>& aTargets) const;
 
-  // Takes what an answer to a request says, nothing where it names no limit. Only an answer to a
-  // request that was sent after the limit was known can lift it: an earlier one may be overtaken.
+  // Processes the limit in an answer of the target, empty if there is none. An answer without a
+  // limit lifts a known one only if its request was sent after the limit became known: answers may
+  // arrive out of order.
   void OnAnswer(const TargetRecord& aTarget,
                 const std::optional<RequestRate>& aLimit,
                 MonotonicTime aSentAt);
 
-  // The target bears what the shares allow for so long from now on, or for longer if that is known.
+  // The target is cold for aColdFor from now on, or longer if a later end is known. It accepts only
+  // what the shares allow until then.
   void OnCold(const TargetRecord& aTarget, Duration aColdFor);
 
-  // The target has started again: the limit was that of its earlier start.
+  // The target has restarted; the limit was that of its earlier incarnation.
   void OnRestart(const TargetId& aTarget) { this->entries.erase(aTarget); }
 
-  // Takes all limits and shares from the control host.
-  void Take(const std::vector<TargetLimit>& aTold);
+  // Replaces all limits and shares by those of the control host.
+  void SetShares(const std::vector<TargetLimit>& aShares);
 
-  // The next TakeReports() returns all limits that are known: another control host is told.
+  // Makes the next TakeReports() return all known limits, for a new hub.
   void ResendAll();
 
+  // Returns the limits that were set or lifted since the last call.
   std::vector<LimitReport> TakeReports();
 
 private:
   struct Entry
   {
     Incarnation incarnation;
-    // Nothing where the target names none.
+    // Empty if the target has no limit.
     std::optional<RequestRate> limit;
-    // When this host heard of the limit, and when from the target itself.
+    // When this host learned of the limit.
     MonotonicTime knownSince;
+    // When this host last queued a report of a limit that the target named.
     std::optional<MonotonicTime> reportedAt;
     MonotonicTime coldUntil;
-    // Requests that may be sent now, one at most: idle hosts must not save up.
     RequestRate share;
+    // Requests that may be sent at filledAt. At most one, so that idle hosts cannot send a burst.
     double permits = 0;
     MonotonicTime filledAt;
-    // This host has sent something there since it knows of the entry.
+    // Whether this host has sent a request to the target since the entry was added.
     bool sent = false;
   };
 
   bool IsCold(const Entry& aEntry) const;
   bool IsLimited(const Entry& aEntry) const;
   double PermitsNow(const Entry& aEntry) const;
-  void ApplyShare(const TargetLimit& aTold, Entry& aTo) const;
+  void ApplyShare(const TargetLimit& aShare, Entry& aTo) const;
   std::optional<Duration> TimeUntilPermit(const Entry& aEntry) const;
   void RemoveWarmTargets();
   void Report(const TargetId& aTarget, const Entry& aEntry, bool aLifted);
@@ -94,7 +98,7 @@
   const Clock& clock;
   const HostId& self;
   std::map<TargetId, Entry> entries;
-  std::map<TargetId, LimitReport> untold;
+  std::map<TargetId, LimitReport> pendingReports;
 };
 
 } // namespace damasklink
--- a/src/coordination/AdmissionQueue.cpp
+++ b/src/coordination/AdmissionQueue.cpp
@@ -8,27 +8,27 @@
 namespace {
 
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
-// Weight of the newest request in the mean time.
-constexpr int kMeanOver = 16;
-// Mean deviations that a request is given beyond the mean time.
+// Requests that the moving averages reach over; the newest one weighs 1 / kMeanWindow.
+constexpr int kMeanWindow = 16;
+// Mean deviations that are added to the mean time of a request.
 constexpr int kDeviations = 2;
-// What a workspace may owe for use elsewhere, in costs of one request: beyond it the past is
-// forgotten, so that no workspace waits for long after others have gone.
+// Limits how far use on other hosts moves a workspace's virtual finish time ahead, in requests of
+// cost 1. Without it a workspace would wait for long after the others have stopped sending.
 constexpr double kMaxDebt = 64;
-// Accounts beyond this number are cleared of those that owe nothing.
+// Beyond this number, accounts that are idle and not ahead of virtual time are removed.
 constexpr std::size_t kMaxIdleAccounts = 4096;
 
 Error
 FullError()
 {
-  return Error{ ErrorKind::Overloaded, "the queue is full", "come back after the time given" };
+  return Error{ ErrorKind::Overloaded, "the queue is full", "retry after the time given" };
 }
 
 } // namespace
 
-AdmissionQueue::AdmissionQueue(const Clock& aClock, std::size_t aMostWaiting)
+AdmissionQueue::AdmissionQueue(const Clock& aClock, std::size_t aMaxWaiting)
   : clock(aClock)
-  , mostWaiting(aMostWaiting)
+  , maxWaiting(aMaxWaiting)
 {
 }
 
@@ -48,10 +48,10 @@
     this->RefuseAsTooLate(id, wait);
     return id;
   }
-  if (this->waiting >= this->mostWaiting) {
+  if (this->waiting >= this->maxWaiting) {
     this->EvictFor(aRequest);
   }
-  if (this->waiting >= this->mostWaiting) {
+  if (this->waiting >= this->maxWaiting) {
     this->Refuse(id, FullError(), wait);
     return id;
   }
@@ -64,7 +64,7 @@
                                 const AdmissionRequest& aRequest,
                                 Duration aWait) const
 {
-  // A request that is cut off at its deadline wastes what it used, so the slower ones count too.
+  // A request that is cut off at its deadline wastes capacity, so the estimate covers slower ones.
   const Duration needed = aPool.meanTime + kDeviations * aPool.meanDeviation;
   return this->clock.MonotonicNow() + aWait + needed <= aRequest.deadline;
 }
@@ -75,29 +75,27 @@
   this->Refuse(aId,
                Error{ ErrorKind::Overloaded,
                       "the deadline cannot be met now",
-                      "come back after the time given, or allow more time" },
+                      "retry after the time given, or set a later deadline" },
                aRetryAfter);
 }
 
-// Takes the last request from the workspace that waits with the most for its weight, unless that
-// is the newcomer's own.
 void
 AdmissionQueue::EvictFor(const AdmissionRequest& aRequest)
 {
   const auto load = [](const Account& aAccount) {
     return static_cast<double>(aAccount.waiting) / static_cast<double>(aAccount.share);
   };
-  const auto greediest = std::max_element(
+  const auto largest = std::max_element(
     this->accounts.begin(), this->accounts.end(), [&](const auto& aLeft, const auto& aRight) {
       return load(aLeft.second) < load(aRight.second);
     });
   Account own = this->accounts.at(aRequest.workspace);
   ++own.waiting;
-  if (load(greediest->second) <= load(own)) {
+  if (load(largest->second) <= load(own)) {
     return;
   }
   for (auto& [name, pool] : this->pools) {
-    const auto found = pool.waiting.find(greediest->first);
+    const auto found = pool.waiting.find(largest->first);
     if (found == pool.waiting.end()) {
       continue;
     }
@@ -115,10 +113,10 @@
   ++this->waiting;
   ++this->accounts[aQueued.request.workspace].waiting;
   std::deque<Queued>& queue = aPool.waiting[aQueued.request.workspace];
-  const auto later = [&](const Queued& aOther) {
+  const auto hasLowerPriority = [&](const Queued& aOther) {
     return aOther.request.priority > aQueued.request.priority;
   };
-  const auto place = std::find_if(queue.begin(), queue.end(), later);
+  const auto place = std::find_if(queue.begin(), queue.end(), hasLowerPriority);
   queue.insert(place, std::move(aQueued));
 }
 
@@ -147,9 +145,9 @@
 {
   const AdmissionRequest& request = aQueued.request;
   Account& account = this->accounts[request.workspace];
-  this->virtualTime = std::max(this->virtualTime, this->StartOf(request.workspace));
-  account.paidUntil =
-    this->StartOf(request.workspace) + request.cost / static_cast<double>(account.share);
+  this->virtualTime = std::max(this->virtualTime, this->StartTimeOf(request.workspace));
+  account.finishTime =
+    this->StartTimeOf(request.workspace) + request.cost / static_cast<double>(account.share);
   this->localUse[request.workspace] += request.cost;
   ++aPool.running;
   this->running[aQueued.id] = Running{ request.pool, this->clock.MonotonicNow() };
@@ -168,16 +166,16 @@
 {
   return std::min_element(
     aPool.waiting.begin(), aPool.waiting.end(), [&](const auto& aLeft, const auto& aRight) {
-      return this->StartOf(aLeft.first) < this->StartOf(aRight.first);
+      return this->StartTimeOf(aLeft.first) < this->StartTimeOf(aRight.first);
     });
 }
 
 double
-AdmissionQueue::StartOf(const WorkspaceId& aWorkspace) const
+AdmissionQueue::StartTimeOf(const WorkspaceId& aWorkspace) const
 {
   const auto found = this->accounts.find(aWorkspace);
-  const double paidUntil = found == this->accounts.end() ? 0 : found->second.paidUntil;
-  return std::max(this->virtualTime, paidUntil);
+  const double finishTime = found == this->accounts.end() ? 0 : found->second.finishTime;
+  return std::max(this->virtualTime, finishTime);
 }
 
 bool
@@ -217,9 +215,9 @@
   if (aAnswered && pool.meanTime == Duration(0)) {
     pool.meanTime = took;
   } else if (aAnswered) {
-    const Duration distance = took > pool.meanTime ? took - pool.meanTime : pool.meanTime - took;
-    pool.meanDeviation += (distance - pool.meanDeviation) / kMeanOver;
-    pool.meanTime += (took - pool.meanTime) / kMeanOver;
+    const Duration deviation = took > pool.meanTime ? took - pool.meanTime : pool.meanTime - took;
+    pool.meanDeviation += (deviation - pool.meanDeviation) / kMeanWindow;
+    pool.meanTime += (took - pool.meanTime) / kMeanWindow;
   }
   this->AdmitWaiting(pool);
 }
@@ -236,8 +234,9 @@
 AdmissionQueue::AddRemoteUse(const WorkspaceId& aWorkspace, double aCost)
 {
   Account& account = this->accounts[aWorkspace];
-  const double paidUntil = this->StartOf(aWorkspace) + aCost / static_cast<double>(account.share);
-  account.paidUntil = std::min(paidUntil, this->virtualTime + kMaxDebt);
+  const double finishTime =
+    this->StartTimeOf(aWorkspace) + aCost / static_cast<double>(account.share);
+  account.finishTime = std::min(finishTime, this->virtualTime + kMaxDebt);
 }
 
 std::vector<AdmissionDecision>
@@ -251,7 +250,7 @@
 {
   if (this->accounts.size() > kMaxIdleAccounts) {
     std::erase_if(this->accounts, [&](const auto& aItem) {
-      return aItem.second.waiting == 0 && aItem.second.paidUntil <= this->virtualTime;
+      return aItem.second.waiting == 0 && aItem.second.finishTime <= this->virtualTime;
     });
   }
   return std::exchange(this->localUse, {});
@@ -268,7 +267,7 @@
   if (pool.running < pool.capacity || pool.capacity == 0) {
     return Duration(0);
   }
-  // The workspace's part of the pool is its share among those that wait.
+  // A workspace gets the part of the pool that its share has among the waiting workspaces.
   std::size_t ahead = 1;
   double shares = static_cast<double>(aRequest.share);
   for (const auto& [workspace, queue] : pool.waiting) {
@@ -279,8 +278,8 @@
     }
   }
   const double part = static_cast<double>(aRequest.share) / shares;
-  const double turns = static_cast<double>(ahead) / (static_cast<double>(pool.capacity) * part);
-  return Duration(static_cast<std::int64_t>(static_cast<double>(pool.meanTime.count()) * turns));
+  const double rounds = static_cast<double>(ahead) / (static_cast<double>(pool.capacity) * part);
+  return Duration(static_cast<std::int64_t>(static_cast<double>(pool.meanTime.count()) * rounds));
 }
 
 } // namespace damasklink
--- a/src/coordination/BurnReport.cpp
+++ b/src/coordination/BurnReport.cpp
@@ -5,17 +5,17 @@
 namespace damasklink {
 namespace {
 
-// Positions in kBurnWindows.
+// Indices of kBurnWindows.
 constexpr std::size_t kFiveMinutes = 0;
 constexpr std::size_t kOneHour = 1;
 constexpr std::size_t kSixHours = 2;
 
 void
-AddCounts(WindowCounts& aTo, const WindowCounts& aMore)
+AddCounts(WindowCounts& aTo, const WindowCounts& aCounts)
 {
   for (std::size_t index = 0; index < aTo.size(); ++index) {
-    aTo.at(index).good += aMore.at(index).good;
-    aTo.at(index).total += aMore.at(index).total;
+    aTo.at(index).good += aCounts.at(index).good;
+    aTo.at(index).total += aCounts.at(index).total;
   }
 }
 
@@ -95,8 +95,8 @@
   std::map<WorkspaceId, WorkspaceBurn> rows;
   for (const HostBurn& host : aHosts) {
     for (const WorkspaceBurn& burn : host.workspaces) {
-      auto [row, fresh] = rows.try_emplace(burn.workspace, burn);
-      if (fresh) {
+      auto [row, isNew] = rows.try_emplace(burn.workspace, burn);
+      if (isNew) {
         continue;
       }
       AddCounts(row->second.windows, burn.windows);
--- a/src/coordination/ClaimRegistry.cpp
+++ b/src/coordination/ClaimRegistry.cpp
@@ -8,16 +8,17 @@
 namespace damasklink {
 namespace {
 
-// How far the clocks of hosts may lie apart. Births are compared with the leader's clock.
+// Largest difference between the clocks of hosts. Creation times of keys are compared
+// with the leader's clock.
 constexpr Duration kMaxClockSkew = std::chrono::seconds(60);
-// Entries forgotten with each command, so that no command takes long.
+// Limits the work of one command.
 constexpr std::size_t kMaxExpiredPerCommand = 64;
 
 ClaimName
 NameOf(const ClaimCommand& aCommand)
 {
   const std::string& workspace = aCommand.workspace.Value();
-  // The length keeps "ab"+"c" and "a"+"bc" apart.
+  // The length prefix distinguishes "ab"+"c" from "a"+"bc".
   return PackedDigestOf(Concat(workspace.size(), "/", workspace, aCommand.key.Value()));
 }
 
@@ -60,7 +61,7 @@
 ClaimRegistry::Apply(const ApplyContext& aContext, const ClaimCommand& aCommand)
 {
   this->UpdateIncarnation(aContext);
-  this->ForgetExpired(aContext.proposedAt);
+  this->RemoveExpired(aContext.proposedAt);
   if (aCommand.verb == ClaimVerb::Claim) {
     return this->Claim(aContext, aCommand);
   }
@@ -71,11 +72,11 @@
 ClaimRegistry::Claim(const ApplyContext& aContext, const ClaimCommand& aCommand)
 {
   const WallTime now = aContext.proposedAt;
-  if (aCommand.birth) {
-    if (*aCommand.birth > After(now, kMaxClockSkew)) {
+  if (aCommand.createdAt) {
+    if (*aCommand.createdAt > After(now, kMaxClockSkew)) {
       return Reply(ClaimVerdict::CreatedInFuture);
     }
-    if (now >= After(*aCommand.birth, aCommand.retention)) {
+    if (now >= After(*aCommand.createdAt, aCommand.retention)) {
       return Reply(ClaimVerdict::Expired);
     }
   }
@@ -89,7 +90,7 @@
 ClaimReply
 ClaimRegistry::ClaimNew(const ApplyContext& aContext, const ClaimCommand& aCommand)
 {
-  if (aCommand.birth && *aCommand.birth <= this->header.forgottenBirth) {
+  if (aCommand.createdAt && *aCommand.createdAt <= this->header.latestRemovedCreation) {
     return Reply(ClaimVerdict::Expired);
   }
   if (aContext.incarnation == Incarnation()) {
@@ -116,18 +117,18 @@
   if (entry.bodyKnown && entry.body != TagOf(aCommand.body.Value())) {
     return Reply(ClaimVerdict::BodyMismatch);
   }
-  const bool own = entry.attempt == TagOf(aCommand.attempt.Value());
+  const bool sameAttempt = entry.attempt == TagOf(aCommand.attempt.Value());
   const bool leased = aContext.proposedAt < entry.leaseEnd;
   switch (entry.state) {
     case ClaimState::Released:
-      return own ? Reply(ClaimVerdict::Withdrawn) : this->Grant(aContext, aCommand, aFound);
+      return sameAttempt ? Reply(ClaimVerdict::Withdrawn) : this->Grant(aContext, aCommand, aFound);
     case ClaimState::Finished:
       if (entry.answer == nullptr) {
         return Reply(ClaimVerdict::AnswerDropped);
       }
       return ClaimReply{ ClaimVerdict::Kept, Duration(0), entry.answer->answer };
     case ClaimState::Running:
-      if (own) {
+      if (sameAttempt) {
         return Reply(ClaimVerdict::Granted);
       }
       if (leased) {
@@ -152,8 +153,8 @@
   entry.bodyKnown = true;
   entry.attempt = TagOf(aCommand.attempt.Value());
   entry.leaseEnd = After(now, aCommand.lease);
-  entry.birth = aCommand.birth.value_or(WallTime());
-  this->Extend(aEntry, After(aCommand.birth.value_or(now), aCommand.retention));
+  entry.createdAt = aCommand.createdAt.value_or(WallTime());
+  this->Extend(aEntry, After(aCommand.createdAt.value_or(now), aCommand.retention));
   return Reply(ClaimVerdict::Granted);
 }
 
@@ -166,9 +167,9 @@
     return Reply(ClaimVerdict::Recorded);
   }
   ClaimEntry& entry = found->second;
-  const bool own = entry.attempt == TagOf(aCommand.attempt.Value());
+  const bool sameAttempt = entry.attempt == TagOf(aCommand.attempt.Value());
   const bool open = entry.state == ClaimState::Running || entry.state == ClaimState::Unknown;
-  if (!own || !open) {
+  if (!sameAttempt || !open) {
     return Reply(ClaimVerdict::Recorded);
   }
   if (aCommand.verb == ClaimVerb::Finish) {
@@ -182,8 +183,6 @@
   return Reply(ClaimVerdict::Recorded);
 }
 
-// A release that overtakes its claim is remembered, so that the claim cannot hold the key for
-// nobody when it comes at last.
 void
 ClaimRegistry::RecordEarlyRelease(const ApplyContext& aContext, const ClaimCommand& aCommand)
 {
@@ -195,14 +194,14 @@
     return;
   }
   const WallTime now = aContext.proposedAt;
-  const WallTime expiry = After(aCommand.birth.value_or(now), aCommand.retention);
+  const WallTime expiry = After(aCommand.createdAt.value_or(now), aCommand.retention);
   if (this->MayPredateReformation(aContext, aCommand) || now >= expiry) {
     return;
   }
   const auto entry = this->entries.try_emplace(NameOf(aCommand)).first;
   entry->second.state = ClaimState::Released;
   entry->second.attempt = TagOf(aCommand.attempt.Value());
-  entry->second.birth = aCommand.birth.value_or(WallTime());
+  entry->second.createdAt = aCommand.createdAt.value_or(WallTime());
   this->Extend(entry, expiry);
 }
 
@@ -236,17 +235,17 @@
 ClaimRegistry::Extend(Entries::iterator aEntry, WallTime aExpiry)
 {
   ClaimEntry& entry = aEntry->second;
-  const bool fresh = entry.expiry == WallTime();
+  const bool isNew = entry.expiry == WallTime();
   const std::int64_t before = SecondOf(entry.expiry);
   entry.expiry = std::max(entry.expiry, aExpiry);
   const std::int64_t after = SecondOf(entry.expiry);
-  if (fresh || after != before) {
+  if (isNew || after != before) {
     this->expiries[after].push_back(aEntry);
   }
 }
 
 void
-ClaimRegistry::ForgetExpired(WallTime aNow)
+ClaimRegistry::RemoveExpired(WallTime aNow)
 {
   const std::int64_t now = SecondOf(aNow);
   std::size_t left = kMaxExpiredPerCommand;
@@ -257,9 +256,10 @@
       const auto entry = ending.back();
       ending.pop_back();
       --left;
-      // One that was extended stands in a later second as well.
+      // An extended entry is also listed under a later second.
       if (SecondOf(entry->second.expiry) == second) {
-        this->header.forgottenBirth = std::max(this->header.forgottenBirth, entry->second.birth);
+        this->header.latestRemovedCreation =
+          std::max(this->header.latestRemovedCreation, entry->second.createdAt);
         this->DropAnswer(entry);
         this->entries.erase(entry);
       }
@@ -288,8 +288,8 @@
     return false;
   }
   const WallTime reformed = *this->header.reformedAt;
-  if (aCommand.birth) {
-    return *aCommand.birth <= After(reformed, kMaxClockSkew);
+  if (aCommand.createdAt) {
+    return *aCommand.createdAt <= After(reformed, kMaxClockSkew);
   }
   return aContext.proposedAt < After(reformed, aCommand.retention);
 }
--- a/src/coordination/ConcurrencyLimit.cpp
+++ b/src/coordination/ConcurrencyLimit.cpp
@@ -5,15 +5,19 @@
 namespace damasklink {
 namespace {
 
+// The limit is multiplied by these on a refusal and on slow first tokens.
 constexpr double kRefusalFactor = 0.8;
 constexpr double kSlownessFactor = 0.95;
-// What the mean may exceed the usual by before it counts as slow, as a part of the usual.
+// Recent first tokens are slow when their mean exceeds the baseline by more than baseline /
+// kSlackDivisor.
 constexpr int kSlackDivisor = 32;
-constexpr int kMeanOver = 8;
+// Weight of the newest first token in the mean is 1 / kMeanWindow.
+constexpr int kMeanWindow = 8;
+// With each first token the baseline rises by baseline / kDriftDivisor.
 constexpr int kDriftDivisor = 50'000;
-// When so small a part of the limit does not make answers faster, their slowness is no queue.
+// When answers are still slow below this part of the limit, a queue is not the cause.
 constexpr double kMinQueuePart = 0.5;
-// The limit grows only while it is nearly used.
+// The limit grows only while at least this part of it is used.
 constexpr double kInUsePart = 0.75;
 
 } // namespace
@@ -21,14 +25,14 @@
 void
 ConcurrencyLimit::SetSlots(std::uint64_t aSlots)
 {
-  this->most = aSlots == 0 ? kMaxLimit : std::min(kMaxLimit, static_cast<double>(aSlots));
-  // What the target declares is the estimate until its answers tell otherwise: growing by one a
-  // round from a low start would refuse a burst that it could serve.
-  if (aSlots > 0 && !this->told) {
-    this->told = true;
-    this->limit = this->most;
+  this->maximum = aSlots == 0 ? kMaxLimit : std::min(kMaxLimit, static_cast<double>(aSlots));
+  // Start at the declared slots. Growing by one per round from a low start would refuse a burst
+  // that the target could serve.
+  if (aSlots > 0 && !this->slotsDeclared) {
+    this->slotsDeclared = true;
+    this->limit = this->maximum;
   }
-  this->limit = std::min(this->limit, this->most);
+  this->limit = std::min(this->limit, this->maximum);
 }
 
 void
@@ -36,40 +40,40 @@
 {
   const bool inUse = static_cast<double>(this->running) >= kInUsePart * this->limit;
   this->running -= this->running > 0 ? 1 : 0;
-  this->quiet -= this->quiet > 0 ? 1 : 0;
+  this->cooldown -= this->cooldown > 0 ? 1 : 0;
   if (aLoad == LoadSignal::Failed) {
     return;
   }
   const bool slow = aLoad == LoadSignal::Served && this->IsSlow(aFirstToken);
   if (aLoad == LoadSignal::Overloaded || slow) {
-    if (this->quiet == 0) {
+    if (this->cooldown == 0) {
       this->limit = std::max(kMinLimit, this->limit * (slow ? kSlownessFactor : kRefusalFactor));
-      this->quiet = this->running;
+      this->cooldown = this->running;
     }
     return;
   }
   if (inUse) {
-    this->limit = std::min(this->most, this->limit + 1 / this->limit);
+    this->limit = std::min(this->maximum, this->limit + 1 / this->limit);
   }
 }
 
 bool
 ConcurrencyLimit::IsSlow(Duration aFirstToken)
 {
-  if (this->usual == Duration(0)) {
-    this->recent = aFirstToken;
-    this->usual = aFirstToken;
+  if (this->baseline == Duration(0)) {
+    this->recentMean = aFirstToken;
+    this->baseline = aFirstToken;
     return false;
   }
-  this->recent += (aFirstToken - this->recent) / kMeanOver;
-  this->usual = std::min(this->recent, this->usual + this->usual / kDriftDivisor);
-  if (this->recent <= this->usual + this->usual / kSlackDivisor) {
+  this->recentMean += (aFirstToken - this->recentMean) / kMeanWindow;
+  this->baseline = std::min(this->recentMean, this->baseline + this->baseline / kDriftDivisor);
+  if (this->recentMean <= this->baseline + this->baseline / kSlackDivisor) {
     this->limitAtSlowdown = 0;
     return false;
   }
   this->limitAtSlowdown = std::max(this->limitAtSlowdown, this->limit);
   if (this->limit < kMinQueuePart * this->limitAtSlowdown) {
-    this->usual = this->recent;
+    this->baseline = this->recentMean;
     this->limitAtSlowdown = 0;
     return false;
   }
--- a/src/coordination/CrashFilter.cpp
+++ b/src/coordination/CrashFilter.cpp
@@ -11,54 +11,57 @@
   if (this->reports.size() >= kMaxReports) {
     this->reports.erase(this->reports.begin());
   }
-  this->reports.push_back(OwnReport{ std::move(aReport), this->clock.MonotonicNow(), false });
+  this->reports.push_back(PendingReport{ std::move(aReport), this->clock.MonotonicNow(), false });
 }
 
 void
 CrashFilter::OnSuccessfulRun(const SoundRun& aRun)
 {
-  const auto isOfRun = [&](const OwnReport& aOwn) {
-    return aOwn.report.request == aRun.request && aOwn.report.service == aRun.service;
+  const auto isSameRequest = [&](const PendingReport& aPending) {
+    return aPending.report.request == aRun.request && aPending.report.service == aRun.service;
   };
-  const bool wasReported = std::erase_if(this->reports, isOfRun) > 0;
+  const bool wasReported = std::erase_if(this->reports, isSameRequest) > 0;
   if (wasReported || this->watched.contains(aRun.request)) {
-    this->sound.insert(aRun);
+    this->successfulRuns.insert(aRun);
   }
 }
 
 void
-CrashFilter::Take(const HostId& aFrom, const CrashingRequests& aTold)
+CrashFilter::SetVerdicts(const HostId& aFrom, const CrashingRequests& aVerdicts)
 {
-  std::erase_if(this->words, [](const auto& aItem) { return !aItem.second.connected; });
-  this->words[aFrom] = Word{ aTold, true };
-  this->Merge();
+  std::erase_if(this->verdicts, [](const auto& aItem) { return !aItem.second.connected; });
+  this->verdicts[aFrom] = Verdicts{ aVerdicts, true };
+  this->MergeVerdicts();
 }
 
 void
 CrashFilter::OnLost(const HostId& aHost)
 {
-  const auto found = this->words.find(aHost);
-  if (found == this->words.end()) {
+  const auto found = this->verdicts.find(aHost);
+  if (found == this->verdicts.end()) {
     return;
   }
   found->second.connected = false;
-  const bool othersSpeak = std::any_of(this->words.begin(),
-                                       this->words.end(),
-                                       [](const auto& aItem) { return aItem.second.connected; });
-  if (othersSpeak) {
-    this->words.erase(found);
-    this->Merge();
+  const bool othersConnected =
+    std::any_of(this->verdicts.begin(), this->verdicts.end(), [](const auto& aItem) {
+      return aItem.second.connected;
+    });
+  if (othersConnected) {
+    this->verdicts.erase(found);
+    this->MergeVerdicts();
   }
 }
 
 void
-CrashFilter::Merge()
+CrashFilter::MergeVerdicts()
 {
   this->refused.clear();
   this->watched.clear();
-  for (const auto& [host, word] : this->words) {
-    this->refused.insert(word.told.refused.begin(), word.told.refused.end());
-    this->watched.insert(word.told.suspected.begin(), word.told.suspected.end());
+  for (const auto& [host, hostVerdicts] : this->verdicts) {
+    this->refused.insert(hostVerdicts.requests.refused.begin(),
+                         hostVerdicts.requests.refused.end());
+    this->watched.insert(hostVerdicts.requests.suspected.begin(),
+                         hostVerdicts.requests.suspected.end());
   }
   this->watched.insert(this->refused.begin(), this->refused.end());
 }
@@ -66,8 +69,8 @@
 void
 CrashFilter::ResendAll()
 {
-  for (OwnReport& own : this->reports) {
-    own.told = false;
+  for (PendingReport& pending : this->reports) {
+    pending.sent = false;
   }
 }
 
@@ -75,21 +78,22 @@
 CrashFilter::TakeReports()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  std::erase_if(this->reports,
-                [&](const OwnReport& aOwn) { return now - aOwn.at >= kReportLifetime; });
-  std::vector<CrashReport> untold;
-  for (OwnReport& own : this->reports) {
-    if (!std::exchange(own.told, true)) {
-      untold.push_back(own.report);
+  std::erase_if(this->reports, [&](const PendingReport& aPending) {
+    return now - aPending.reportedAt >= kReportLifetime;
+  });
+  std::vector<CrashReport> unsent;
+  for (PendingReport& pending : this->reports) {
+    if (!std::exchange(pending.sent, true)) {
+      unsent.push_back(pending.report);
     }
   }
-  return untold;
+  return unsent;
 }
 
 std::vector<SoundRun>
 CrashFilter::TakeSuccessfulRuns()
 {
-  const std::set<SoundRun> taken = std::exchange(this->sound, {});
+  const std::set<SoundRun> taken = std::exchange(this->successfulRuns, {});
   return std::vector<SoundRun>(taken.begin(), taken.end());
 }
 
--- a/src/coordination/CrashRegistry.cpp
+++ b/src/coordination/CrashRegistry.cpp
@@ -6,44 +6,44 @@
 namespace damasklink {
 
 void
-CrashRegistry::Take(const std::vector<CrashReport>& aReports)
+CrashRegistry::Add(const std::vector<CrashReport>& aReports)
 {
   for (const CrashReport& report : aReports) {
     if (!this->entries.contains(report.request) && this->entries.size() >= kMaxRequests) {
-      this->MakeRoom();
+      this->EvictOne();
     }
     Entry& entry = this->entries[report.request];
     entry.workspace = report.workspace;
-    const bool counts = entry.ended.size() < kCrashesToRefuse;
-    const TargetStart start{ report.target, report.incarnation };
-    if (counts && entry.ended.emplace(start, report.service).second) {
+    const bool counts = entry.crashed.size() < kCrashesToRefuse;
+    const TargetIncarnation start{ report.target, report.incarnation };
+    if (counts && entry.crashed.emplace(start, report.service).second) {
       entry.lastCrash = this->clock.MonotonicNow();
     }
   }
 }
 
-// Forgets the request with the fewest crashes, the oldest of these: one that is sent once only must
-// not push out those that come again.
+// Evicts the request with the fewest crashes, and the oldest among these: requests that are sent
+// once must not evict those that are repeated.
 void
-CrashRegistry::MakeRoom()
+CrashRegistry::EvictOne()
 {
   const auto least = std::min_element(
     this->entries.begin(), this->entries.end(), [](const auto& aLeft, const auto& aRight) {
-      return std::tuple(aLeft.second.ended.size(), aLeft.second.lastCrash) <
-             std::tuple(aRight.second.ended.size(), aRight.second.lastCrash);
+      return std::tuple(aLeft.second.crashed.size(), aLeft.second.lastCrash) <
+             std::tuple(aRight.second.crashed.size(), aRight.second.lastCrash);
     });
   this->entries.erase(least);
 }
 
 void
-CrashRegistry::TakeSuccessfulRuns(const std::vector<SoundRun>& aRuns)
+CrashRegistry::AddSuccessfulRuns(const std::vector<SoundRun>& aRuns)
 {
   for (const SoundRun& run : aRuns) {
     const auto found = this->entries.find(run.request);
     if (found != this->entries.end()) {
-      std::erase_if(found->second.ended,
+      std::erase_if(found->second.crashed,
                     [&](const auto& aItem) { return aItem.second == run.service; });
-      if (!found->second.ended.empty()) {
+      if (!found->second.crashed.empty()) {
         continue;
       }
       this->entries.erase(found);
@@ -59,7 +59,7 @@
 {
   for (const auto& [request, facts] : this->refused) {
     if (!aRefused.contains(request)) {
-      // Released: it has to crash as many targets again.
+      // Released: the count starts again from zero.
       this->entries.erase(request);
       this->cleared.erase(request);
     }
@@ -70,27 +70,28 @@
 bool
 CrashRegistry::ShouldRefuse(const Entry& aEntry) const
 {
-  return aEntry.ended.size() >= kCrashesToRefuse &&
+  return aEntry.crashed.size() >= kCrashesToRefuse &&
          this->clock.MonotonicNow() - aEntry.lastCrash >= kSettleTime;
 }
 
 CrashingRequests
 CrashRegistry::Verdicts() const
 {
-  CrashingRequests told;
+  CrashingRequests verdicts;
   for (const auto& [request, facts] : this->refused) {
     if (!this->cleared.contains(request)) {
-      told.refused.insert(request);
+      verdicts.refused.insert(request);
     }
   }
   for (const auto& [request, entry] : this->entries) {
     if (this->ShouldRefuse(entry)) {
-      told.refused.insert(request);
-    } else if (entry.ended.size() >= kCrashesToSuspect && told.suspected.size() < kMaxSuspects) {
-      told.suspected.insert(request);
+      verdicts.refused.insert(request);
+    } else if (entry.crashed.size() >= kCrashesToSuspect &&
+               verdicts.suspected.size() < kMaxSuspects) {
+      verdicts.suspected.insert(request);
     }
   }
-  return told;
+  return verdicts;
 }
 
 std::vector<RefuseRequest>
@@ -123,7 +124,7 @@
 {
   std::vector<CrashReport> reports;
   for (const auto& [request, entry] : this->entries) {
-    for (const auto& [start, service] : entry.ended) {
+    for (const auto& [start, service] : entry.crashed) {
       reports.push_back(
         CrashReport{ request, entry.workspace, service, start.first, start.second });
     }
--- a/src/coordination/DispatchRecord.cpp
+++ b/src/coordination/DispatchRecord.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 bool
-MayMove(AttemptStage aFrom, AttemptStage aTo)
+IsValidTransition(AttemptStage aFrom, AttemptStage aTo)
 {
   switch (aFrom) {
     case AttemptStage::Prepared:
@@ -54,7 +54,7 @@
 DispatchRecord::Advance(AttemptStage aStage)
 {
   AttemptStage& stage = this->attempts.back().stage;
-  if (MayMove(stage, aStage)) {
+  if (IsValidTransition(stage, aStage)) {
     stage = aStage;
   }
 }
--- a/src/coordination/IdempotencyKeys.cpp
+++ b/src/coordination/IdempotencyKeys.cpp
@@ -12,12 +12,12 @@
 namespace damasklink {
 namespace {
 
-// Marks minted keys; a caller's own key may not begin with it.
+// Prefix of minted keys; a caller's own key must not begin with it.
 constexpr std::string_view kMintedPrefix = "dk1~";
 constexpr std::size_t kChecksumDigits = 16;
-// Prefix, home, birth, random part, checksum.
+// Prefix, home zone, creation time, random part, checksum.
 constexpr std::size_t kMintedFields = 5;
-constexpr char kFieldBreak = '~';
+constexpr char kFieldSeparator = '~';
 
 std::string
 Checksum(const WorkspaceId& aWorkspace, std::string_view aBody)
@@ -28,7 +28,7 @@
 }
 
 auto
-BadKey(std::string_view aProblem)
+InvalidKey(std::string_view aProblem)
 {
   return Fail(ErrorKind::InvalidArgument,
               Concat("the idempotency key ", aProblem),
@@ -43,21 +43,21 @@
 }
 
 Result<KeyOrigin>
-ReadMinted(const WorkspaceId& aWorkspace, const std::string& aText)
+ReadMintedKey(const WorkspaceId& aWorkspace, const std::string& aText)
 {
-  const std::vector<std::string> fields = absl::StrSplit(aText, kFieldBreak);
+  const std::vector<std::string> fields = absl::StrSplit(aText, kFieldSeparator);
   if (fields.size() != kMintedFields || fields.back().size() != kChecksumDigits) {
-    return BadKey("is cut or mangled");
+    return InvalidKey("is truncated or damaged");
   }
   const std::string_view body = std::string_view(aText).substr(0, aText.size() - kChecksumDigits);
   std::uint64_t milliseconds = 0;
   const bool readable = absl::SimpleHexAtoi(fields[2], &milliseconds);
   if (!readable || fields.back() != Checksum(aWorkspace, body)) {
-    return BadKey("is mangled, or was minted for another workspace");
+    return InvalidKey("is damaged, or was minted for another workspace");
   }
   KeyOrigin origin;
   origin.home = ZoneId(fields[1]);
-  origin.birth = WallTime(std::chrono::milliseconds(milliseconds));
+  origin.createdAt = WallTime(std::chrono::milliseconds(milliseconds));
   return origin;
 }
 
@@ -66,15 +66,15 @@
 IdempotencyKey
 MintKey(const WorkspaceId& aWorkspace,
         const ZoneId& aHome,
-        WallTime aBirth,
+        WallTime aCreatedAt,
         std::string_view aRandom)
 {
   using Milliseconds = std::chrono::milliseconds;
-  const auto birth = std::chrono::duration_cast<Milliseconds>(aBirth.time_since_epoch());
+  const auto createdAt = std::chrono::duration_cast<Milliseconds>(aCreatedAt.time_since_epoch());
   const std::string body = absl::StrFormat("%s%s~%x~%s~",
                                            ForAbsl(kMintedPrefix),
                                            aHome.Value(),
-                                           static_cast<std::uint64_t>(birth.count()),
+                                           static_cast<std::uint64_t>(createdAt.count()),
                                            ForAbsl(aRandom));
   return IdempotencyKey(body + Checksum(aWorkspace, body));
 }
@@ -84,13 +84,13 @@
 {
   const std::string& text = aKey.Value();
   if (text.empty() || text.size() > kMaxKeyBytes) {
-    return BadKey("is empty or too long");
+    return InvalidKey("is empty or too long");
   }
   if (!std::all_of(text.begin(), text.end(), IsVisible)) {
-    return BadKey("holds a character that is not visible ASCII");
+    return InvalidKey("contains a character that is not visible ASCII");
   }
   if (text.starts_with(kMintedPrefix)) {
-    return ReadMinted(aWorkspace, text);
+    return ReadMintedKey(aWorkspace, text);
   }
   return KeyOrigin();
 }
--- a/src/coordination/InFlightLoadSum.cpp
+++ b/src/coordination/InFlightLoadSum.cpp
@@ -24,11 +24,11 @@
 }
 
 void
-InFlightLoadSum::Take(const SendsNews& aNews, MonotonicTime aNow)
+InFlightLoadSum::Update(const SendsNews& aReport, MonotonicTime aNow)
 {
-  Host& host = this->hosts[aNews.host];
-  host.heard = aNow;
-  for (const TargetSendsNow& sends : aNews.sends) {
+  Host& host = this->hosts[aReport.host];
+  host.reportedAt = aNow;
+  for (const TargetSendsNow& sends : aReport.sends) {
     const LoadCounts now{ sends.requests, sends.unread.Value(), sends.memory.Value() };
     LoadCounts& load = host.loads[sends.target];
     LoadCounts& sum = this->sums[sends.target];
@@ -45,7 +45,7 @@
 }
 
 void
-InFlightLoadSum::Drop(const Host& aHost)
+InFlightLoadSum::Subtract(const Host& aHost)
 {
   for (const auto& [target, load] : aHost.loads) {
     LoadCounts& sum = this->sums[target];
@@ -57,7 +57,7 @@
 }
 
 std::vector<TargetId>
-InFlightLoadSum::Forget(const HostId& aHost)
+InFlightLoadSum::Remove(const HostId& aHost)
 {
   std::vector<TargetId> targets;
   const auto found = this->hosts.find(aHost);
@@ -67,24 +67,24 @@
   for (const auto& [target, load] : found->second.loads) {
     targets.push_back(target);
   }
-  this->Drop(found->second);
+  this->Subtract(found->second);
   this->hosts.erase(found);
   return targets;
 }
 
 std::vector<TargetId>
-InFlightLoadSum::ForgetBefore(MonotonicTime aTime)
+InFlightLoadSum::RemoveSilentSince(MonotonicTime aTime)
 {
   std::vector<HostId> silent;
   for (const auto& [name, host] : this->hosts) {
-    if (host.heard < aTime) {
+    if (host.reportedAt < aTime) {
       silent.push_back(name);
     }
   }
   std::vector<TargetId> targets;
   for (const HostId& host : silent) {
-    const std::vector<TargetId> had = this->Forget(host);
-    targets.insert(targets.end(), had.begin(), had.end());
+    const std::vector<TargetId> removed = this->Remove(host);
+    targets.insert(targets.end(), removed.begin(), removed.end());
   }
   return targets;
 }
--- a/src/coordination/InterruptedRequests.cpp
+++ b/src/coordination/InterruptedRequests.cpp
@@ -5,22 +5,22 @@
 namespace damasklink {
 
 void
-InterruptedRequests::Forget()
+InterruptedRequests::RemoveExpired()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  while (!this->runs.empty() && now - this->runs.front().brokeAt > kSilenceWindow) {
-    this->runs.pop_front();
+  while (!this->requests.empty() && now - this->requests.front().interruptedAt > kSilenceWindow) {
+    this->requests.pop_front();
   }
 }
 
 void
-InterruptedRequests::Note(CrashReport aRun, const Endpoint& aAddress)
+InterruptedRequests::Add(CrashReport aReport, const Endpoint& aAddress)
 {
-  this->Forget();
-  if (this->runs.size() >= kMaxInterrupted) {
-    this->runs.pop_front();
+  this->RemoveExpired();
+  if (this->requests.size() >= kMaxInterrupted) {
+    this->requests.pop_front();
   }
-  this->runs.push_back(Run{ std::move(aRun), aAddress, this->clock.MonotonicNow() });
+  this->requests.push_back(Interrupted{ std::move(aReport), aAddress, this->clock.MonotonicNow() });
 }
 
 void
@@ -28,9 +28,9 @@
                                 Incarnation aIncarnation,
                                 MonotonicTime aSentAt)
 {
-  std::erase_if(this->runs, [&](const Run& aRun) {
-    return aRun.report.target == aTarget && aRun.report.incarnation == aIncarnation &&
-           aRun.brokeAt <= aSentAt;
+  std::erase_if(this->requests, [&](const Interrupted& aRequest) {
+    return aRequest.report.target == aTarget && aRequest.report.incarnation == aIncarnation &&
+           aRequest.interruptedAt <= aSentAt;
   });
 }
 
@@ -38,12 +38,12 @@
 std::vector<CrashReport>
 InterruptedRequests::Take(const Matches& aMatches)
 {
-  this->Forget();
+  this->RemoveExpired();
   std::vector<CrashReport> taken;
-  std::erase_if(this->runs, [&](const Run& aRun) {
-    const bool matches = aMatches(aRun);
+  std::erase_if(this->requests, [&](const Interrupted& aRequest) {
+    const bool matches = aMatches(aRequest);
     if (matches) {
-      taken.push_back(aRun.report);
+      taken.push_back(aRequest.report);
     }
     return matches;
   });
@@ -54,19 +54,20 @@
 InterruptedRequests::TakeConfirmedByStart(const TargetRecord& aStarted)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  return this->Take([&](const Run& aRun) {
-    const bool sameTarget = aRun.report.target == aStarted.id;
-    const bool earlier = sameTarget ? aRun.report.incarnation < aStarted.incarnation
-                                    : aRun.address == aStarted.endpoint;
-    return earlier && now - aRun.brokeAt <= kRestartWindow;
+  return this->Take([&](const Interrupted& aRequest) {
+    const bool sameTarget = aRequest.report.target == aStarted.id;
+    const bool earlier = sameTarget ? aRequest.report.incarnation < aStarted.incarnation
+                                    : aRequest.address == aStarted.endpoint;
+    return earlier && now - aRequest.interruptedAt <= kRestartWindow;
   });
 }
 
 std::vector<CrashReport>
 InterruptedRequests::TakeConfirmedBySilence(const TargetRecord& aTarget)
 {
-  return this->Take([&](const Run& aRun) {
-    return aRun.report.target == aTarget.id && aRun.report.incarnation == aTarget.incarnation;
+  return this->Take([&](const Interrupted& aRequest) {
+    return aRequest.report.target == aTarget.id &&
+           aRequest.report.incarnation == aTarget.incarnation;
   });
 }
 
--- a/src/coordination/LoadReportAggregator.cpp
+++ b/src/coordination/LoadReportAggregator.cpp
@@ -5,23 +5,23 @@
 namespace damasklink {
 
 void
-LoadReportAggregator::PendingUpdate::Add(const SendsNews& aNews)
+LoadReportAggregator::PendingUpdate::Add(const SendsNews& aReport)
 {
-  for (const TargetSendsNow& told : aNews.sends) {
-    std::vector<SizedPart>& parts = this->sends[told.target];
-    parts.insert(parts.end(), told.parts.begin(), told.parts.end());
+  for (const TargetSendsNow& entry : aReport.sends) {
+    std::vector<SizedPart>& parts = this->sends[entry.target];
+    parts.insert(parts.end(), entry.parts.begin(), entry.parts.end());
   }
-  for (const StoreExcess& told : aNews.excesses) {
-    StoreExcess& excess = this->excesses[told.store];
-    excess.store = told.store;
-    excess.count += told.count;
-    excess.total += told.total;
+  for (const StoreExcess& entry : aReport.excesses) {
+    StoreExcess& excess = this->excesses[entry.store];
+    excess.store = entry.store;
+    excess.count += entry.count;
+    excess.total += entry.total;
   }
-  for (const TargetFindings& told : aNews.findings) {
-    TargetFindings& found = this->findings[told.target];
-    found.target = told.target;
-    found.gone += told.gone;
-    found.back += told.back;
+  for (const TargetFindings& entry : aReport.findings) {
+    TargetFindings& finding = this->findings[entry.target];
+    finding.target = entry.target;
+    finding.gone += entry.gone;
+    finding.back += entry.back;
   }
 }
 
@@ -31,52 +31,52 @@
   for (auto& [store, excess] : std::exchange(this->excesses, {})) {
     aTo.excesses.push_back(std::move(excess));
   }
-  for (const auto& [target, found] : std::exchange(this->findings, {})) {
-    aTo.findings.push_back(found);
+  for (const auto& [target, finding] : std::exchange(this->findings, {})) {
+    aTo.findings.push_back(finding);
   }
 }
 
 void
-LoadReportAggregator::Take(const SendsNews& aNews, MonotonicTime aNow)
+LoadReportAggregator::Update(const SendsNews& aReport, MonotonicTime aNow)
 {
-  if (aNews.last) {
-    this->Forget(aNews.host);
+  if (aReport.last) {
+    this->Remove(aReport.host);
     return;
   }
-  this->publishers.insert(aNews.host);
-  this->sum.Take(aNews, aNow);
-  this->changes.Add(aNews);
-  this->totals.Add(aNews);
+  this->publishers.insert(aReport.host);
+  this->sum.Update(aReport, aNow);
+  this->changes.Add(aReport);
+  this->totals.Add(aReport);
 }
 
 void
-LoadReportAggregator::TakePeerSum(const SendsNews& aNews, MonotonicTime aNow)
+LoadReportAggregator::UpdatePeerSum(const SendsNews& aReport, MonotonicTime aNow)
 {
-  this->peerSums.Take(aNews, aNow);
-  this->totals.Add(aNews);
+  this->peerSums.Update(aReport, aNow);
+  this->totals.Add(aReport);
 }
 
 void
-LoadReportAggregator::Forget(const HostId& aHost)
+LoadReportAggregator::Remove(const HostId& aHost)
 {
   if (this->publishers.erase(aHost) == 0) {
     return;
   }
-  const std::vector<TargetId> targets = this->sum.Forget(aHost);
+  const std::vector<TargetId> targets = this->sum.Remove(aHost);
   for (const TargetId& target : targets) {
     this->changes.sends.try_emplace(target);
   }
-  this->MarkTotals(targets);
+  this->MarkTotalsChanged(targets);
 }
 
 void
 LoadReportAggregator::RemovePeersSilentSince(MonotonicTime aTime)
 {
-  this->MarkTotals(this->peerSums.ForgetBefore(aTime));
+  this->MarkTotalsChanged(this->peerSums.RemoveSilentSince(aTime));
 }
 
 void
-LoadReportAggregator::MarkTotals(const std::vector<TargetId>& aTargets)
+LoadReportAggregator::MarkTotalsChanged(const std::vector<TargetId>& aTargets)
 {
   for (const TargetId& target : aTargets) {
     this->totals.sends.try_emplace(target);
@@ -93,18 +93,18 @@
 
 namespace {
 
-// Moves what was not told yet into news in the name of aSelf; aLoadOf gives a target's figures now.
+// Moves the pending changes into a report from aSelf; aLoadOf returns the current load of a target.
 template<typename PendingUpdate, typename LoadOf>
 SendsNews
-TellAll(PendingUpdate& aUntold, const HostId& aSelf, LoadOf aLoadOf)
+DrainPending(PendingUpdate& aPending, const HostId& aSelf, LoadOf aLoadOf)
 {
-  SendsNews news;
-  news.host = aSelf;
-  for (auto& [target, parts] : std::exchange(aUntold.sends, {})) {
-    news.sends.push_back(ToInFlightLoad(target, aLoadOf(target), std::move(parts)));
+  SendsNews report;
+  report.host = aSelf;
+  for (auto& [target, parts] : std::exchange(aPending.sends, {})) {
+    report.sends.push_back(ToInFlightLoad(target, aLoadOf(target), std::move(parts)));
   }
-  aUntold.MoveExcessesAndFindings(news);
-  return news;
+  aPending.MoveExcessesAndFindings(report);
+  return report;
 }
 
 } // namespace
@@ -112,14 +112,14 @@
 SendsNews
 LoadReportAggregator::TakeChanges(const HostId& aSelf)
 {
-  return TellAll(
+  return DrainPending(
     this->changes, aSelf, [this](const TargetId& aTarget) { return this->sum.Of(aTarget); });
 }
 
 SendsNews
 LoadReportAggregator::TakeTotals(const HostId& aSelf)
 {
-  return TellAll(
+  return DrainPending(
     this->totals, aSelf, [this](const TargetId& aTarget) { return this->TotalOf(aTarget); });
 }
 
@@ -129,12 +129,12 @@
   std::set<TargetId> targets;
   this->sum.AddTargets(targets);
   this->peerSums.AddTargets(targets);
-  SendsNews news;
-  news.host = aSelf;
+  SendsNews report;
+  report.host = aSelf;
   for (const TargetId& target : targets) {
-    news.sends.push_back(ToInFlightLoad(target, this->TotalOf(target), {}));
+    report.sends.push_back(ToInFlightLoad(target, this->TotalOf(target), {}));
   }
-  return news;
+  return report;
 }
 
 } // namespace damasklink
--- a/src/coordination/RateLimitAllocator.cpp
+++ b/src/coordination/RateLimitAllocator.cpp
@@ -10,26 +10,27 @@
 
 struct RankedHost
 {
-  std::uint32_t number;
+  std::uint32_t hash;
   const HostId* host;
 };
 
-// Each host's name is hashed once, not once a target: shares are worked out many times a second,
-// and hundreds of hosts stand before scores of targets.
+// Hashes the name of each host once rather than once per target, since shares are computed many
+// times a second for hundreds of hosts and dozens of targets.
 std::vector<RankedHost>
-NumberHosts(const std::set<HostId>& aHosts)
+HashHosts(const std::set<HostId>& aHosts)
 {
-  std::vector<RankedHost> numbered;
-  numbered.reserve(aHosts.size());
+  std::vector<RankedHost> hashed;
+  hashed.reserve(aHosts.size());
   for (const HostId& host : aHosts) {
-    numbered.push_back(RankedHost{ ShortHash(host.Value()), &host });
+    hashed.push_back(RankedHost{ ShortHash(host.Value()), &host });
   }
-  return numbered;
+  return hashed;
 }
 
-// Mixes two hashes into one whose order says nothing of theirs; the same in all builds.
+// Mixes two hashes into one whose order does not depend on theirs. The result is the same in all
+// builds.
 std::uint32_t
-Mix(std::uint32_t aLeft, std::uint32_t aRight)
+MixHashes(std::uint32_t aLeft, std::uint32_t aRight)
 {
   std::uint64_t mixed = (static_cast<std::uint64_t>(aLeft) << 32U) | aRight;
   mixed = (mixed ^ (mixed >> 33U)) * 0xff51afd7ed558ccdU;
@@ -38,18 +39,17 @@
 }
 
 std::set<HostId>
-Choose(const TargetId& aTarget, const std::vector<RankedHost>& aHosts, std::size_t aCount)
+ChooseHosts(const TargetId& aTarget, const std::vector<RankedHost>& aHosts, std::size_t aCount)
 {
   const std::uint32_t target = ShortHash(aTarget.Value());
   std::vector<RankedHost> ranked = aHosts;
   for (RankedHost& rank : ranked) {
-    rank.number = Mix(target, rank.number);
+    rank.hash = MixHashes(target, rank.hash);
   }
   const std::size_t count = std::min(aCount, ranked.size());
   const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(count);
   const auto isBefore = [](const RankedHost& aLeft, const RankedHost& aRight) {
-    return aLeft.number != aRight.number ? aLeft.number < aRight.number
-                                         : *aLeft.host < *aRight.host;
+    return aLeft.hash != aRight.hash ? aLeft.hash < aRight.hash : *aLeft.host < *aRight.host;
   };
   std::partial_sort(ranked.begin(), end, ranked.end(), isBefore);
   std::set<HostId> chosen;
@@ -59,12 +59,12 @@
   return chosen;
 }
 
-// Cold targets whose rate is divided at a time. All shares are told to all entry hosts together,
-// over links that calls need too; where hundreds of targets start at once, those beyond get nothing
-// until they are warm or others are.
+// Cold targets whose rate is divided at a time. All shares are sent to all entry hosts together,
+// over links that calls use too. When hundreds of targets start at once, those beyond this number
+// get no requests until they or others are warm.
 constexpr std::size_t kMaxColdTargets = 64;
 
-// How many hosts share a rate, and what each of them gets.
+// The number of hosts that share a rate, and the share of each.
 struct Division
 {
   std::size_t hosts = 1;
@@ -74,26 +74,26 @@
 Division
 DivideLimit(RequestRate aRate, std::size_t aHosts)
 {
-  const double most = std::max(aRate.perSecond / RateLimitAllocator::kMinShare.perSecond, 1.0);
+  const double maxHosts = std::max(aRate.perSecond / RateLimitAllocator::kMinShare.perSecond, 1.0);
   const double hosts = static_cast<double>(std::max<std::size_t>(aHosts, 1));
-  const auto count = static_cast<std::size_t>(std::min(most, hosts));
+  const auto count = static_cast<std::size_t>(std::min(maxHosts, hosts));
   return Division{ count, RequestRate{ aRate.perSecond / static_cast<double>(count) } };
 }
 
-// What a cold target bears holds for each second by itself. A host that sends evenly reaches its
-// share rounded up in some seconds, so shares are whole numbers; of the divisions that use most of
-// the rate the one with the most hosts is taken.
+// The rate of a cold target must hold in every single second. A host that sends evenly reaches its
+// share rounded up in some seconds, so shares are whole numbers. Of the divisions that use most of
+// the rate, the one with the most hosts is chosen.
 Division
 DivideColdRate(RequestRate aRate, std::size_t aHosts)
 {
-  const auto whole = static_cast<std::size_t>(aRate.perSecond);
+  const auto wholeRate = static_cast<std::size_t>(aRate.perSecond);
   Division best{ 1, aRate };
   std::size_t used = 0;
-  for (std::size_t count = 1; count <= std::min(whole, aHosts); ++count) {
-    const std::size_t each = whole / count;
-    if (count * each >= used) {
-      used = count * each;
-      best = Division{ count, RequestRate{ static_cast<double>(each) } };
+  for (std::size_t count = 1; count <= std::min(wholeRate, aHosts); ++count) {
+    const std::size_t share = wholeRate / count;
+    if (count * share >= used) {
+      used = count * share;
+      best = Division{ count, RequestRate{ static_cast<double>(share) } };
     }
   }
   return best;
@@ -102,7 +102,7 @@
 } // namespace
 
 void
-RateLimitAllocator::Take(const std::vector<LimitReport>& aReports)
+RateLimitAllocator::Update(const std::vector<LimitReport>& aReports)
 {
   for (const LimitReport& report : aReports) {
     const auto found = this->limits.find(report.target);
@@ -160,10 +160,10 @@
 }
 
 void
-RateLimitAllocator::RetainOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsThere)
+RateLimitAllocator::RetainOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsPresent)
 {
   std::erase_if(this->limits, [&](const auto& aItem) {
-    return !aIsThere(aItem.first, aItem.second.incarnation);
+    return !aIsPresent(aItem.first, aItem.second.incarnation);
   });
 }
 
@@ -171,23 +171,23 @@
 RateLimitAllocator::Shares(const std::set<HostId>& aEntryHosts) const
 {
   std::vector<TargetLimit> shares;
-  const std::vector<RankedHost> hosts = NumberHosts(aEntryHosts);
+  const std::vector<RankedHost> hosts = HashHosts(aEntryHosts);
   std::size_t coldDivided = 0;
   for (const auto& [target, entry] : this->limits) {
-    const RequestRate named = std::max(entry.limit.value_or(RequestRate()), kMinRate);
+    const RequestRate limitRate = std::max(entry.limit.value_or(RequestRate()), kMinRate);
     const bool cold = entry.coldFor > Duration::zero();
     if (cold && !entry.limit && ++coldDivided > kMaxColdTargets) {
       continue;
     }
-    const bool coldBinds = cold && (!entry.limit || entry.coldRate < named);
-    const Division division = coldBinds ? DivideColdRate(entry.coldRate, aEntryHosts.size())
-                                        : DivideLimit(named, aEntryHosts.size());
+    const bool coldApplies = cold && (!entry.limit || entry.coldRate < limitRate);
+    const Division division = coldApplies ? DivideColdRate(entry.coldRate, aEntryHosts.size())
+                                          : DivideLimit(limitRate, aEntryHosts.size());
     TargetLimit& limit = shares.emplace_back();
     limit.target = target;
     limit.incarnation = entry.incarnation;
     limit.limit = entry.limit;
     limit.share = division.share;
-    limit.hosts = Choose(target, hosts, division.hosts);
+    limit.hosts = ChooseHosts(target, hosts, division.hosts);
     limit.coldFor = entry.coldFor;
   }
   return shares;
--- a/src/coordination/ServiceLevelWindows.cpp
+++ b/src/coordination/ServiceLevelWindows.cpp
@@ -3,15 +3,15 @@
 namespace damasklink {
 namespace {
 
-// The longest window, and the bucket that is being filled.
+// Buckets in the longest window, including the one that is being filled.
 constexpr std::size_t kBuckets =
   static_cast<std::size_t>(kBurnWindows.back() / ServiceLevelWindows::kBucket);
 
 } // namespace
 
-ServiceLevelWindows::ServiceLevelWindows(const Clock& aClock, std::size_t aMostWorkspaces)
+ServiceLevelWindows::ServiceLevelWindows(const Clock& aClock, std::size_t aMaxWorkspaces)
   : clock(aClock)
-  , mostWorkspaces(aMostWorkspaces)
+  , maxWorkspaces(aMaxWorkspaces)
 {
 }
 
@@ -22,7 +22,7 @@
   absl::MutexLock lock(&this->mutex);
   auto ring = this->rings.find(aWorkspace);
   if (ring == this->rings.end()) {
-    const bool full = this->rings.size() >= this->mostWorkspaces;
+    const bool full = this->rings.size() >= this->maxWorkspaces;
     const WorkspaceId name = full ? WorkspaceId(kOtherSeries) : aWorkspace;
     ring = this->rings.try_emplace(name, Ring(kBuckets)).first;
   }
@@ -44,8 +44,8 @@
     WindowCounts& windows = counts[workspace];
     for (const Bucket& bucket : ring) {
       for (std::size_t index = 0; index < kBurnWindows.size(); ++index) {
-        const auto reach = static_cast<std::uint64_t>(kBurnWindows.at(index) / kBucket);
-        if (bucket.number + reach > now) {
+        const auto length = static_cast<std::uint64_t>(kBurnWindows.at(index) / kBucket);
+        if (bucket.number + length > now) {
           windows.at(index).good += bucket.good;
           windows.at(index).total += bucket.total;
         }
--- a/src/coordination/ServiceRetryBudgets.cpp
+++ b/src/coordination/ServiceRetryBudgets.cpp
@@ -13,7 +13,7 @@
     if (this->hostsKnown) {
       budget.SetReserve(this->Reserve());
     } else {
-      budget = this->Fresh();
+      budget = this->NewBudget();
     }
   }
   this->hostsKnown = true;
@@ -29,7 +29,7 @@
 }
 
 RetryBudget
-ServiceRetryBudgets::Fresh() const
+ServiceRetryBudgets::NewBudget() const
 {
   return RetryBudget(this->allowance.share * kShareUtilization, this->Reserve());
 }
@@ -41,7 +41,7 @@
   if (found != this->budgets.end()) {
     return found->second;
   }
-  return this->budgets.emplace(aService, this->Fresh()).first->second;
+  return this->budgets.emplace(aService, this->NewBudget()).first->second;
 }
 
 } // namespace damasklink
--- a/src/coordination/StartupRetryDelay.cpp
+++ b/src/coordination/StartupRetryDelay.cpp
@@ -5,11 +5,11 @@
 Duration
 StartupRetryDelay::DelayDuringStartup(Duration aSinceStart)
 {
-  if (aSinceStart >= kStartupDuration) {
+  if (aSinceStart >= kStartTakes) {
     return kLateStartupDelay;
   }
   std::uniform_int_distribution<Duration::rep> spread(0, kRetrySpread.count());
-  return kStartupDuration - aSinceStart + Duration(spread(this->random));
+  return kStartTakes - aSinceStart + Duration(spread(this->random));
 }
 
 } // namespace damasklink
--- a/src/coordination/SubtreeLimiter.cpp
+++ b/src/coordination/SubtreeLimiter.cpp
@@ -11,24 +11,24 @@
 constexpr Duration kBusyRetryAfter = std::chrono::seconds(1);
 
 AdmissionRefusal
-TooLong(std::uint64_t aMost)
+PromptTooLong(std::uint64_t aMaxTokens)
 {
   return AdmissionRefusal{ Error{ ErrorKind::InvalidArgument,
-                                  Concat("the prompt is longer than ", aMost, " tokens"),
+                                  Concat("the prompt is longer than ", aMaxTokens, " tokens"),
                                   "shorten it, or ask the operator for a higher prompt_tokens" },
                            Duration(0) };
 }
 
 AdmissionRefusal
-Busy(const char* aMessage, const char* aRemedy, Duration aComeBack)
+Busy(const char* aMessage, const char* aRemedy, Duration aRetryAfter)
 {
-  return AdmissionRefusal{ Error{ ErrorKind::Overloaded, aMessage, aRemedy }, aComeBack };
+  return AdmissionRefusal{ Error{ ErrorKind::Overloaded, aMessage, aRemedy }, aRetryAfter };
 }
 
 } // namespace
 
 double
-SubtreeLimiter::Part(std::uint64_t aLimit) const
+SubtreeLimiter::HostPart(std::uint64_t aLimit) const
 {
   return std::ceil(static_cast<double>(aLimit) / static_cast<double>(this->hosts));
 }
@@ -38,18 +38,18 @@
 {
   const SubtreeLimits& limits = aPolicy.limits;
   if (limits.promptTokens && aPromptTokens.Value() > *limits.promptTokens) {
-    return TooLong(*limits.promptTokens);
+    return PromptTooLong(*limits.promptTokens);
   }
   Team& team = this->teams[{ aPolicy.workspace, aPolicy.team }];
   const bool bounded = limits.concurrentRequests.has_value();
-  if (bounded && static_cast<double>(team.running) >= this->Part(*limits.concurrentRequests)) {
-    return Busy("the team runs as many requests as its limit allows",
-                "wait for one to end, or ask the operator for a higher concurrent_requests",
+  if (bounded && static_cast<double>(team.running) >= this->HostPart(*limits.concurrentRequests)) {
+    return Busy("the team has reached its limit of concurrent requests",
+                "wait for a request to end, or ask the operator for a higher concurrent_requests",
                 kBusyRetryAfter);
   }
   if (limits.requestsPerSecond) {
     if (const auto wait = this->SpendAllowance(team, *limits.requestsPerSecond)) {
-      return Busy("the team sends more requests a second than its limit allows",
+      return Busy("the team has reached its limit of requests per second",
                   "send fewer, or ask the operator for a higher requests_per_second",
                   *wait);
     }
@@ -61,11 +61,11 @@
 std::optional<Duration>
 SubtreeLimiter::SpendAllowance(Team& aTeam, std::uint64_t aPerSecond) const
 {
-  const double rate = this->Part(aPerSecond);
+  const double rate = this->HostPart(aPerSecond);
   const MonotonicTime now = this->clock.MonotonicNow();
-  const std::chrono::duration<double> since = now - aTeam.refilled;
+  const std::chrono::duration<double> since = now - aTeam.refilledAt;
   aTeam.allowance = std::min(rate, aTeam.allowance + since.count() * rate);
-  aTeam.refilled = now;
+  aTeam.refilledAt = now;
   if (aTeam.allowance < 1) {
     const std::chrono::duration<double> wait((1 - aTeam.allowance) / rate);
     return std::chrono::duration_cast<Duration>(wait);
@@ -79,7 +79,7 @@
 {
   const auto found = this->teams.find({ aPolicy.workspace, aPolicy.team });
   --found->second.running;
-  // A team without a rate has nothing left to remember.
+  // Without a rate limit there is no allowance to keep.
   if (found->second.running == 0 && !aPolicy.limits.requestsPerSecond) {
     this->teams.erase(found);
   }
--- a/src/coordination/TargetPicker.cpp
+++ b/src/coordination/TargetPicker.cpp
@@ -311,7 +311,7 @@
 void
 TargetPicker::TakeSum(const SendsNews& aNews, MonotonicTime aNow)
 {
-  this->told.Take(aNews, aNow);
+  this->told.Update(aNews, aNow);
   for (const TargetSendsNow& sends : aNews.sends) {
     if (!sends.parts.empty()) {
       this->held.OnRead(sends.target, sends.parts);
--- a/src/coordination/TargetRateLimiter.cpp
+++ b/src/coordination/TargetRateLimiter.cpp
@@ -7,8 +7,8 @@
 namespace damasklink {
 namespace {
 
-// Returns what a host that gets its first share of a cold target may send at once: hosts begin one
-// after the other, so that all together send evenly from the first second on.
+// Returns the initial permits of a host that gets its first share of a cold target. The hosts start
+// one after the other, so that all together send evenly from the first second on.
 double
 InitialPermits(const std::set<HostId>& aHosts, const HostId& aSelf)
 {
@@ -57,8 +57,8 @@
   }
 }
 
-// Returns how long until this host may send one, or until the target is warm where that is all that
-// keeps it; nothing when neither is known.
+// Returns the time until this host may send a request. Without a share, it is the time until the
+// target is warm, or nothing if the target also has a limit.
 std::optional<Duration>
 TargetRateLimiter::TimeUntilPermit(const Entry& aEntry) const
 {
@@ -76,17 +76,17 @@
 std::optional<Duration>
 TargetRateLimiter::TimeUntilPermit(const std::vector<TargetRecord>& aTargets) const
 {
-  std::optional<Duration> soonest;
+  std::optional<Duration> shortest;
   for (const TargetRecord& target : aTargets) {
     const auto found = this->entries.find(target.id);
     if (found == this->entries.end() || !this->IsLimited(found->second)) {
       continue;
     }
     if (const std::optional<Duration> wait = this->TimeUntilPermit(found->second)) {
-      soonest = soonest ? std::min(*soonest, *wait) : *wait;
+      shortest = shortest ? std::min(*shortest, *wait) : *wait;
     }
   }
-  return soonest;
+  return shortest;
 }
 
 void
@@ -99,20 +99,21 @@
   if (known && aTarget.incarnation < found->second.incarnation) {
     return;
   }
-  const bool named = known && found->second.limit;
+  const bool wasLimited = known && found->second.limit;
   if (!aLimit) {
-    if (named && aSentAt > found->second.knownSince) {
+    if (wasLimited && aSentAt > found->second.knownSince) {
       this->Report(aTarget.id, found->second, true);
       found->second.limit.reset();
       this->RemoveWarmTargets();
     }
     return;
   }
-  if (named && found->second.limit == aLimit && found->second.incarnation == aTarget.incarnation) {
+  if (wasLimited && found->second.limit == aLimit &&
+      found->second.incarnation == aTarget.incarnation) {
     return;
   }
   Entry& entry = this->entries[aTarget.id];
-  if (!named) {
+  if (!wasLimited) {
     entry.knownSince = this->clock.MonotonicNow();
   }
   if (!known) {
@@ -146,59 +147,59 @@
   if (aLifted) {
     report.limit.reset();
   }
-  this->untold[aTarget] = report;
+  this->pendingReports[aTarget] = report;
 }
 
 void
-TargetRateLimiter::ApplyShare(const TargetLimit& aTold, Entry& aTo) const
+TargetRateLimiter::ApplyShare(const TargetLimit& aShare, Entry& aTo) const
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const bool hadShare = aTo.share.perSecond > 0;
   aTo.permits = this->PermitsNow(aTo);
   aTo.filledAt = now;
-  aTo.incarnation = aTold.incarnation;
-  aTo.limit = aTold.limit;
-  if (!aTold.hosts.contains(this->self)) {
+  aTo.incarnation = aShare.incarnation;
+  aTo.limit = aShare.limit;
+  if (!aShare.hosts.contains(this->self)) {
     aTo.share = RequestRate();
-    // What was saved up belonged to the share that is another host's now.
+    // The permits belonged to the share that another host has now.
     aTo.permits = 0;
     return;
   }
-  aTo.share = aTold.share;
+  aTo.share = aShare.share;
   if (!hadShare && !aTo.sent && !aTo.limit && this->IsCold(aTo)) {
-    aTo.permits = InitialPermits(aTold.hosts, this->self);
+    aTo.permits = InitialPermits(aShare.hosts, this->self);
   }
 }
 
 void
-TargetRateLimiter::Take(const std::vector<TargetLimit>& aTold)
+TargetRateLimiter::SetShares(const std::vector<TargetLimit>& aShares)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  std::map<TargetId, Entry> taken;
-  for (const TargetLimit& told : aTold) {
-    Entry& entry = taken[told.target];
-    const auto found = this->entries.find(told.target);
+  std::map<TargetId, Entry> updated;
+  for (const TargetLimit& share : aShares) {
+    Entry& entry = updated[share.target];
+    const auto found = this->entries.find(share.target);
     if (found != this->entries.end()) {
       entry = found->second;
     } else {
       entry.knownSince = now;
       entry.filledAt = now;
-      // Of a target that it knows, this host has heard itself until when it is cold.
-      entry.coldUntil = now + told.coldFor;
+      // For a known target the end of the cold period comes from OnCold().
+      entry.coldUntil = now + share.coldFor;
     }
-    this->ApplyShare(told, entry);
+    this->ApplyShare(share, entry);
   }
   for (const auto& [target, entry] : this->entries) {
-    const bool reportUnderWay = entry.reportedAt && now - *entry.reportedAt < kReportInFlight;
-    if (!reportUnderWay && !this->IsCold(entry)) {
+    const bool reportInFlight = entry.reportedAt && now - *entry.reportedAt < kReportInFlight;
+    if (!reportInFlight && !this->IsCold(entry)) {
       continue;
     }
-    const auto [position, isKept] = taken.try_emplace(target, entry);
-    if (isKept && !reportUnderWay) {
+    const auto [position, inserted] = updated.try_emplace(target, entry);
+    if (inserted && !reportInFlight) {
       position->second.limit.reset();
     }
   }
-  this->entries = std::move(taken);
+  this->entries = std::move(updated);
 }
 
 void
@@ -224,7 +225,7 @@
 {
   this->RemoveWarmTargets();
   std::vector<LimitReport> reports;
-  for (auto& [target, report] : std::exchange(this->untold, {})) {
+  for (auto& [target, report] : std::exchange(this->pendingReports, {})) {
     reports.push_back(std::move(report));
   }
   return reports;
--- a/src/program/ClaimGate.cpp
+++ b/src/program/ClaimGate.cpp
@@ -173,7 +173,7 @@
   command.key = aCall.key;
   command.attempt = aCall.attempt;
   command.body = aCall.body;
-  command.birth = origin.value().birth;
+  command.createdAt = origin.value().createdAt;
   command.retention = this->context.settings.timeouts.keyRetention;
   command.lease = aCall.longestRun + kLeaseSlack;
   return command;
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -610,7 +610,7 @@
   if (!aNews.limits) {
     return;
   }
-  this->limits.Take(*aNews.limits);
+  this->limits.SetShares(*aNews.limits);
   for (const TargetLimit& limit : *aNews.limits) {
     LogEvent(LogLevel::Info, "target_limit_told")
       .With("target", limit.target)
@@ -625,7 +625,7 @@
 void
 EntryHost::Impl::TakeCrashing(const HostId& aPeer, const CrashingRequests& aTold)
 {
-  this->crashes.Take(aPeer, aTold);
+  this->crashes.SetVerdicts(aPeer, aTold);
   LogEvent(LogLevel::Info, "crashing_requests_told")
     .With("from", aPeer)
     .With("refused", aTold.refused.size())
--- a/src/program/ExchangeRecord.cpp
+++ b/src/program/ExchangeRecord.cpp
@@ -64,7 +64,7 @@
   }
   const bool underWay = this->WasUnderWay();
   if (underWay) {
-    this->context.broken.Note(report, aTarget.endpoint);
+    this->context.broken.Add(report, aTarget.endpoint);
   }
   CrashFilter& watch = this->context.crashes;
   this->context.checks.Run(aTarget, [&watch, report, underWay](EndProof aProof) {
@@ -90,7 +90,7 @@
   const bool sent = this->sentAt != MonotonicTime();
   const Duration waited = this->context.clock.MonotonicNow() - this->sentAt;
   if (sent && !this->plan->PassedOn() && waited >= kSuspiciousWait) {
-    this->context.broken.Note(this->ReportOn(aTarget), aTarget.endpoint);
+    this->context.broken.Add(this->ReportOn(aTarget), aTarget.endpoint);
   }
 }
 
--- a/src/program/PictureTeller.cpp
+++ b/src/program/PictureTeller.cpp
@@ -213,10 +213,10 @@
   this->TakeCrashes(aNews, ofOwnHost);
   this->TakeLimits(aNews, ofOwnHost);
   if (!ofOwnHost) {
-    this->sends.TakePeerSum(aNews, now);
+    this->sends.UpdatePeerSum(aNews, now);
   } else {
     const bool known = this->sends.Publishers().contains(aFrom);
-    this->sends.Take(aNews, now);
+    this->sends.Update(aNews, now);
     if (!known && this->sends.Publishers().contains(aFrom)) {
       this->TellAllStores(aFrom);
       SendsNews totals = this->sends.AllTotals(this->settings.host);
@@ -232,8 +232,8 @@
 void
 PictureTeller::TakeCrashes(const SendsNews& aNews, bool aOfOwnHost)
 {
-  this->crashes.Take(aNews.crashes);
-  this->crashes.TakeSuccessfulRuns(aNews.sound);
+  this->crashes.Add(aNews.crashes);
+  this->crashes.AddSuccessfulRuns(aNews.sound);
   if (aOfOwnHost) {
     this->untoldCrashes.insert(
       this->untoldCrashes.end(), aNews.crashes.begin(), aNews.crashes.end());
@@ -244,7 +244,7 @@
 void
 PictureTeller::TakeLimits(const SendsNews& aNews, bool aOfOwnHost)
 {
-  this->limits.Take(aNews.limitReports);
+  this->limits.Update(aNews.limitReports);
   if (aOfOwnHost) {
     this->untoldLimits.insert(
       this->untoldLimits.end(), aNews.limitReports.begin(), aNews.limitReports.end());
--- a/src/program/PictureTeller.h
+++ b/src/program/PictureTeller.h
@@ -64,7 +64,7 @@
   bool HasUrgentSends() const { return this->urgentWaits; }
 
   // A host's connection to this one is lost.
-  void OnLost(const HostId& aHost) { this->sends.Forget(aHost); }
+  void OnLost(const HostId& aHost) { this->sends.Remove(aHost); }
 
 private:
   Picture BarePicture() const;
--- a/src/protocol/ClaimMachine.cpp
+++ b/src/protocol/ClaimMachine.cpp
@@ -121,7 +121,7 @@
                                 attempt,
                                 Nanoseconds(aEntry.expiry),
                                 Nanoseconds(aEntry.leaseEnd),
-                                Nanoseconds(aEntry.birth),
+                                Nanoseconds(aEntry.createdAt),
                                 static_cast<std::uint8_t>(aEntry.state),
                                 aEntry.bodyKnown,
                                 storedAt,
@@ -135,7 +135,7 @@
                      UnpackBytes(*aFrom.attempt(), aTo.attempt);
   aTo.expiry = TimeOf(aFrom.expiry());
   aTo.leaseEnd = TimeOf(aFrom.lease_end());
-  aTo.birth = TimeOf(aFrom.birth());
+  aTo.createdAt = TimeOf(aFrom.birth());
   aTo.state = static_cast<ClaimState>(aFrom.state());
   aTo.bodyKnown = aFrom.body_known();
   if (auto answer = UnpackAnswer(aFrom.answer())) {
@@ -150,7 +150,7 @@
 {
   ClaimRegistry::Header header;
   header.incarnation = Incarnation(aFrom.incarnation());
-  header.forgottenBirth = TimeOf(aFrom.forgotten_birth());
+  header.latestRemovedCreation = TimeOf(aFrom.forgotten_birth());
   if (aFrom.has_reformed()) {
     header.reformedAt = TimeOf(aFrom.reformed_at());
   }
@@ -175,8 +175,8 @@
                                           key,
                                           attempt,
                                           body,
-                                          aCommand.birth.has_value(),
-                                          Nanoseconds(aCommand.birth.value_or(WallTime())),
+                                          aCommand.createdAt.has_value(),
+                                          Nanoseconds(aCommand.createdAt.value_or(WallTime())),
                                           aCommand.retention.count(),
                                           aCommand.lease.count(),
                                           answer));
@@ -200,7 +200,7 @@
   command.attempt = AttemptId(packed->attempt()->str());
   command.body = Digest(packed->body()->str());
   if (packed->has_birth()) {
-    command.birth = TimeOf(packed->birth());
+    command.createdAt = TimeOf(packed->birth());
   }
   command.retention = Duration(packed->retention());
   command.lease = Duration(packed->lease());
@@ -261,7 +261,7 @@
                                            head.incarnation.Value(),
                                            head.reformedAt.has_value(),
                                            Nanoseconds(head.reformedAt.value_or(WallTime())),
-                                           Nanoseconds(head.forgottenBirth),
+                                           Nanoseconds(head.latestRemovedCreation),
                                            packed));
   return Finished(builder);
 }
--- a/test/coordination/AdmissionQueueTest.cpp
+++ b/test/coordination/AdmissionQueueTest.cpp
@@ -23,7 +23,7 @@
     return request;
   }
 
-  // Returns the ids that were admitted, and the refusals, since the last call.
+  // Returns the ids that were admitted since the last call, and adds the refusals to `refusals`.
   std::vector<AdmissionId> Admitted()
   {
     std::vector<AdmissionId> admitted;
@@ -37,15 +37,15 @@
     return admitted;
   }
 
-  // Admits from a full pool one by one and counts by workspace.
-  std::map<std::string, int> AdmitInTurn(int aTurns)
+  // Finishes the running request aTurns times and counts the requests admitted by workspace.
+  std::map<std::string, int> AdmitOneByOne(int aTurns)
   {
     std::map<std::string, int> counts;
     for (int turn = 0; turn < aTurns; ++turn) {
       this->queue.Finish(this->last, true);
       const auto admitted = this->Admitted();
       this->last = admitted.at(0);
-      ++counts[this->owners.at(this->last)];
+      ++counts[this->workspaces.at(this->last)];
     }
     return counts;
   }
@@ -53,7 +53,7 @@
   void Offer(const std::string& aWorkspace, std::uint64_t aShare, int aCount)
   {
     for (int index = 0; index < aCount; ++index) {
-      this->owners[this->queue.Offer(this->Request(aWorkspace, aShare))] = aWorkspace;
+      this->workspaces[this->queue.Offer(this->Request(aWorkspace, aShare))] = aWorkspace;
     }
   }
 
@@ -67,7 +67,7 @@
   ManualClock clock;
   AdmissionQueue queue{ clock, 8 };
   AdmissionId last;
-  std::map<AdmissionId, std::string> owners;
+  std::map<AdmissionId, std::string> workspaces;
   std::vector<AdmissionRefusal> refusals;
 };
 
@@ -76,7 +76,7 @@
   this->FillPool();
   this->Offer("large", 1, 5);
   this->Offer("small", 2, 3);
-  const auto counts = this->AdmitInTurn(3);
+  const auto counts = this->AdmitOneByOne(3);
   EXPECT_EQ(counts.at("small"), 2);
   EXPECT_EQ(counts.at("large"), 1);
 }
@@ -100,7 +100,7 @@
   EXPECT_TRUE(this->Admitted().empty());
   ASSERT_EQ(this->refusals.size(), 1U);
   EXPECT_EQ(this->queue.Waiting(), 8U);
-  EXPECT_EQ(this->AdmitInTurn(2).at("small"), 1);
+  EXPECT_EQ(this->AdmitOneByOne(2).at("small"), 1);
 }
 
 TEST_F(AdmissionQueueTest, FullQueueRefusesNewRequestOfItsLargestWorkspace)
@@ -119,27 +119,28 @@
   this->clock.Advance(std::chrono::seconds(10));
   this->queue.Finish(this->last, true);
   this->Offer("office", 1, 4);
-  AdmissionRequest hurried = this->Request("office");
-  hurried.deadline = this->clock.MonotonicNow() + std::chrono::seconds(30);
-  this->queue.Offer(hurried);
+  AdmissionRequest shortDeadline = this->Request("office");
+  shortDeadline.deadline = this->clock.MonotonicNow() + std::chrono::seconds(30);
+  this->queue.Offer(shortDeadline);
   this->Admitted();
   ASSERT_EQ(this->refusals.size(), 1U);
   EXPECT_EQ(this->refusals[0].retryAfter, std::chrono::seconds(40));
 }
 
-// Long answers of others say little of this one, and nobody else waits for the room.
+// The mean time of other requests says little about this one, and nobody else waits for the
+// capacity.
 TEST_F(AdmissionQueueTest, AdmitsShortDeadlineWhileCapacityIsFree)
 {
   this->FillPool();
   this->clock.Advance(std::chrono::seconds(10));
   this->queue.Finish(this->last, true);
-  AdmissionRequest hurried = this->Request("office");
-  hurried.deadline = this->clock.MonotonicNow() + std::chrono::seconds(1);
-  const AdmissionId id = this->queue.Offer(hurried);
+  AdmissionRequest shortDeadline = this->Request("office");
+  shortDeadline.deadline = this->clock.MonotonicNow() + std::chrono::seconds(1);
+  const AdmissionId id = this->queue.Offer(shortDeadline);
   EXPECT_EQ(this->Admitted(), std::vector<AdmissionId>{ id });
 }
 
-// Sent with too little time left, it would only waste what it uses.
+// A request that is sent with too little time left only wastes capacity.
 TEST_F(AdmissionQueueTest, RefusesQueuedRequestThatCanNoLongerMeetItsDeadline)
 {
   this->FillPool();
@@ -161,11 +162,11 @@
   this->queue.AddRemoteUse(WorkspaceId("elsewhere"), 4);
   this->Offer("elsewhere", 1, 4);
   this->Offer("here", 1, 4);
-  EXPECT_EQ(this->AdmitInTurn(4).at("here"), 4);
+  EXPECT_EQ(this->AdmitOneByOne(4).at("here"), 4);
 }
 
-// Every request is decided once or withdrawn, never more run than the pool takes, and the bound of
-// the queue holds.
+// Each request is decided once or cancelled, the running requests stay within the capacity of the
+// pool, and the waiting ones within the bound of the queue.
 RC_GTEST_PROP(AdmissionQueueProperty, EveryRequestIsDecidedOnceWithinTheBounds, ())
 {
   ManualClock clock;
--- a/test/coordination/BurnReportTest.cpp
+++ b/test/coordination/BurnReportTest.cpp
@@ -7,9 +7,10 @@
 
 constexpr std::uint64_t kTotal = 1000;
 
-// A row with 95 in 100 as objective and these failures of kTotal in each window.
+// Returns a row with the default objective of 95 in 100 and the given failures of kTotal requests
+// in each window.
 WorkspaceBurn
-RowWith(std::uint64_t aFiveMinutes, std::uint64_t aOneHour, std::uint64_t aSixHours)
+RowWithFailures(std::uint64_t aFiveMinutes, std::uint64_t aOneHour, std::uint64_t aSixHours)
 {
   WorkspaceBurn row;
   row.workspace = WorkspaceId("a");
@@ -28,19 +29,22 @@
 
 TEST(BurnReportTest, LevelsRequireBothTheirWindows)
 {
-  EXPECT_EQ(BurnLevelOf(RowWith(0, 0, 0)), BurnLevel::Calm);
-  EXPECT_EQ(BurnLevelOf(RowWith(0, 0, 60)), BurnLevel::Watch);
-  EXPECT_EQ(BurnLevelOf(RowWith(0, 310, 310)), BurnLevel::Act);
-  EXPECT_EQ(BurnLevelOf(RowWith(0, 310, 0)), BurnLevel::Calm) << "one bad hour alone";
-  EXPECT_EQ(BurnLevelOf(RowWith(730, 730, 0)), BurnLevel::Page);
-  EXPECT_EQ(BurnLevelOf(RowWith(0, 730, 0)), BurnLevel::Calm) << "over by now";
-  EXPECT_EQ(BurnLevelOf(RowWith(1000, 0, 0)), BurnLevel::Calm) << "five bad minutes alone";
+  EXPECT_EQ(BurnLevelOf(RowWithFailures(0, 0, 0)), BurnLevel::Calm);
+  EXPECT_EQ(BurnLevelOf(RowWithFailures(0, 0, 60)), BurnLevel::Watch);
+  EXPECT_EQ(BurnLevelOf(RowWithFailures(0, 310, 310)), BurnLevel::Act);
+  EXPECT_EQ(BurnLevelOf(RowWithFailures(0, 310, 0)), BurnLevel::Calm)
+    << "burns in the 1-hour window only";
+  EXPECT_EQ(BurnLevelOf(RowWithFailures(730, 730, 0)), BurnLevel::Page);
+  EXPECT_EQ(BurnLevelOf(RowWithFailures(0, 730, 0)), BurnLevel::Calm)
+    << "no failures in the last 5 minutes";
+  EXPECT_EQ(BurnLevelOf(RowWithFailures(1000, 0, 0)), BurnLevel::Calm)
+    << "burns in the 5-minute window only";
 }
 
 TEST(BurnReportTest, MergeAddsCountsAndTakesTheStricterObjective)
 {
-  HostBurn first{ HostId("one"), { RowWith(1, 2, 3) } };
-  HostBurn second{ HostId("two"), { RowWith(10, 20, 30) } };
+  HostBurn first{ HostId("one"), { RowWithFailures(1, 2, 3) } };
+  HostBurn second{ HostId("two"), { RowWithFailures(10, 20, 30) } };
   second.workspaces.front().objective.share = 0.99;
   const auto rows = MergeBurn({ first, second });
   ASSERT_EQ(rows.size(), 1U);
--- a/test/coordination/ClaimRegistryTest.cpp
+++ b/test/coordination/ClaimRegistryTest.cpp
@@ -15,7 +15,7 @@
   ClaimReply Apply(const ClaimCommand& aCommand)
   {
     this->context.index = this->context.index.Next();
-    return this->ledger.Apply(this->context, aCommand);
+    return this->registry.Apply(this->context, aCommand);
   }
 
   ClaimReply Claim(const std::string& aAttempt) { return this->Apply(this->Command(aAttempt)); }
@@ -34,28 +34,28 @@
     command.key = IdempotencyKey("order-17");
     command.attempt = AttemptId(aAttempt);
     command.body = Digest("body");
-    command.birth = this->birth;
+    command.createdAt = this->createdAt;
     command.retention = hours(48);
     command.lease = seconds(30);
     command.answer = KeptAnswer{ 200, "text/plain", "plate 17" };
     return command;
   }
 
-  void Pass(Duration aTime)
+  void Advance(Duration aTime)
   {
     this->context.proposedAt += std::chrono::duration_cast<WallTime::duration>(aTime);
   }
 
-  ClaimRegistry ledger{ ClaimRegistry::Limits{ 3, 100 } };
+  ClaimRegistry registry{ ClaimRegistry::Limits{ 3, 100 } };
   ApplyContext context{ GroupId("claims/north"), {}, Term(1), WallTime(hours(500'000)),
                         Incarnation(1),          {} };
-  std::optional<WallTime> birth;
+  std::optional<WallTime> createdAt;
 };
 
 TEST_F(ClaimRegistryTest, SecondAttemptIsRefusedWhileTheFirstRuns)
 {
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
-  this->Pass(seconds(10));
+  this->Advance(seconds(10));
   const ClaimReply second = this->Claim("b");
   EXPECT_EQ(second.verdict, ClaimVerdict::Running);
   EXPECT_EQ(second.retryAfter, seconds(20));
@@ -79,7 +79,7 @@
 TEST_F(ClaimRegistryTest, RunWithExpiredLeaseMayHaveRun)
 {
   this->Claim("a");
-  this->Pass(seconds(30));
+  this->Advance(seconds(30));
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::MayHaveRun);
 }
 
@@ -132,21 +132,21 @@
 
 TEST_F(ClaimRegistryTest, ForgottenMintedKeyIsExpired)
 {
-  this->birth = this->context.proposedAt;
+  this->createdAt = this->context.proposedAt;
   this->Claim("a");
   this->Settle(ClaimVerb::Finish, "a");
-  this->Pass(hours(49));
+  this->Advance(hours(49));
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::Expired);
-  EXPECT_EQ(this->ledger.Size(), 0U);
-  EXPECT_EQ(this->ledger.AnswerBytes(), 0U);
+  EXPECT_EQ(this->registry.Size(), 0U);
+  EXPECT_EQ(this->registry.AnswerBytes(), 0U);
 }
 
-// A host whose settings remember keys for longer must not revive what the ledger forgot.
+// A host whose settings have a longer retention must not revive a key that was removed.
 TEST_F(ClaimRegistryTest, LongerRetentionDoesNotReviveAForgottenKey)
 {
-  this->birth = this->context.proposedAt;
+  this->createdAt = this->context.proposedAt;
   this->Claim("a");
-  this->Pass(hours(49));
+  this->Advance(hours(49));
   ClaimCommand longer = this->Command("b");
   longer.retention = hours(100);
   EXPECT_EQ(this->Apply(longer).verdict, ClaimVerdict::Expired);
@@ -154,14 +154,14 @@
 
 TEST_F(ClaimRegistryTest, OldKeyThatWasNeverSeenIsExpired)
 {
-  this->birth = this->context.proposedAt - hours(48);
+  this->createdAt = this->context.proposedAt - hours(48);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Expired);
 }
 
 TEST_F(ClaimRegistryTest, ReleaseAfterTheRunEndedFreesNothing)
 {
   for (const ClaimVerb end : { ClaimVerb::Finish, ClaimVerb::Abandon }) {
-    this->ledger = ClaimRegistry();
+    this->registry = ClaimRegistry();
     this->Claim("a");
     this->Settle(end, "a");
     this->Settle(ClaimVerb::Release, "a");
@@ -171,21 +171,22 @@
 
 TEST_F(ClaimRegistryTest, KeyFromTheFutureIsRefused)
 {
-  this->birth = this->context.proposedAt + minutes(5);
+  this->createdAt = this->context.proposedAt + minutes(5);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::CreatedInFuture);
 }
 
 TEST_F(ClaimRegistryTest, ReformedGroupGrantsNoEarlierKey)
 {
-  this->birth = this->context.proposedAt - minutes(1);
+  this->createdAt = this->context.proposedAt - minutes(1);
   this->context.incarnation = Incarnation(2);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::MayHaveRun);
-  this->Pass(hours(2));
-  this->birth = this->context.proposedAt;
+  this->Advance(hours(2));
+  this->createdAt = this->context.proposedAt;
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
 }
 
-// Until the control group has numbered it, a group may be one whose records were lost.
+// Until the control group has assigned an incarnation, the group may be a re-formed one that lost
+// its records.
 TEST_F(ClaimRegistryTest, GroupWithoutIncarnationGrantsNothing)
 {
   this->context.incarnation = Incarnation();
@@ -206,7 +207,7 @@
 {
   this->context.incarnation = Incarnation(2);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::MayHaveRun);
-  this->Pass(hours(48));
+  this->Advance(hours(48));
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
 }
 
--- a/test/coordination/ColdModelTest.cpp
+++ b/test/coordination/ColdModelTest.cpp
@@ -1,8 +1,8 @@
-// Entry hosts, control hosts and targets that are cold, in virtual time; what counts is what
-// reaches each cold target in any second.
+// Simulates entry hosts, control hosts and cold targets in virtual time, and counts the requests
+// that reach each cold target in any second.
 //
-// The pattern: many targets become cold at one moment (a zone that is given back, a restart of a
-// zone) while all hosts have calls for them, and news is late, doubled or lost.
+// Many targets become cold at one moment, as when a zone is put back into service or restarted,
+// while all hosts have calls for them, and messages are late, doubled or lost.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -26,32 +26,32 @@
 constexpr Duration kHeartbeat = milliseconds(1200);
 constexpr Duration kColdFor = seconds(3);
 constexpr RequestRate kColdRate{ 16 };
-// What the users allow beyond the rate that a target declares.
+// The tolerance that users allow beyond the rate that a target declares.
 constexpr double kTolerance = 1.5;
 constexpr double kSlack = 5;
 constexpr Duration kHostDown = milliseconds(500);
-// From the start of a control host until it divides anything.
-constexpr Duration kGathers = seconds(1);
+// Time from the start of a control host until it divides rates.
+constexpr Duration kGatherTime = seconds(1);
 
 struct Deployment
 {
   std::size_t entryHosts;
   std::size_t controlHosts;
   std::size_t coldTargets;
-  // Calls a second that all hosts together would send to one target.
+  // Calls per second that all hosts together have for one target.
   double demand;
-  // Hosts restart, and news is lost and doubled.
+  // Hosts restart, and messages are lost and doubled.
   bool faults = false;
-  // Splits the hosts into two halves that do not hear each other.
-  bool cut = false;
+  // A network partition splits the hosts into two halves.
+  bool partitioned = false;
 };
 
-// The name of a case must be the same in each run.
+// Names of test cases must be the same in each run.
 void
 PrintTo(const Deployment& aDeployment, std::ostream* aOut)
 {
   *aOut << aDeployment.entryHosts << "Hosts" << aDeployment.coldTargets << "Cold"
-        << (aDeployment.faults ? "Faults" : "") << (aDeployment.cut ? "Cut" : "");
+        << (aDeployment.faults ? "Faults" : "") << (aDeployment.partitioned ? "Cut" : "");
 }
 
 class ColdModel
@@ -64,7 +64,7 @@
     for (std::size_t index = 0; index < aDeployment.entryHosts; ++index) {
       Entry& entry = this->entries.emplace_back();
       entry.host = HostId("entry-" + std::to_string(index));
-      entry.limits.emplace(this->clock, entry.host);
+      entry.limiter.emplace(this->clock, entry.host);
       entry.hub = index % aDeployment.controlHosts;
     }
     this->controls.resize(aDeployment.controlHosts);
@@ -74,39 +74,39 @@
     }
   }
 
-  // All targets start, cold, at one moment.
+  // Starts all targets at one moment; all are cold.
   void Run()
   {
-    this->Settle();
-    if (this->deployment.cut) {
-      this->isCut = true;
+    this->AnnounceHosts();
+    if (this->deployment.partitioned) {
+      this->isPartitioned = true;
     }
     for (Target& target : this->targets) {
       target.coldUntil = this->Now() + kColdFor;
-      target.nextHeartbeat = this->Now() + milliseconds(this->Draw(50));
+      target.nextHeartbeat = this->Now() + milliseconds(this->RandomIndex(50));
     }
     const MonotonicTime end = this->Now() + kColdFor;
     while (this->Now() < end) {
       this->clock.Advance(kStep);
-      this->Disturb();
-      this->Beat();
+      this->InjectFaults();
+      this->SendHeartbeats();
       this->Send();
       this->Deliver();
-      this->Tell();
+      this->SendShares();
     }
   }
 
-  // The most that any cold target got in one second.
-  std::size_t MostInASecond() const
+  // Returns the most requests that any cold target got in one second.
+  std::size_t MaxPerSecond() const
   {
-    std::size_t most = 0;
+    std::size_t maximum = 0;
     for (const Target& target : this->targets) {
       for (auto first = target.arrivals.begin(); first != target.arrivals.end(); ++first) {
         const auto end = std::lower_bound(first, target.arrivals.end(), *first + seconds(1));
-        most = std::max(most, static_cast<std::size_t>(end - first));
+        maximum = std::max(maximum, static_cast<std::size_t>(end - first));
       }
     }
-    return most;
+    return maximum;
   }
 
   double ServedPerTargetAndSecond() const
@@ -131,30 +131,31 @@
   struct Entry
   {
     HostId host;
-    std::optional<TargetRateLimiter> limits;
+    std::optional<TargetRateLimiter> limiter;
     std::size_t hub = 0;
     MonotonicTime downUntil;
-    bool greeted = false;
-    // Targets that it has heard of.
+    bool synced = false;
+    // Targets that it knows of.
     std::set<std::size_t> known;
   };
 
   struct Control
   {
-    RateLimitAllocator book;
-    RecentHosts recent;
-    std::vector<TargetLimit> told;
+    RateLimitAllocator allocator;
+    RecentHosts recentHosts;
+    std::vector<TargetLimit> sentShares;
     MonotonicTime downUntil;
     MonotonicTime startedAt;
   };
 
-  // To a control host where it holds a target alone, to an entry host else.
+  // A message to a control host (toControl) or to an entry host. It has either a cold target or
+  // shares.
   struct Message
   {
     MonotonicTime at;
     std::size_t to = 0;
     bool toControl = false;
-    bool firstHand = false;
+    bool fromTarget = false;
     std::optional<std::size_t> target;
     Duration coldFor{ 0 };
     std::optional<std::vector<TargetLimit>> shares;
@@ -162,8 +163,11 @@
   };
 
   MonotonicTime Now() const { return this->clock.MonotonicNow(); }
-  bool Happens(double aChance) { return std::bernoulli_distribution(aChance)(this->random); }
-  std::size_t Draw(std::size_t aCount) { return this->random() % aCount; }
+  bool Chance(double aProbability)
+  {
+    return std::bernoulli_distribution(aProbability)(this->random);
+  }
+  std::size_t RandomIndex(std::size_t aCount) { return this->random() % aCount; }
 
   template<typename Host>
   bool IsUp(const Host& aHost) const
@@ -171,61 +175,61 @@
     return this->Now() >= aHost.downUntil;
   }
 
-  // Halves: even and odd control hosts, entry hosts with their hubs.
-  bool Hear(std::size_t aControl, std::size_t aOther) const
+  // The halves of the partition: even and odd control hosts, and entry hosts with their hubs.
+  bool CanReach(std::size_t aControl, std::size_t aOther) const
   {
-    return !this->isCut || aControl % 2 == aOther % 2;
+    return !this->isPartitioned || aControl % 2 == aOther % 2;
   }
 
   void Post(Message aMessage)
   {
-    if (this->deployment.faults && this->Happens(0.02)) {
+    if (this->deployment.faults && this->Chance(0.02)) {
       return;
     }
-    aMessage.at = this->Now() + milliseconds(1 + this->Draw(60));
-    if (this->deployment.faults && this->Happens(0.05)) {
+    aMessage.at = this->Now() + milliseconds(1 + this->RandomIndex(60));
+    if (this->deployment.faults && this->Chance(0.05)) {
       this->messages.push_back(aMessage);
-      aMessage.at += milliseconds(this->Draw(500));
+      aMessage.at += milliseconds(this->RandomIndex(500));
     }
     this->messages.push_back(std::move(aMessage));
   }
 
-  // Lets control hosts learn of all entry hosts.
-  void Settle()
+  // Makes all entry hosts known to the control hosts.
+  void AnnounceHosts()
   {
     for (Control& control : this->controls) {
-      control.recent.Note(this->Roster(), this->Now());
+      control.recentHosts.Note(this->EntryHostsUp(), this->Now());
     }
-    this->clock.Advance(kGathers);
+    this->clock.Advance(kGatherTime);
   }
 
-  void Disturb()
+  void InjectFaults()
   {
     if (!this->deployment.faults) {
       return;
     }
-    if (this->Happens(0.01)) {
-      Entry& entry = this->entries[this->Draw(this->entries.size())];
-      entry.limits.emplace(this->clock, entry.host);
+    if (this->Chance(0.01)) {
+      Entry& entry = this->entries[this->RandomIndex(this->entries.size())];
+      entry.limiter.emplace(this->clock, entry.host);
       entry.downUntil = this->Now() + kHostDown;
-      entry.greeted = false;
+      entry.synced = false;
       entry.known.clear();
     }
-    if (this->Happens(0.003)) {
-      const std::size_t down = this->Draw(this->controls.size());
+    if (this->Chance(0.003)) {
+      const std::size_t down = this->RandomIndex(this->controls.size());
       this->controls[down] =
         Control{ {}, {}, {}, this->Now() + kHostDown, this->Now() + kHostDown };
       for (Entry& entry : this->entries) {
         if (entry.hub == down) {
           entry.hub = (entry.hub + 1) % this->controls.size();
-          entry.greeted = false;
+          entry.synced = false;
         }
       }
     }
   }
 
-  // A target announces itself to any control host that it reaches.
-  void Beat()
+  // Each target sends its heartbeats to random control hosts.
+  void SendHeartbeats()
   {
     for (std::size_t index = 0; index < this->targets.size(); ++index) {
       Target& target = this->targets[index];
@@ -234,9 +238,9 @@
       }
       target.nextHeartbeat += kHeartbeat;
       Message message;
-      message.to = this->Draw(this->controls.size());
+      message.to = this->RandomIndex(this->controls.size());
       message.toControl = true;
-      message.firstHand = true;
+      message.fromTarget = true;
       message.target = index;
       message.coldFor = target.coldUntil - this->Now();
       this->Post(message);
@@ -245,22 +249,23 @@
 
   void Send()
   {
-    const double chance = this->deployment.demand * std::chrono::duration<double>(kStep).count() /
-                          static_cast<double>(this->entries.size());
+    const double probability = this->deployment.demand *
+                               std::chrono::duration<double>(kStep).count() /
+                               static_cast<double>(this->entries.size());
     for (Entry& entry : this->entries) {
       for (const std::size_t index : entry.known) {
         Target& target = this->targets[index];
-        const bool sends = this->IsUp(entry) && this->Happens(std::min(chance, 1.0)) &&
-                           entry.limits->MaySend(target.record.id);
+        const bool sends = this->IsUp(entry) && this->Chance(std::min(probability, 1.0)) &&
+                           entry.limiter->MaySend(target.record.id);
         if (sends) {
-          entry.limits->OnSent(target.record.id);
+          entry.limiter->OnSent(target.record.id);
           target.arrivals.push_back(this->Now());
         }
       }
     }
   }
 
-  std::set<HostId> Roster() const
+  std::set<HostId> EntryHostsUp() const
   {
     std::set<HostId> hosts;
     for (const Entry& entry : this->entries) {
@@ -271,12 +276,12 @@
     return hosts;
   }
 
-  // The entry hosts that a control host hears of, directly or through others.
-  std::set<HostId> RosterOf(std::size_t aControl) const
+  // Returns the entry hosts that a control host knows of, directly or through others.
+  std::set<HostId> EntryHostsKnownTo(std::size_t aControl) const
   {
     std::set<HostId> hosts;
     for (const Entry& entry : this->entries) {
-      if (this->IsUp(entry) && this->Hear(aControl, entry.hub)) {
+      if (this->IsUp(entry) && this->CanReach(aControl, entry.hub)) {
         hosts.insert(entry.host);
       }
     }
@@ -309,23 +314,23 @@
       return;
     }
     const Target& target = this->targets[*aMessage.target];
-    control.book.UpdateColdTarget(
+    control.allocator.UpdateColdTarget(
       ColdTarget{ target.record.id, target.record.incarnation, aMessage.coldFor, kColdRate },
       this->Now());
     for (std::size_t to = 0; to < this->entries.size(); ++to) {
       if (this->entries[to].hub == aMessage.to) {
-        Message told = aMessage;
-        told.to = to;
-        told.toControl = false;
-        this->Post(told);
+        Message sentShares = aMessage;
+        sentShares.to = to;
+        sentShares.toControl = false;
+        this->Post(sentShares);
       }
     }
-    for (std::size_t other = 0; aMessage.firstHand && other < this->controls.size(); ++other) {
-      if (other != aMessage.to && this->Hear(aMessage.to, other)) {
-        Message told = aMessage;
-        told.to = other;
-        told.firstHand = false;
-        this->Post(told);
+    for (std::size_t other = 0; aMessage.fromTarget && other < this->controls.size(); ++other) {
+      if (other != aMessage.to && this->CanReach(aMessage.to, other)) {
+        Message sentShares = aMessage;
+        sentShares.to = other;
+        sentShares.fromTarget = false;
+        this->Post(sentShares);
       }
     }
   }
@@ -338,31 +343,31 @@
     }
     if (aMessage.target) {
       entry.known.insert(*aMessage.target);
-      entry.limits->OnCold(this->targets[*aMessage.target].record, aMessage.coldFor);
+      entry.limiter->OnCold(this->targets[*aMessage.target].record, aMessage.coldFor);
     } else if (entry.hub == aMessage.from) {
-      entry.limits->Take(*aMessage.shares);
+      entry.limiter->SetShares(*aMessage.shares);
     }
   }
 
-  void Tell()
+  void SendShares()
   {
     for (std::size_t index = 0; index < this->controls.size(); ++index) {
       Control& control = this->controls[index];
       if (!this->IsUp(control)) {
         continue;
       }
-      control.recent.Note(this->RosterOf(index), this->Now());
-      control.book.RemoveWarmTargets(this->Now());
-      const bool gathers = this->Now() - control.startedAt < kGathers;
+      control.recentHosts.Note(this->EntryHostsKnownTo(index), this->Now());
+      control.allocator.RemoveWarmTargets(this->Now());
+      const bool isGathering = this->Now() - control.startedAt < kGatherTime;
       const std::vector<TargetLimit> shares =
-        control.book.Shares(gathers ? std::set<HostId>() : control.recent.All());
-      const bool changed = shares != control.told;
-      control.told = shares;
+        control.allocator.Shares(isGathering ? std::set<HostId>() : control.recentHosts.All());
+      const bool changed = shares != control.sentShares;
+      control.sentShares = shares;
       for (std::size_t to = 0; to < this->entries.size(); ++to) {
         Entry& entry = this->entries[to];
-        const bool greets = this->IsUp(entry) && !entry.greeted;
-        if (entry.hub == index && (changed || greets)) {
-          entry.greeted = entry.greeted || greets;
+        const bool needsSync = this->IsUp(entry) && !entry.synced;
+        if (entry.hub == index && (changed || needsSync)) {
+          entry.synced = entry.synced || needsSync;
           Message message;
           message.to = to;
           message.shares = shares;
@@ -376,7 +381,7 @@
   Deployment deployment;
   ManualClock clock;
   std::mt19937 random;
-  bool isCut = false;
+  bool isPartitioned = false;
   std::deque<Entry> entries;
   std::vector<Control> controls;
   std::vector<Target> targets;
@@ -384,13 +389,13 @@
 };
 
 double
-MostAllowed()
+MaxAllowed()
 {
   return kTolerance * kColdRate.perSecond + kSlack;
 }
 
-// Far more calls than targets bear, as when those that are warm are full.
-constexpr double kHeavy = 300;
+// Far more calls than cold targets accept, as when the warm ones are full.
+constexpr double kOverload = 300;
 
 class ColdModelTest : public testing::TestWithParam<Deployment>
 {};
@@ -400,18 +405,18 @@
   for (std::uint32_t seed = 1; seed <= 2; ++seed) {
     ColdModel model(GetParam(), seed);
     model.Run();
-    EXPECT_LE(static_cast<double>(model.MostInASecond()), kColdRate.perSecond) << "seed " << seed;
-    // What they bear is used all the same.
+    EXPECT_LE(static_cast<double>(model.MaxPerSecond()), kColdRate.perSecond) << "seed " << seed;
+    // At least half of the rate must be used.
     EXPECT_GE(model.ServedPerTargetAndSecond(), kColdRate.perSecond / 2) << "seed " << seed;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes,
                          ColdModelTest,
-                         testing::Values(Deployment{ 9, 3, 1, kHeavy },
-                                         Deployment{ 9, 3, 20, kHeavy },
-                                         Deployment{ 80, 6, 60, kHeavy },
-                                         Deployment{ 195, 5, 20, kHeavy }));
+                         testing::Values(Deployment{ 9, 3, 1, kOverload },
+                                         Deployment{ 9, 3, 20, kOverload },
+                                         Deployment{ 80, 6, 60, kOverload },
+                                         Deployment{ 195, 5, 20, kOverload }));
 
 class ColdFaultsTest : public testing::TestWithParam<Deployment>
 {};
@@ -421,24 +426,24 @@
   for (std::uint32_t seed = 1; seed <= 3; ++seed) {
     ColdModel model(GetParam(), seed);
     model.Run();
-    EXPECT_LE(static_cast<double>(model.MostInASecond()), MostAllowed()) << "seed " << seed;
+    EXPECT_LE(static_cast<double>(model.MaxPerSecond()), MaxAllowed()) << "seed " << seed;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes,
                          ColdFaultsTest,
-                         testing::Values(Deployment{ 9, 3, 20, kHeavy, true },
-                                         Deployment{ 80, 6, 20, kHeavy, true },
-                                         Deployment{ 195, 5, 10, kHeavy, true },
-                                         Deployment{ 80, 6, 20, kHeavy, true, true }));
+                         testing::Values(Deployment{ 9, 3, 20, kOverload, true },
+                                         Deployment{ 80, 6, 20, kOverload, true },
+                                         Deployment{ 195, 5, 10, kOverload, true },
+                                         Deployment{ 80, 6, 20, kOverload, true, true }));
 
-// Both halves know all hosts from before, so they divide the rate alike.
+// Both halves know all hosts from before the partition, so they divide the rate in the same way.
 TEST(ColdPartitionTest, PartitionedHalvesKeepToOneRate)
 {
   for (std::uint32_t seed = 1; seed <= 2; ++seed) {
-    ColdModel model(Deployment{ 80, 6, 20, kHeavy, false, true }, seed);
+    ColdModel model(Deployment{ 80, 6, 20, kOverload, false, true }, seed);
     model.Run();
-    EXPECT_LE(static_cast<double>(model.MostInASecond()), kColdRate.perSecond) << "seed " << seed;
+    EXPECT_LE(static_cast<double>(model.MaxPerSecond()), kColdRate.perSecond) << "seed " << seed;
   }
 }
 
--- a/test/coordination/ConcurrencyLimitTest.cpp
+++ b/test/coordination/ConcurrencyLimitTest.cpp
@@ -7,7 +7,7 @@
 
 constexpr Duration kFast = std::chrono::milliseconds(100);
 
-// Runs rounds in which the limit is used up and every request ends alike.
+// Runs rounds that use the whole limit and in which every request ends with the same signal.
 void
 RunRounds(ConcurrencyLimit& aLimit, int aRounds, LoadSignal aLoad, Duration aFirstToken)
 {
@@ -35,10 +35,10 @@
   limit.SetSlots(800);
   EXPECT_EQ(limit.Limit(), 800U);
   RunRounds(limit, 1, LoadSignal::Overloaded, kFast);
-  const std::size_t learnt = limit.Limit();
-  EXPECT_LT(learnt, 800U);
+  const std::size_t reduced = limit.Limit();
+  EXPECT_LT(reduced, 800U);
   limit.SetSlots(800);
-  EXPECT_EQ(limit.Limit(), learnt) << "a later report takes back nothing that was learnt";
+  EXPECT_EQ(limit.Limit(), reduced) << "a repeated declaration must not reset the limit";
 }
 
 TEST(ConcurrencyLimitTest, ShrinksWhenTheTargetRefuses)
@@ -58,7 +58,7 @@
   EXPECT_LT(limit.Limit(), before);
 }
 
-// Longer prompts make every answer slower, and no lower limit would help against that.
+// Longer prompts make every answer slower, which a lower limit cannot change.
 TEST(ConcurrencyLimitTest, AdaptsToASlowerBaseline)
 {
   ConcurrencyLimit limit;
--- a/test/coordination/CrashModelTest.cpp
+++ b/test/coordination/CrashModelTest.cpp
@@ -1,4 +1,5 @@
-// Entry hosts, control hosts and targets in virtual time; what counts is what reaches the targets.
+// Simulates entry hosts, control hosts and targets in virtual time, and counts which requests reach
+// the targets.
 #include <algorithm>
 #include <deque>
 #include <optional>
@@ -16,16 +17,16 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kStep = milliseconds(50);
-constexpr Duration kDay = std::chrono::seconds(60);
-// From the third crash until all hosts must have heard of it, and repeats that may reach targets
-// after that.
-constexpr Duration kNotice = std::chrono::seconds(3);
-constexpr int kMostRepeats = 3;
+constexpr Duration kRunTime = std::chrono::seconds(60);
+// Time from the third crash until all hosts must know of it, and how many repeats may still reach
+// targets after that.
+constexpr Duration kDetectionTime = std::chrono::seconds(3);
+constexpr int kMaxRepeats = 3;
 constexpr Duration kTargetDown = std::chrono::seconds(2);
 constexpr Duration kHostDown = std::chrono::seconds(1);
 
-const RequestFingerprint kGuilty(1);
-// Equal requests of many callers, under way on every target.
+const RequestFingerprint kCrashing(1);
+// A request that many callers send, running on every target.
 const RequestFingerprint kShared(2);
 
 struct Size
@@ -52,75 +53,78 @@
 
   void Run()
   {
-    const MonotonicTime end = this->Now() + kDay;
+    const MonotonicTime end = this->Now() + kRunTime;
     while (this->Now() < end) {
       this->clock.Advance(kStep);
-      this->Disturb();
-      this->SendGuilty();
+      this->InjectFaults();
+      this->SendCrashing();
       this->RunShared();
-      this->RepeatStruck();
+      this->RepeatInterrupted();
       this->Deliver();
-      this->TellAndDecide();
+      this->SendReportsAndVerdicts();
     }
   }
 
-  int repeatsAfterNotice = 0;
+  int repeatsAfterDetection = 0;
   int sharedRefused = 0;
-  int struck = 0;
-  int struckRefused = 0;
+  int interrupted = 0;
+  int interruptedRefused = 0;
 
 private:
   struct Entry
   {
     explicit Entry(const Clock& aClock)
-      : held(aClock)
+      : instance(aClock)
     {
     }
 
-    CrashFilter& Watch() { return *this->held; }
+    CrashFilter& Filter() { return *this->instance; }
 
-    std::optional<CrashFilter> held;
+    std::optional<CrashFilter> instance;
     std::size_t hub = 0;
     MonotonicTime downUntil;
-    // Control hosts have told it what they know since it started.
-    bool greeted = true;
+    // Whether control hosts have sent it their verdicts since it started.
+    bool synced = true;
   };
 
   struct Control
   {
     explicit Control(const Clock& aClock)
-      : held(aClock)
+      : instance(aClock)
     {
     }
 
-    CrashRegistry& Ledger() { return *this->held; }
+    CrashRegistry& Registry() { return *this->instance; }
 
     HostId host;
-    std::optional<CrashRegistry> held;
-    CrashingRequests told;
+    std::optional<CrashRegistry> instance;
+    CrashingRequests sentVerdicts;
     MonotonicTime downUntil;
   };
 
   struct TargetState
   {
-    std::uint64_t start = 1;
+    std::uint64_t incarnation = 1;
     MonotonicTime downUntil;
   };
 
-  // News on its way to a control host, or to an entry host when it holds a word.
+  // A message to an entry host if it contains verdicts, else to a control host.
   struct Message
   {
     MonotonicTime at;
     std::size_t to = 0;
-    SendsNews news;
+    SendsNews report;
     bool fromEntry = false;
-    std::optional<CrashingRequests> word;
+    std::optional<CrashingRequests> verdicts;
     HostId from;
   };
 
   MonotonicTime Now() const { return this->clock.MonotonicNow(); }
-  bool Happens(double aChance) { return std::bernoulli_distribution(aChance)(this->random); }
-  std::size_t Draw(std::size_t aCount) { return this->random() % aCount; }
+  bool Chance(double aProbability)
+  {
+    return std::bernoulli_distribution(aProbability)(this->random);
+  }
+  std::size_t RandomIndex(std::size_t aCount) { return this->random() % aCount; }
   template<typename Host>
   bool IsUp(const Host& aHost) const
   {
@@ -129,123 +133,123 @@
 
   void Post(Message aMessage)
   {
-    aMessage.at = this->Now() + milliseconds(5 + this->Draw(200));
-    if (this->Happens(0.05)) {
+    aMessage.at = this->Now() + milliseconds(5 + this->RandomIndex(200));
+    if (this->Chance(0.05)) {
       this->messages.push_back(aMessage);
-      aMessage.at += milliseconds(this->Draw(1000));
+      aMessage.at += milliseconds(this->RandomIndex(1000));
     }
     this->messages.push_back(std::move(aMessage));
   }
 
-  void Disturb()
+  void InjectFaults()
   {
-    if (this->Happens(0.002)) {
-      this->RestartControl(this->controls[this->Draw(this->controls.size())]);
+    if (this->Chance(0.002)) {
+      this->RestartControl(this->controls[this->RandomIndex(this->controls.size())]);
     }
-    if (this->Happens(0.0005)) {
+    if (this->Chance(0.0005)) {
       for (Control& control : this->controls) {
         this->RestartControl(control);
       }
     }
-    if (this->Happens(0.01)) {
-      Entry& entry = this->entries[this->Draw(this->entries.size())];
-      entry.held.emplace(this->clock);
+    if (this->Chance(0.01)) {
+      Entry& entry = this->entries[this->RandomIndex(this->entries.size())];
+      entry.instance.emplace(this->clock);
       entry.downUntil = this->Now() + kHostDown;
-      entry.greeted = false;
+      entry.synced = false;
     }
-    if (this->Happens(0.01)) {
-      // Several targets end at once for another reason.
+    if (this->Chance(0.01)) {
+      // Several targets crash at once for another reason.
       for (int count = 0; count < 4; ++count) {
-        this->Crash(this->targets[this->Draw(this->targets.size())], std::nullopt);
+        this->Crash(this->targets[this->RandomIndex(this->targets.size())], std::nullopt);
       }
     }
   }
 
-  // What it had in memory is gone; the log stays.
+  // Loses the memory of the control host; the replicated log is kept.
   void RestartControl(Control& aControl)
   {
-    aControl.held.emplace(this->clock);
-    aControl.told = CrashingRequests();
+    aControl.instance.emplace(this->clock);
+    aControl.sentVerdicts = CrashingRequests();
     aControl.downUntil = this->Now() + kHostDown;
     for (Entry& entry : this->entries) {
-      entry.Watch().OnLost(aControl.host);
+      entry.Filter().OnLost(aControl.host);
       if (this->controls[entry.hub].host == aControl.host) {
         entry.hub = (entry.hub + 1) % this->controls.size();
-        entry.Watch().ResendAll();
+        entry.Filter().ResendAll();
       }
     }
   }
 
-  void SendGuilty()
+  void SendCrashing()
   {
-    if (!this->Happens(0.15)) {
+    if (!this->Chance(0.15)) {
       return;
     }
-    Entry& entry = this->entries[this->Draw(this->entries.size())];
-    TargetState& target = this->targets[this->Draw(this->targets.size())];
-    const bool relayed =
-      this->IsUp(entry) && this->IsUp(target) && !entry.Watch().IsRefused(kGuilty);
-    if (!relayed) {
+    Entry& entry = this->entries[this->RandomIndex(this->entries.size())];
+    TargetState& target = this->targets[this->RandomIndex(this->targets.size())];
+    const bool isSent =
+      this->IsUp(entry) && this->IsUp(target) && !entry.Filter().IsRefused(kCrashing);
+    if (!isSent) {
       return;
     }
-    const bool inTouch = this->Now() >= entry.downUntil + kNotice;
-    if (inTouch && this->thirdCrash && this->Now() > *this->thirdCrash + kNotice) {
-      ++this->repeatsAfterNotice;
+    const bool isInformed = this->Now() >= entry.downUntil + kDetectionTime;
+    if (isInformed && this->thirdCrash && this->Now() > *this->thirdCrash + kDetectionTime) {
+      ++this->repeatsAfterDetection;
     }
-    if (++this->guiltyCrashes == static_cast<int>(CrashRegistry::kCrashesToRefuse)) {
+    if (++this->crashes == static_cast<int>(CrashRegistry::kCrashesToRefuse)) {
       this->thirdCrash = this->Now();
     }
     this->Crash(target, &entry);
   }
 
-  // Everything that ran on the target is struck at the hosts that sent it.
-  void Crash(TargetState& aTarget, std::optional<Entry*> aGuiltyAt)
+  // The entry hosts report every request that ran on the target.
+  void Crash(TargetState& aTarget, std::optional<Entry*> aSender)
   {
     if (!this->IsUp(aTarget)) {
       return;
     }
     CrashReport report;
     report.target = TargetId(std::to_string(&aTarget - this->targets.data()));
-    report.incarnation = Incarnation(aTarget.start);
-    if (aGuiltyAt) {
-      report.request = kGuilty;
-      (*aGuiltyAt)->Watch().OnCrash(report);
+    report.incarnation = Incarnation(aTarget.incarnation);
+    if (aSender) {
+      report.request = kCrashing;
+      (*aSender)->Filter().OnCrash(report);
     }
     for (int running = 0; running < 10; ++running) {
-      Entry& entry = this->entries[this->Draw(this->entries.size())];
-      report.request = running < 3 ? kShared : RequestFingerprint(100 + this->next++);
+      Entry& entry = this->entries[this->RandomIndex(this->entries.size())];
+      report.request = running < 3 ? kShared : RequestFingerprint(100 + this->nextRequest++);
       if (this->IsUp(entry)) {
-        entry.Watch().OnCrash(report);
+        entry.Filter().OnCrash(report);
       }
       if (report.request != kShared) {
-        ++this->struck;
-        this->waiting.push_back(report.request);
+        ++this->interrupted;
+        this->toRepeat.push_back(report.request);
       }
     }
-    ++aTarget.start;
+    ++aTarget.incarnation;
     aTarget.downUntil = this->Now() + kTargetDown;
   }
 
-  // Callers of struck requests come again; most of them run well, some are struck again.
-  void RepeatStruck()
+  // Callers repeat the interrupted requests. Most of them run well, some are interrupted again.
+  void RepeatInterrupted()
   {
-    for (const RequestFingerprint request : std::exchange(this->waiting, {})) {
-      Entry& entry = this->entries[this->Draw(this->entries.size())];
+    for (const RequestFingerprint request : std::exchange(this->toRepeat, {})) {
+      Entry& entry = this->entries[this->RandomIndex(this->entries.size())];
       if (!this->IsUp(entry)) {
         continue;
       }
-      if (entry.Watch().IsRefused(request)) {
-        ++this->struckRefused;
-      } else if (this->Happens(0.1)) {
-        const std::size_t target = this->Draw(this->targets.size());
-        entry.Watch().OnCrash(CrashReport{ request,
-                                           {},
-                                           {},
-                                           TargetId(std::to_string(target)),
-                                           Incarnation(this->targets[target].start) });
-        this->waiting.push_back(request);
+      if (entry.Filter().IsRefused(request)) {
+        ++this->interruptedRefused;
+      } else if (this->Chance(0.1)) {
+        const std::size_t target = this->RandomIndex(this->targets.size());
+        entry.Filter().OnCrash(CrashReport{ request,
+                                            {},
+                                            {},
+                                            TargetId(std::to_string(target)),
+                                            Incarnation(this->targets[target].incarnation) });
+        this->toRepeat.push_back(request);
       } else {
-        entry.Watch().OnSuccessfulRun(SoundRun{ request, {} });
+        entry.Filter().OnSuccessfulRun(SoundRun{ request, {} });
       }
     }
   }
@@ -253,13 +257,13 @@
   void RunShared()
   {
     for (Entry& entry : this->entries) {
-      if (!this->IsUp(entry) || !this->Happens(0.2)) {
+      if (!this->IsUp(entry) || !this->Chance(0.2)) {
         continue;
       }
-      if (entry.Watch().IsRefused(kShared)) {
+      if (entry.Filter().IsRefused(kShared)) {
         ++this->sharedRefused;
       } else {
-        entry.Watch().OnSuccessfulRun(SoundRun{ kShared, {} });
+        entry.Filter().OnSuccessfulRun(SoundRun{ kShared, {} });
       }
     }
   }
@@ -275,31 +279,31 @@
       return isDue;
     });
     for (Message& message : due) {
-      if (message.word) {
+      if (message.verdicts) {
         if (this->IsUp(this->entries[message.to])) {
-          this->entries[message.to].Watch().Take(message.from, *message.word);
+          this->entries[message.to].Filter().SetVerdicts(message.from, *message.verdicts);
         }
       } else if (this->IsUp(this->controls[message.to])) {
-        this->TakeNews(message);
+        this->TakeReport(message);
       }
     }
   }
 
-  void TakeNews(const Message& aMessage)
+  void TakeReport(const Message& aMessage)
   {
-    CrashRegistry& ledger = this->controls[aMessage.to].Ledger();
-    ledger.Take(aMessage.news.crashes);
-    ledger.TakeSuccessfulRuns(aMessage.news.sound);
+    CrashRegistry& registry = this->controls[aMessage.to].Registry();
+    registry.Add(aMessage.report.crashes);
+    registry.AddSuccessfulRuns(aMessage.report.sound);
     for (std::size_t other = 0; aMessage.fromEntry && other < this->controls.size(); ++other) {
       if (other != aMessage.to) {
-        this->Post(Message{ {}, other, aMessage.news, false, std::nullopt, {} });
+        this->Post(Message{ {}, other, aMessage.report, false, std::nullopt, {} });
       }
     }
   }
 
-  void Greet(Entry& aEntry)
+  void Sync(Entry& aEntry)
   {
-    aEntry.greeted = true;
+    aEntry.synced = true;
     const auto to = static_cast<std::size_t>(
       std::find_if(this->entries.begin(),
                    this->entries.end(),
@@ -307,47 +311,47 @@
       this->entries.begin());
     for (const Control& control : this->controls) {
       if (this->IsUp(control)) {
-        this->Post(Message{ {}, to, {}, false, control.told, control.host });
+        this->Post(Message{ {}, to, {}, false, control.sentVerdicts, control.host });
       }
     }
   }
 
-  void TellAndDecide()
+  void SendReportsAndVerdicts()
   {
     for (Entry& entry : this->entries) {
-      if (this->IsUp(entry) && !entry.greeted) {
-        this->Greet(entry);
+      if (this->IsUp(entry) && !entry.synced) {
+        this->Sync(entry);
       }
-      SendsNews news;
-      news.crashes = entry.Watch().TakeReports();
-      news.sound = entry.Watch().TakeSuccessfulRuns();
-      if (this->IsUp(entry) && (!news.crashes.empty() || !news.sound.empty())) {
-        this->Post(Message{ {}, entry.hub, std::move(news), true, std::nullopt, {} });
+      SendsNews report;
+      report.crashes = entry.Filter().TakeReports();
+      report.sound = entry.Filter().TakeSuccessfulRuns();
+      if (this->IsUp(entry) && (!report.crashes.empty() || !report.sound.empty())) {
+        this->Post(Message{ {}, entry.hub, std::move(report), true, std::nullopt, {} });
       }
     }
     for (Control& control : this->controls) {
       if (!this->IsUp(control)) {
         continue;
       }
-      control.Ledger().SetRefused(this->log.Refused());
+      control.Registry().SetRefused(this->log.Refused());
       this->Commit(control);
-      const CrashingRequests told = control.Ledger().Verdicts();
-      if (told != control.told) {
-        control.told = told;
+      const CrashingRequests sentVerdicts = control.Registry().Verdicts();
+      if (sentVerdicts != control.sentVerdicts) {
+        control.sentVerdicts = sentVerdicts;
         for (std::size_t to = 0; to < this->entries.size(); ++to) {
-          this->Post(Message{ {}, to, {}, false, told, control.host });
+          this->Post(Message{ {}, to, {}, false, sentVerdicts, control.host });
         }
       }
     }
   }
 
-  // Any control host may lead.
+  // Any control host may be the leader.
   void Commit(Control& aControl)
   {
-    for (const RefuseRequest& refuse : aControl.Ledger().ToRefuse()) {
+    for (const RefuseRequest& refuse : aControl.Registry().ToRefuse()) {
       this->log.Apply(ApplyContext{}, EncodeServingCommand(refuse));
     }
-    for (const ReleaseRequest& release : aControl.Ledger().ToRelease()) {
+    for (const ReleaseRequest& release : aControl.Registry().ToRelease()) {
       this->log.Apply(ApplyContext{}, EncodeServingCommand(release));
     }
   }
@@ -358,10 +362,10 @@
   std::deque<Control> controls;
   std::vector<TargetState> targets;
   std::vector<Message> messages;
-  std::vector<RequestFingerprint> waiting;
+  std::vector<RequestFingerprint> toRepeat;
   ServingMachine log;
-  std::uint64_t next = 0;
-  int guiltyCrashes = 0;
+  std::uint64_t nextRequest = 0;
+  int crashes = 0;
   std::optional<MonotonicTime> thirdCrash;
 };
 
@@ -370,28 +374,29 @@
 {
   CrashModel model(aSize, aSeed);
   model.Run();
-  RC_ASSERT(model.repeatsAfterNotice <= kMostRepeats);
+  RC_ASSERT(model.repeatsAfterDetection <= kMaxRepeats);
   RC_ASSERT(model.sharedRefused == 0);
-  RC_ASSERT(model.struckRefused == 0);
+  RC_ASSERT(model.interruptedRefused == 0);
 }
 
-// Guards against a request being sent to target after target that it crashes, whatever hosts
-// restart and however late their news is, and against the refusal of those that ran beside it.
+// A request that crashes targets must not be sent to one after another, even when hosts restart and
+// messages are late or doubled. Requests that ran on the same targets must not be refused.
 RC_GTEST_PROP(CrashModelTest, CrashingRequestStopsAtNineHosts, (std::uint32_t aSeed))
 {
   Check(Size{ 9, 3, 12 }, aSeed);
 }
 
-// As above.
+// The same with hundreds of hosts.
 TEST(CrashModelTest, CrashingRequestStopsAtHundredsOfHosts)
 {
   constexpr std::uint32_t kSeeds = 15;
   for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
     CrashModel model(Size{ 195, 5, 93 }, seed);
     model.Run();
-    EXPECT_LE(model.repeatsAfterNotice, kMostRepeats) << "seed " << seed;
+    EXPECT_LE(model.repeatsAfterDetection, kMaxRepeats) << "seed " << seed;
     EXPECT_EQ(model.sharedRefused, 0) << "seed " << seed;
-    EXPECT_EQ(model.struckRefused, 0) << "seed " << seed << ", struck " << model.struck;
+    EXPECT_EQ(model.interruptedRefused, 0)
+      << "seed " << seed << ", interrupted " << model.interrupted;
   }
 }
 
