--- a/test/coordination/CrashRegistryTest.cpp
+++ b/test/coordination/CrashRegistryTest.cpp
@@ -5,135 +5,139 @@
 namespace damasklink {
 namespace {
 
-const RequestFingerprint kGuilty(7);
+const RequestFingerprint kRequest(7);
 const WorkspaceId kWorkspace("w");
 const ServiceName kService("s");
-const SoundRun kSound{ kGuilty, kService };
+const SoundRun kSuccessfulRun{ kRequest, kService };
 
 CrashReport
-Crash(const std::string& aTarget, RequestFingerprint aRequest = kGuilty, std::uint64_t aStart = 1)
+Crash(const std::string& aTarget,
+      RequestFingerprint aRequest = kRequest,
+      std::uint64_t aIncarnation = 1)
 {
-  return CrashReport{ aRequest, kWorkspace, kService, TargetId(aTarget), Incarnation(aStart) };
+  return CrashReport{
+    aRequest, kWorkspace, kService, TargetId(aTarget), Incarnation(aIncarnation)
+  };
 }
 
 class CrashRegistryTest : public testing::Test
 {
 protected:
-  bool IsRefused() const { return this->ledger.Verdicts().refused.contains(kGuilty); }
+  bool IsRefused() const { return this->registry.Verdicts().refused.contains(kRequest); }
 
-  void Settle() { this->clock.Advance(CrashRegistry::kSettleTime); }
+  void PassSettleTime() { this->clock.Advance(CrashRegistry::kSettleTime); }
 
   ManualClock clock;
-  CrashRegistry ledger{ this->clock };
+  CrashRegistry registry{ this->clock };
 };
 
 TEST_F(CrashRegistryTest, RefusesRequestAfterThreeCrashesAndTheSettleTime)
 {
-  this->ledger.Take({ Crash("a"), Crash("b") });
-  this->Settle();
+  this->registry.Add({ Crash("a"), Crash("b") });
+  this->PassSettleTime();
   EXPECT_FALSE(this->IsRefused());
-  EXPECT_TRUE(this->ledger.Verdicts().suspected.contains(kGuilty));
-  this->ledger.Take({ Crash("c") });
+  EXPECT_TRUE(this->registry.Verdicts().suspected.contains(kRequest));
+  this->registry.Add({ Crash("c") });
   EXPECT_FALSE(this->IsRefused());
-  this->Settle();
+  this->PassSettleTime();
   EXPECT_TRUE(this->IsRefused());
-  ASSERT_EQ(this->ledger.ToRefuse().size(), 1U);
-  EXPECT_EQ(this->ledger.ToRefuse()[0].facts.workspace, kWorkspace);
+  ASSERT_EQ(this->registry.ToRefuse().size(), 1U);
+  EXPECT_EQ(this->registry.ToRefuse()[0].facts.workspace, kWorkspace);
 }
 
 TEST_F(CrashRegistryTest, CrashReportedBySeveralHostsCountsOnce)
 {
-  this->ledger.Take({ Crash("a"), Crash("a"), Crash("b") });
-  this->ledger.Take({ Crash("b"), Crash("a") });
-  this->Settle();
+  this->registry.Add({ Crash("a"), Crash("a"), Crash("b") });
+  this->registry.Add({ Crash("b"), Crash("a") });
+  this->PassSettleTime();
   EXPECT_FALSE(this->IsRefused());
 }
 
 TEST_F(CrashRegistryTest, IncarnationsOfOneTargetCountSeparately)
 {
-  this->ledger.Take({ Crash("a", kGuilty, 1), Crash("a", kGuilty, 2), Crash("a", kGuilty, 3) });
-  this->Settle();
+  this->registry.Add({ Crash("a", kRequest, 1), Crash("a", kRequest, 2), Crash("a", kRequest, 3) });
+  this->PassSettleTime();
   EXPECT_TRUE(this->IsRefused());
 }
 
 TEST_F(CrashRegistryTest, SuccessfulRunResetsTheCount)
 {
-  this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
-  this->ledger.TakeSuccessfulRuns({ kSound });
-  this->ledger.Take({ Crash("d"), Crash("e") });
-  this->Settle();
+  this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
+  this->registry.AddSuccessfulRuns({ kSuccessfulRun });
+  this->registry.Add({ Crash("d"), Crash("e") });
+  this->PassSettleTime();
   EXPECT_FALSE(this->IsRefused());
 }
 
 TEST_F(CrashRegistryTest, SuccessfulRunAtAnotherServiceClearsNothing)
 {
-  this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
-  this->ledger.TakeSuccessfulRuns({ SoundRun{ kGuilty, ServiceName("another") } });
-  this->Settle();
+  this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
+  this->registry.AddSuccessfulRuns({ SoundRun{ kRequest, ServiceName("another") } });
+  this->PassSettleTime();
   EXPECT_TRUE(this->IsRefused());
 }
 
 TEST_F(CrashRegistryTest, LaterCrashesDoNotDelayTheRefusal)
 {
-  this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
-  this->Settle();
-  this->ledger.Take({ Crash("d") });
+  this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
+  this->PassSettleTime();
+  this->registry.Add({ Crash("d") });
   EXPECT_TRUE(this->IsRefused());
 }
 
 TEST_F(CrashRegistryTest, CommittedRefusalHoldsWithoutReports)
 {
-  this->ledger.SetRefused({ { kGuilty, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
+  this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
   EXPECT_TRUE(this->IsRefused());
-  EXPECT_TRUE(this->ledger.ToRelease().empty());
+  EXPECT_TRUE(this->registry.ToRelease().empty());
 }
 
 TEST_F(CrashRegistryTest, SuccessfulRunReleasesARefusedRequest)
 {
-  this->ledger.SetRefused({ { kGuilty, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
-  this->ledger.TakeSuccessfulRuns({ kSound });
+  this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
+  this->registry.AddSuccessfulRuns({ kSuccessfulRun });
   EXPECT_FALSE(this->IsRefused());
-  EXPECT_EQ(this->ledger.ToRelease().size(), 1U);
-  this->ledger.SetRefused({});
-  EXPECT_TRUE(this->ledger.ToRelease().empty());
+  EXPECT_EQ(this->registry.ToRelease().size(), 1U);
+  this->registry.SetRefused({});
+  EXPECT_TRUE(this->registry.ToRelease().empty());
 }
 
 TEST_F(CrashRegistryTest, ReleasedRequestMustCrashThreeTargetsAgain)
 {
-  this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
-  this->ledger.SetRefused({ { kGuilty, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
-  this->ledger.SetRefused({});
-  this->ledger.Take({ Crash("d") });
-  this->Settle();
+  this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
+  this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
+  this->registry.SetRefused({});
+  this->registry.Add({ Crash("d") });
+  this->PassSettleTime();
   EXPECT_FALSE(this->IsRefused());
 }
 
 TEST_F(CrashRegistryTest, RefusalExpires)
 {
-  this->ledger.SetRefused({ { kGuilty, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
+  this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
   this->clock.Advance(CrashRegistry::kRefusalPeriod);
-  EXPECT_EQ(this->ledger.ToRelease().size(), 1U);
+  EXPECT_EQ(this->registry.ToRelease().size(), 1U);
 }
 
 TEST_F(CrashRegistryTest, EvictsRequestsWithFewestCrashesFirst)
 {
-  this->ledger.Take({ Crash("a"), Crash("b") });
+  this->registry.Add({ Crash("a"), Crash("b") });
   for (std::uint64_t other = 0; other < 2 * CrashRegistry::kMaxRequests; ++other) {
-    this->ledger.Take({ Crash("x", RequestFingerprint(1000 + other)) });
+    this->registry.Add({ Crash("x", RequestFingerprint(1000 + other)) });
   }
-  EXPECT_EQ(this->ledger.All().size(), CrashRegistry::kMaxRequests + 1);
-  this->ledger.Take({ Crash("c") });
-  this->Settle();
+  EXPECT_EQ(this->registry.All().size(), CrashRegistry::kMaxRequests + 1);
+  this->registry.Add({ Crash("c") });
+  this->PassSettleTime();
   EXPECT_TRUE(this->IsRefused());
 }
 
 TEST_F(CrashRegistryTest, ReportsOfAllRestoreAnotherControlHost)
 {
-  this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
+  this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
   CrashRegistry other(this->clock);
-  other.Take(this->ledger.All());
-  this->Settle();
-  EXPECT_EQ(other.Verdicts(), this->ledger.Verdicts());
+  other.Add(this->registry.All());
+  this->PassSettleTime();
+  EXPECT_EQ(other.Verdicts(), this->registry.Verdicts());
 }
 
 } // namespace
--- a/test/coordination/DispatchRecordTest.cpp
+++ b/test/coordination/DispatchRecordTest.cpp
@@ -23,21 +23,21 @@
   EXPECT_EQ(record.Outcome(), RunOutcome::MayHaveRun);
 }
 
-// Once a target has begun to answer, no later move makes the request "not run".
+// Once a target has started to answer, no later transition makes the request "not run".
 RC_GTEST_PROP(DispatchRecordProperty, AnsweringIsNeverReportedAsNotRun, ())
 {
   DispatchRecord record;
   record.Begin(AttemptId("a-1"), TargetId("engine-1"));
   record.Advance(AttemptStage::Sending);
   record.Advance(AttemptStage::Answering);
-  const auto moves = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 6));
-  for (const int move : moves) {
-    record.Advance(static_cast<AttemptStage>(move));
+  const auto stages = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 6));
+  for (const int stage : stages) {
+    record.Advance(static_cast<AttemptStage>(stage));
   }
   RC_ASSERT(record.Outcome() != RunOutcome::NotRun);
 }
 
-// Attempts in any number, each with its own fault; the target's own books say whether it acted.
+// Any number of attempts, each with its own fault. `acted` is whether a target ran the request.
 RC_GTEST_PROP(DispatchRecordProperty, NoScheduleOfFaultsHidesThatATargetActed, ())
 {
   enum Fault
@@ -65,7 +65,7 @@
     } else if (fault == CutInTheAnswer || fault == None) {
       record.Advance(AttemptStage::Answering);
       record.Advance(fault == None ? AttemptStage::Finished : AttemptStage::Lost);
-      // A late refusal of a target that has answered changes nothing.
+      // A refusal after the answer has started is ignored.
       record.Advance(AttemptStage::Refused);
     }
     RC_ASSERT(!acted || record.Outcome() != RunOutcome::NotRun);
--- a/test/coordination/IdempotencyKeysTest.cpp
+++ b/test/coordination/IdempotencyKeysTest.cpp
@@ -8,20 +8,20 @@
 
 const WorkspaceId kOffice("head-office");
 const ZoneId kNorth("hall-north");
-const WallTime kBirth(std::chrono::milliseconds(1'764'700'000'123));
+const WallTime kCreatedAt(std::chrono::milliseconds(1'764'700'000'123));
 
 TEST(IdempotencyKeysTest, MintedKeyCarriesItsHomeAndCreationTime)
 {
-  const IdempotencyKey key = MintKey(kOffice, kNorth, kBirth, "00ff");
+  const IdempotencyKey key = MintKey(kOffice, kNorth, kCreatedAt, "00ff");
   const auto origin = ReadKeyOrigin(kOffice, key);
   ASSERT_TRUE(origin) << origin.error();
   EXPECT_EQ(origin.value().home, kNorth);
-  EXPECT_EQ(origin.value().birth, kBirth);
+  EXPECT_EQ(origin.value().createdAt, kCreatedAt);
 }
 
 TEST(IdempotencyKeysTest, MintedKeyOfAnotherWorkspaceIsRefused)
 {
-  const IdempotencyKey key = MintKey(kOffice, kNorth, kBirth, "00ff");
+  const IdempotencyKey key = MintKey(kOffice, kNorth, kCreatedAt, "00ff");
   EXPECT_FALSE(ReadKeyOrigin(WorkspaceId("branch"), key));
 }
 
@@ -38,10 +38,10 @@
   }
 }
 
-// One changed character is never read as another home or birth.
+// A key with one changed character is refused, not read as another home or creation time.
 RC_GTEST_PROP(IdempotencyKeysProperty, MangledMintedKeyIsRefused, ())
 {
-  const IdempotencyKey key = MintKey(kOffice, kNorth, kBirth, "00ff");
+  const IdempotencyKey key = MintKey(kOffice, kNorth, kCreatedAt, "00ff");
   std::string text = key.Value();
   const auto at = *rc::gen::inRange<std::size_t>(4, text.size());
   const char changed = *rc::gen::inRange('!', '~');
@@ -50,8 +50,8 @@
   RC_ASSERT(!ReadKeyOrigin(kOffice, IdempotencyKey(text)));
 }
 
-// All hosts agree on the home whatever the order of their lists, and losing another zone does not
-// move it.
+// The home does not depend on the order of the zones, and does not change when another zone is
+// removed.
 RC_GTEST_PROP(IdempotencyKeysProperty, HomeStaysWhenAnotherZoneGoes, ())
 {
   const IdempotencyKey key("order-" + std::to_string(*rc::gen::inRange(0, 1'000'000)));
--- a/test/coordination/LimitModelTest.cpp
+++ b/test/coordination/LimitModelTest.cpp
@@ -1,5 +1,5 @@
-// Entry hosts, control hosts and one target that names a limit, in virtual time; what counts is
-// what reaches the target.
+// Simulates entry hosts, control hosts and one target with a rate limit in virtual time, and counts
+// the requests that reach the target.
 #include <algorithm>
 #include <deque>
 #include <optional>
@@ -19,14 +19,14 @@
 
 constexpr Duration kStep = milliseconds(20);
 constexpr Duration kLimitedFor = seconds(30);
-// From the first answer with the limit until all hosts must keep to it.
-constexpr Duration kNotice = seconds(3);
+// Time from the first answer with the limit until all hosts must keep to it.
+constexpr Duration kReactionTime = seconds(3);
 constexpr Duration kWindow = seconds(4);
 constexpr double kTolerance = 1.5;
 constexpr double kSlack = 5;
 constexpr Duration kHostDown = seconds(1);
-// From a target's word to a host until it counts what that host sends.
-constexpr Duration kTold = milliseconds(500);
+// Time from an answer with the limit to a host until the requests of that host are counted.
+constexpr Duration kAnswerTime = milliseconds(500);
 const TargetId kTarget("t");
 
 struct Size
@@ -47,7 +47,7 @@
     for (std::size_t index = 0; index < aSize.entryHosts; ++index) {
       Entry& entry = this->entries.emplace_back();
       entry.host = HostId("entry-" + std::to_string(index));
-      entry.held.emplace(this->clock, entry.host);
+      entry.limiter.emplace(this->clock, entry.host);
       entry.hub = index % aSize.controlHosts;
     }
     this->controls.resize(aSize.controlHosts);
@@ -55,26 +55,26 @@
 
   void Run()
   {
-    const MonotonicTime named = this->Now();
-    while (this->Now() < named + kLimitedFor) {
+    const MonotonicTime start = this->Now();
+    while (this->Now() < start + kLimitedFor) {
       this->clock.Advance(kStep);
-      this->Disturb();
+      this->InjectFaults();
       this->Send();
       this->Deliver();
-      this->Tell();
+      this->SendReportsAndShares();
     }
     std::erase_if(this->arrivals,
-                  [&](MonotonicTime aArrival) { return aArrival < named + kNotice; });
+                  [&](MonotonicTime aArrival) { return aArrival < start + kReactionTime; });
   }
 
-  std::size_t MostInWindow() const
+  std::size_t MaxInWindow() const
   {
-    std::size_t most = 0;
+    std::size_t maximum = 0;
     for (auto first = this->arrivals.begin(); first != this->arrivals.end(); ++first) {
       const auto end = std::lower_bound(first, this->arrivals.end(), *first + kWindow);
-      most = std::max(most, static_cast<std::size_t>(end - first));
+      maximum = std::max(maximum, static_cast<std::size_t>(end - first));
     }
-    return most;
+    return maximum;
   }
 
   std::deque<MonotonicTime> arrivals;
@@ -83,17 +83,17 @@
   struct Entry
   {
     HostId host;
-    std::optional<TargetRateLimiter> held;
+    std::optional<TargetRateLimiter> limiter;
     std::size_t hub = 0;
     MonotonicTime downUntil;
-    bool greeted = false;
-    std::optional<MonotonicTime> toldAt;
+    bool synced = false;
+    std::optional<MonotonicTime> limitSentAt;
   };
 
   struct Control
   {
-    RateLimitAllocator book;
-    std::vector<TargetLimit> told;
+    RateLimitAllocator allocator;
+    std::vector<TargetLimit> sentShares;
     MonotonicTime downUntil;
   };
 
@@ -101,15 +101,18 @@
   {
     MonotonicTime at;
     std::size_t to = 0;
-    SendsNews news;
-    // From a control host, for an entry host that hears it while it is its hub.
+    SendsNews report;
+    // The sender if it is a control host. An entry host accepts messages of its hub only.
     std::optional<std::size_t> fromControl;
     bool fromEntry = false;
   };
 
   MonotonicTime Now() const { return this->clock.MonotonicNow(); }
-  bool Happens(double aChance) { return std::bernoulli_distribution(aChance)(this->random); }
-  std::size_t Draw(std::size_t aCount) { return this->random() % aCount; }
+  bool Chance(double aProbability)
+  {
+    return std::bernoulli_distribution(aProbability)(this->random);
+  }
+  std::size_t RandomIndex(std::size_t aCount) { return this->random() % aCount; }
 
   template<typename Host>
   bool IsUp(const Host& aHost) const
@@ -119,58 +122,58 @@
 
   void Post(Message aMessage)
   {
-    aMessage.at = this->Now() + milliseconds(5 + this->Draw(200));
-    if (this->Happens(0.05)) {
+    aMessage.at = this->Now() + milliseconds(5 + this->RandomIndex(200));
+    if (this->Chance(0.05)) {
       this->messages.push_back(aMessage);
-      aMessage.at += milliseconds(this->Draw(500));
+      aMessage.at += milliseconds(this->RandomIndex(500));
     }
     this->messages.push_back(std::move(aMessage));
   }
 
-  void Disturb()
+  void InjectFaults()
   {
-    if (this->Happens(0.002)) {
-      Entry& entry = this->entries[this->Draw(this->entries.size())];
-      entry.held.emplace(this->clock, entry.host);
+    if (this->Chance(0.002)) {
+      Entry& entry = this->entries[this->RandomIndex(this->entries.size())];
+      entry.limiter.emplace(this->clock, entry.host);
       entry.downUntil = this->Now() + kHostDown;
-      entry.greeted = false;
-      entry.toldAt.reset();
+      entry.synced = false;
+      entry.limitSentAt.reset();
     }
-    if (this->Happens(0.001)) {
-      this->Restart(this->Draw(this->controls.size()));
+    if (this->Chance(0.001)) {
+      this->RestartControl(this->RandomIndex(this->controls.size()));
     }
   }
 
-  void Restart(std::size_t aControl)
+  void RestartControl(std::size_t aControl)
   {
     this->controls[aControl] = Control{ {}, {}, this->Now() + kHostDown };
     for (Entry& entry : this->entries) {
       if (entry.hub == aControl) {
         entry.hub = (entry.hub + 1) % this->controls.size();
-        entry.held->ResendAll();
-        entry.greeted = false;
+        entry.limiter->ResendAll();
+        entry.synced = false;
       }
     }
   }
 
-  // Each host has more calls than the target takes from all of them.
+  // Each host has more calls than the target accepts from all hosts together.
   void Send()
   {
     for (Entry& entry : this->entries) {
-      if (!this->IsUp(entry) || !this->Happens(0.2) || !entry.held->MaySend(kTarget)) {
+      if (!this->IsUp(entry) || !this->Chance(0.2) || !entry.limiter->MaySend(kTarget)) {
         continue;
       }
-      entry.held->OnSent(kTarget);
-      // The target can hold a host to what it has told it, since the host's last start.
-      if (entry.toldAt && this->Now() >= *entry.toldAt + kTold) {
+      entry.limiter->OnSent(kTarget);
+      // A request counts only if the host has got the limit since its last start.
+      if (entry.limitSentAt && this->Now() >= *entry.limitSentAt + kAnswerTime) {
         this->arrivals.push_back(this->Now());
       }
-      entry.toldAt = entry.toldAt.value_or(this->Now());
-      entry.held->OnAnswer(this->record, this->limit, this->Now());
+      entry.limitSentAt = entry.limitSentAt.value_or(this->Now());
+      entry.limiter->OnAnswer(this->record, this->limit, this->Now());
     }
   }
 
-  std::set<HostId> Roster() const
+  std::set<HostId> EntryHostsUp() const
   {
     std::set<HostId> hosts;
     for (const Entry& entry : this->entries) {
@@ -195,7 +198,7 @@
       if (message.fromControl) {
         Entry& entry = this->entries[message.to];
         if (this->IsUp(entry) && entry.hub == *message.fromControl) {
-          entry.held->Take(*message.news.limits);
+          entry.limiter->SetShares(*message.report.limits);
         }
       } else if (this->IsUp(this->controls[message.to])) {
         this->TakeReports(message);
@@ -205,37 +208,37 @@
 
   void TakeReports(const Message& aMessage)
   {
-    this->controls[aMessage.to].book.Take(aMessage.news.limitReports);
+    this->controls[aMessage.to].allocator.Update(aMessage.report.limitReports);
     for (std::size_t other = 0; aMessage.fromEntry && other < this->controls.size(); ++other) {
       if (other != aMessage.to) {
-        this->Post(Message{ {}, other, aMessage.news, std::nullopt, false });
+        this->Post(Message{ {}, other, aMessage.report, std::nullopt, false });
       }
     }
   }
 
-  void Tell()
+  void SendReportsAndShares()
   {
     for (Entry& entry : this->entries) {
-      SendsNews news;
-      news.limitReports = entry.held->TakeReports();
-      if (this->IsUp(entry) && !news.limitReports.empty()) {
-        this->Post(Message{ {}, entry.hub, std::move(news), std::nullopt, true });
+      SendsNews report;
+      report.limitReports = entry.limiter->TakeReports();
+      if (this->IsUp(entry) && !report.limitReports.empty()) {
+        this->Post(Message{ {}, entry.hub, std::move(report), std::nullopt, true });
       }
     }
-    const std::set<HostId> roster = this->Roster();
+    const std::set<HostId> hostsUp = this->EntryHostsUp();
     for (std::size_t index = 0; index < this->controls.size(); ++index) {
       Control& control = this->controls[index];
-      const std::vector<TargetLimit> shares = control.book.Shares(roster);
-      const bool changed = shares != control.told;
-      control.told = shares;
+      const std::vector<TargetLimit> shares = control.allocator.Shares(hostsUp);
+      const bool changed = shares != control.sentShares;
+      control.sentShares = shares;
       for (std::size_t to = 0; to < this->entries.size() && this->IsUp(control); ++to) {
         Entry& entry = this->entries[to];
-        const bool greets = this->IsUp(entry) && !entry.greeted;
-        if (entry.hub == index && (changed || greets)) {
-          entry.greeted = entry.greeted || greets;
-          SendsNews news;
-          news.limits = shares;
-          this->Post(Message{ {}, to, std::move(news), index, false });
+        const bool needsSync = this->IsUp(entry) && !entry.synced;
+        if (entry.hub == index && (changed || needsSync)) {
+          entry.synced = entry.synced || needsSync;
+          SendsNews report;
+          report.limits = shares;
+          this->Post(Message{ {}, to, std::move(report), index, false });
         }
       }
     }
@@ -251,22 +254,22 @@
 };
 
 double
-MostAllowed(RequestRate aLimit)
+MaxAllowed(RequestRate aLimit)
 {
   return kTolerance * aLimit.perSecond * std::chrono::duration<double>(kWindow).count() + kSlack;
 }
 
-// Guards against hosts that together send a target more than it names as its limit, however late
-// their news is and whatever hosts restart.
+// All hosts together must not exceed the limit of a target, even when hosts restart and messages
+// are late or doubled.
 RC_GTEST_PROP(LimitModelTest, NineHostsKeepToALimit, (std::uint32_t aSeed, std::uint8_t aTenths))
 {
   const RequestRate limit{ static_cast<double>(aTenths) / 10 };
   LimitModel model(Size{ 9, 3 }, limit, aSeed);
   model.Run();
-  RC_ASSERT(static_cast<double>(model.MostInWindow()) <= MostAllowed(limit));
+  RC_ASSERT(static_cast<double>(model.MaxInWindow()) <= MaxAllowed(limit));
 }
 
-// As above, and the target is not left alone.
+// The same with hundreds of hosts. At least half of the limit must be used.
 TEST(LimitModelTest, HundredsOfHostsKeepToALimit)
 {
   constexpr std::uint32_t kSeeds = 15;
@@ -274,8 +277,8 @@
     const RequestRate limit{ 3.5 + seed };
     LimitModel model(Size{ 195, 5 }, limit, seed);
     model.Run();
-    EXPECT_LE(static_cast<double>(model.MostInWindow()), MostAllowed(limit)) << "seed " << seed;
-    const double counted = std::chrono::duration<double>(kLimitedFor - kNotice).count();
+    EXPECT_LE(static_cast<double>(model.MaxInWindow()), MaxAllowed(limit)) << "seed " << seed;
+    const double counted = std::chrono::duration<double>(kLimitedFor - kReactionTime).count();
     const double usable = limit.perSecond * counted;
     EXPECT_GE(static_cast<double>(model.arrivals.size()), usable / 2) << "seed " << seed;
   }
--- a/test/coordination/RequestFingerprintTest.cpp
+++ b/test/coordination/RequestFingerprintTest.cpp
@@ -14,7 +14,7 @@
 TEST(RequestFingerprintTest, IsTheSameOnEveryHostAndBuild)
 {
   EXPECT_EQ(FingerprintOf(Identity()), FingerprintOf(Identity()));
-  // The value goes between hosts of different builds and into files.
+  // Fingerprints are sent between hosts of different builds and stored in files.
   EXPECT_EQ(FingerprintOf(RequestIdentity{}), RequestFingerprint(15051567215856270734U));
 }
 
--- a/test/coordination/ServiceLevelWindowsTest.cpp
+++ b/test/coordination/ServiceLevelWindowsTest.cpp
@@ -35,7 +35,7 @@
   EXPECT_EQ(counts.at(WorkspaceId(kOtherSeries)).at(0).total, 2U);
 }
 
-// The counts are those of a list of all events, read bucket by bucket.
+// Compares the counts with a list of all events and their buckets.
 RC_GTEST_PROP(ServiceLevelWindowsTest, CountsMatchAListOfEvents, ())
 {
   ManualClock clock;
--- a/test/coordination/ServiceRetryBudgetsTest.cpp
+++ b/test/coordination/ServiceRetryBudgetsTest.cpp
@@ -9,10 +9,10 @@
 const ServiceName kService("s");
 
 std::uint64_t
-TakeAll(ServiceRetryBudgets& aShares)
+TakeAll(ServiceRetryBudgets& aBudgets)
 {
   std::uint64_t taken = 0;
-  while (aShares.Of(kService).TryTake()) {
+  while (aBudgets.Of(kService).TryTake()) {
     ++taken;
   }
   return taken;
@@ -22,9 +22,9 @@
 {
   std::uint64_t taken = 0;
   for (int host = 0; host < 9; ++host) {
-    ServiceRetryBudgets shares(RetryAllowance{});
-    shares.SetHosts(9);
-    taken += TakeAll(shares);
+    ServiceRetryBudgets budgets(RetryAllowance{});
+    budgets.SetHosts(9);
+    taken += TakeAll(budgets);
   }
   EXPECT_GT(taken, 0U);
   EXPECT_LE(static_cast<double>(taken), RetryAllowance{}.reserve);
@@ -33,44 +33,44 @@
 TEST(ServiceRetryBudgetsTest, RestartOfEveryHostStaysWithinTheReserve)
 {
   std::uint64_t taken = 0;
-  for (int life = 0; life < 2 * 9; ++life) {
-    ServiceRetryBudgets shares(RetryAllowance{});
-    shares.SetHosts(9);
-    taken += TakeAll(shares);
+  for (int start = 0; start < 2 * 9; ++start) {
+    ServiceRetryBudgets budgets(RetryAllowance{});
+    budgets.SetHosts(9);
+    taken += TakeAll(budgets);
   }
   EXPECT_LE(static_cast<double>(taken), RetryAllowance{}.reserve);
 }
 
 TEST(ServiceRetryBudgetsTest, UnknownHostCountAllowsOnlyTheShareOfCalls)
 {
-  ServiceRetryBudgets shares(RetryAllowance{});
-  EXPECT_EQ(TakeAll(shares), 0U);
+  ServiceRetryBudgets budgets(RetryAllowance{});
+  EXPECT_EQ(TakeAll(budgets), 0U);
   for (int call = 0; call < 100; ++call) {
-    shares.OnCall(kService);
+    budgets.OnCall(kService);
   }
-  EXPECT_EQ(TakeAll(shares), 1U);
+  EXPECT_EQ(TakeAll(budgets), 1U);
 }
 
 TEST(ServiceRetryBudgetsTest, ChangingHostCountAddsNoReserve)
 {
-  ServiceRetryBudgets shares(RetryAllowance{});
-  shares.SetHosts(9);
-  const std::uint64_t first = TakeAll(shares);
+  ServiceRetryBudgets budgets(RetryAllowance{});
+  budgets.SetHosts(9);
+  const std::uint64_t first = TakeAll(budgets);
   EXPECT_GT(first, 0U);
   for (const std::uint64_t hosts : { 8U, 9U, 3U, 1U, 9U }) {
-    shares.SetHosts(hosts);
-    EXPECT_EQ(TakeAll(shares), 0U);
+    budgets.SetHosts(hosts);
+    EXPECT_EQ(TakeAll(budgets), 0U);
   }
 }
 
 TEST(ServiceRetryBudgetsTest, ManyHostsCanStillRetryFromTheShareOfCalls)
 {
-  ServiceRetryBudgets shares(RetryAllowance{});
-  shares.SetHosts(1000);
+  ServiceRetryBudgets budgets(RetryAllowance{});
+  budgets.SetHosts(1000);
   std::uint64_t taken = 0;
   for (int call = 0; call < 100; ++call) {
-    shares.OnCall(kService);
-    taken += shares.Of(kService).TryTake() ? 1 : 0;
+    budgets.OnCall(kService);
+    taken += budgets.Of(kService).TryTake() ? 1 : 0;
   }
   EXPECT_GE(taken, 10U);
 }
@@ -78,16 +78,16 @@
 RC_GTEST_PROP(ServiceRetryBudgetsTest, RetriesStayBelowShareAndReserve, ())
 {
   const RetryAllowance allowance;
-  ServiceRetryBudgets shares(allowance);
-  shares.SetHosts(9);
+  ServiceRetryBudgets budgets(allowance);
+  budgets.SetHosts(9);
   const auto tries = *rc::gen::container<std::vector<bool>>(rc::gen::arbitrary<bool>());
   double calls = 0;
   double retries = 0;
   for (const bool retry : tries) {
     if (retry) {
-      retries += shares.Of(kService).TryTake() ? 1 : 0;
+      retries += budgets.Of(kService).TryTake() ? 1 : 0;
     } else {
-      shares.OnCall(kService);
+      budgets.OnCall(kService);
       calls += 1;
     }
   }
--- a/test/program/ExchangeTest.cpp
+++ b/test/program/ExchangeTest.cpp
@@ -98,7 +98,7 @@
   this->AddTarget("t", target.Address());
   const RequestFingerprint guilty =
     FingerprintOf(RequestIdentity{ {}, "h", "GET", "/once/guilty", "" });
-  this->crashes.Take(HostId("control"), CrashingRequests{ { guilty }, {} });
+  this->crashes.SetVerdicts(HostId("control"), CrashingRequests{ { guilty }, {} });
   this->Start();
   this->Call("/once/guilty");
   const std::string refused = this->Receive();
@@ -119,7 +119,7 @@
   this->AddTarget("t", target.Address());
   const RequestFingerprint suspected =
     FingerprintOf(RequestIdentity{ {}, "h", "GET", "/once/suspected", "" });
-  this->crashes.Take(HostId("control"), CrashingRequests{ {}, { suspected } });
+  this->crashes.SetVerdicts(HostId("control"), CrashingRequests{ {}, { suspected } });
   this->Start();
   this->Call("/once/suspected");
   EXPECT_NE(this->Receive().find("200 OK"), std::string::npos);
--- a/test/protocol/ClaimMachineTest.cpp
+++ b/test/protocol/ClaimMachineTest.cpp
@@ -21,7 +21,7 @@
   command.key = IdempotencyKey("key-" + std::to_string(aKey));
   command.attempt = AttemptId("attempt-" + std::to_string(aAttempt));
   command.body = Digest("body");
-  command.birth = kStart;
+  command.createdAt = kStart;
   command.retention = hours(48);
   command.lease = seconds(30);
   command.answer = KeptAnswer{ 200, "text/plain", "done" };
