--- a/include/damasklink/coordination/CrashRegistry.h
+++ b/include/damasklink/coordination/CrashLedger.h
@@ -1,6 +1,6 @@
 // Detects requests that crash the targets that run them; used on control hosts.
 //
-//   CrashRegistry registry(clock);
+//   CrashLedger registry(clock);
 //   registry.Add(reports);                   // From entry hosts and other control hosts.
 //   registry.AddSuccessfulRuns(runs);        // Requests that ran without a crash.
 //   registry.SetRefused(machine.Refused());  // From the replicated log.
@@ -24,7 +24,7 @@
 
 namespace damasklink {
 
-class CrashRegistry
+class CrashLedger
 {
 public:
   static constexpr std::size_t kCrashesToRefuse = 3;
@@ -40,7 +40,7 @@
   // A refused request is allowed again after this time, in case the fault in the target is fixed.
   static constexpr Duration kRefusalPeriod = std::chrono::hours(24);
 
-  explicit CrashRegistry(const Clock& aClock)
+  explicit CrashLedger(const Clock& aClock)
     : clock(aClock)
   {
   }
--- a/include/damasklink/coordination/CrashFilter.h
+++ b/include/damasklink/coordination/CrashWatch.h
@@ -1,6 +1,6 @@
 // Filters out requests that crash targets; used on entry hosts.
 //
-//   CrashFilter filter(clock);
+//   CrashWatch filter(clock);
 //   if (filter.IsActive() && filter.IsRefused(fingerprint)) { ... }
 //   filter.OnCrash(report);                  // A target crashed while it ran a request.
 //   filter.OnSuccessfulRun(run);             // A request ran without a crash.
@@ -18,7 +18,7 @@
 
 namespace damasklink {
 
-class CrashFilter
+class CrashWatch
 {
 public:
   // Reports are sent again to each new hub for this long, in case the previous hub failed before it
@@ -26,7 +26,7 @@
   static constexpr Duration kReportLifetime = std::chrono::seconds(10);
   static constexpr std::size_t kMaxReports = 1024;
 
-  explicit CrashFilter(const Clock& aClock)
+  explicit CrashWatch(const Clock& aClock)
     : clock(aClock)
   {
   }
--- a/include/damasklink/coordination/RateLimitAllocator.h
+++ b/include/damasklink/coordination/RateLimitAllocator.h
@@ -58,15 +58,15 @@
   // Ends the cold period of targets that are warm at aNow.
   void RemoveWarmTargets(MonotonicTime aNow);
 
-  // Removes the targets for which aIsPresent returns false.
-  void RetainOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsPresent);
+  // Removes the targets for which aIsThere returns false.
+  void KeepOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsThere);
 
   bool IsEmpty() const { return this->limits.empty(); }
 
   // Returns the share of each target and the hosts that get it.
   std::vector<TargetLimit> Shares(const std::set<HostId>& aEntryHosts) const;
 
-  // Returns the limits of all targets, for a control host that has just connected.
+  // Returns all limits that targets name, for a control host that was just connected.
   std::vector<LimitReport> All() const;
 
 private:
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -22,7 +22,7 @@
 
 #include "damasklink/coordination/EnginePace.h"
 #include "damasklink/coordination/HeldParts.h"
-#include "damasklink/coordination/InFlightLoadSum.h"
+#include "damasklink/coordination/SendsSum.h"
 #include "damasklink/coordination/ServingPicture.h"
 #include "damasklink/coordination/Target.h"
 #include "damasklink/coordination/TargetHealth.h"
@@ -224,7 +224,7 @@
   // What this host told of itself; the sums that come back contain it.
   absl::flat_hash_map<TargetId, LoadCounts> ownTold;
   // Sums by control host.
-  InFlightLoadSum told;
+  SendsSum told;
 };
 
 } // namespace damasklink
--- a/src/coordination/InterruptedRequests.cpp
+++ b/src/coordination/BrokenRuns.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/InterruptedRequests.h"
+#include "damasklink/coordination/BrokenRuns.h"
 
 #include <utility>
 
 namespace damasklink {
 
 void
-InterruptedRequests::RemoveExpired()
+BrokenRuns::RemoveExpired()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   while (!this->requests.empty() && now - this->requests.front().interruptedAt > kSilenceWindow) {
@@ -14,7 +14,7 @@
 }
 
 void
-InterruptedRequests::Add(CrashReport aReport, const Endpoint& aAddress)
+BrokenRuns::Add(CrashReport aReport, const Endpoint& aAddress)
 {
   this->RemoveExpired();
   if (this->requests.size() >= kMaxInterrupted) {
@@ -24,9 +24,7 @@
 }
 
 void
-InterruptedRequests::OnAnswered(const TargetId& aTarget,
-                                Incarnation aIncarnation,
-                                MonotonicTime aSentAt)
+BrokenRuns::OnAnswered(const TargetId& aTarget, Incarnation aIncarnation, MonotonicTime aSentAt)
 {
   std::erase_if(this->requests, [&](const Interrupted& aRequest) {
     return aRequest.report.target == aTarget && aRequest.report.incarnation == aIncarnation &&
@@ -36,7 +34,7 @@
 
 template<typename Matches>
 std::vector<CrashReport>
-InterruptedRequests::Take(const Matches& aMatches)
+BrokenRuns::Take(const Matches& aMatches)
 {
   this->RemoveExpired();
   std::vector<CrashReport> taken;
@@ -51,7 +49,7 @@
 }
 
 std::vector<CrashReport>
-InterruptedRequests::TakeConfirmedByStart(const TargetRecord& aStarted)
+BrokenRuns::TakeConfirmedByStart(const TargetRecord& aStarted)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   return this->Take([&](const Interrupted& aRequest) {
@@ -63,7 +61,7 @@
 }
 
 std::vector<CrashReport>
-InterruptedRequests::TakeConfirmedBySilence(const TargetRecord& aTarget)
+BrokenRuns::TakeConfirmedBySilence(const TargetRecord& aTarget)
 {
   return this->Take([&](const Interrupted& aRequest) {
     return aRequest.report.target == aTarget.id &&
--- a/src/coordination/StartupRetryDelay.cpp
+++ b/src/coordination/ComeBack.cpp
@@ -1,9 +1,9 @@
-#include "damasklink/coordination/StartupRetryDelay.h"
+#include "damasklink/coordination/ComeBack.h"
 
 namespace damasklink {
 
 Duration
-StartupRetryDelay::DelayDuringStartup(Duration aSinceStart)
+ComeBack::DelayDuringStartup(Duration aSinceStart)
 {
   if (aSinceStart >= kStartTakes) {
     return kLateStartupDelay;
--- a/src/coordination/CrashRegistry.cpp
+++ b/src/coordination/CrashLedger.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashRegistry.h"
+#include "damasklink/coordination/CrashLedger.h"
 
 #include <algorithm>
 #include <tuple>
@@ -6,7 +6,7 @@
 namespace damasklink {
 
 void
-CrashRegistry::Add(const std::vector<CrashReport>& aReports)
+CrashLedger::Add(const std::vector<CrashReport>& aReports)
 {
   for (const CrashReport& report : aReports) {
     if (!this->entries.contains(report.request) && this->entries.size() >= kMaxRequests) {
@@ -25,7 +25,7 @@
 // Evicts the request with the fewest crashes, and the oldest among these: requests that are sent
 // once must not evict those that are repeated.
 void
-CrashRegistry::EvictOne()
+CrashLedger::EvictOne()
 {
   const auto least = std::min_element(
     this->entries.begin(), this->entries.end(), [](const auto& aLeft, const auto& aRight) {
@@ -36,7 +36,7 @@
 }
 
 void
-CrashRegistry::AddSuccessfulRuns(const std::vector<SoundRun>& aRuns)
+CrashLedger::AddSuccessfulRuns(const std::vector<SoundRun>& aRuns)
 {
   for (const SoundRun& run : aRuns) {
     const auto found = this->entries.find(run.request);
@@ -55,7 +55,7 @@
 }
 
 void
-CrashRegistry::SetRefused(const RefusedRequests& aRefused)
+CrashLedger::SetRefused(const RefusedRequests& aRefused)
 {
   for (const auto& [request, facts] : this->refused) {
     if (!aRefused.contains(request)) {
@@ -68,14 +68,14 @@
 }
 
 bool
-CrashRegistry::ShouldRefuse(const Entry& aEntry) const
+CrashLedger::ShouldRefuse(const Entry& aEntry) const
 {
   return aEntry.crashed.size() >= kCrashesToRefuse &&
          this->clock.MonotonicNow() - aEntry.lastCrash >= kSettleTime;
 }
 
 CrashingRequests
-CrashRegistry::Verdicts() const
+CrashLedger::Verdicts() const
 {
   CrashingRequests verdicts;
   for (const auto& [request, facts] : this->refused) {
@@ -95,7 +95,7 @@
 }
 
 std::vector<RefuseRequest>
-CrashRegistry::ToRefuse() const
+CrashLedger::ToRefuse() const
 {
   std::vector<RefuseRequest> requests;
   for (const auto& [request, entry] : this->entries) {
@@ -107,7 +107,7 @@
 }
 
 std::vector<ReleaseRequest>
-CrashRegistry::ToRelease() const
+CrashLedger::ToRelease() const
 {
   std::vector<ReleaseRequest> requests;
   for (const auto& [request, facts] : this->refused) {
@@ -120,7 +120,7 @@
 }
 
 std::vector<CrashReport>
-CrashRegistry::All() const
+CrashLedger::All() const
 {
   std::vector<CrashReport> reports;
   for (const auto& [request, entry] : this->entries) {
--- a/src/coordination/CrashFilter.cpp
+++ b/src/coordination/CrashWatch.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashFilter.h"
+#include "damasklink/coordination/CrashWatch.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,7 +6,7 @@
 namespace damasklink {
 
 void
-CrashFilter::OnCrash(CrashReport aReport)
+CrashWatch::OnCrash(CrashReport aReport)
 {
   if (this->reports.size() >= kMaxReports) {
     this->reports.erase(this->reports.begin());
@@ -15,7 +15,7 @@
 }
 
 void
-CrashFilter::OnSuccessfulRun(const SoundRun& aRun)
+CrashWatch::OnSuccessfulRun(const SoundRun& aRun)
 {
   const auto isSameRequest = [&](const PendingReport& aPending) {
     return aPending.report.request == aRun.request && aPending.report.service == aRun.service;
@@ -27,7 +27,7 @@
 }
 
 void
-CrashFilter::SetVerdicts(const HostId& aFrom, const CrashingRequests& aVerdicts)
+CrashWatch::SetVerdicts(const HostId& aFrom, const CrashingRequests& aVerdicts)
 {
   std::erase_if(this->verdicts, [](const auto& aItem) { return !aItem.second.connected; });
   this->verdicts[aFrom] = Verdicts{ aVerdicts, true };
@@ -35,7 +35,7 @@
 }
 
 void
-CrashFilter::OnLost(const HostId& aHost)
+CrashWatch::OnLost(const HostId& aHost)
 {
   const auto found = this->verdicts.find(aHost);
   if (found == this->verdicts.end()) {
@@ -53,7 +53,7 @@
 }
 
 void
-CrashFilter::MergeVerdicts()
+CrashWatch::MergeVerdicts()
 {
   this->refused.clear();
   this->watched.clear();
@@ -67,7 +67,7 @@
 }
 
 void
-CrashFilter::ResendAll()
+CrashWatch::ResendAll()
 {
   for (PendingReport& pending : this->reports) {
     pending.sent = false;
@@ -75,7 +75,7 @@
 }
 
 std::vector<CrashReport>
-CrashFilter::TakeReports()
+CrashWatch::TakeReports()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   std::erase_if(this->reports, [&](const PendingReport& aPending) {
@@ -91,7 +91,7 @@
 }
 
 std::vector<SoundRun>
-CrashFilter::TakeSuccessfulRuns()
+CrashWatch::TakeSuccessfulRuns()
 {
   const std::set<SoundRun> taken = std::exchange(this->successfulRuns, {});
   return std::vector<SoundRun>(taken.begin(), taken.end());
--- a/src/coordination/RateLimitAllocator.cpp
+++ b/src/coordination/RateLimitAllocator.cpp
@@ -160,10 +160,10 @@
 }
 
 void
-RateLimitAllocator::RetainOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsPresent)
+RateLimitAllocator::KeepOnly(const std::function<bool(const TargetId&, Incarnation)>& aIsThere)
 {
   std::erase_if(this->limits, [&](const auto& aItem) {
-    return !aIsPresent(aItem.first, aItem.second.incarnation);
+    return !aIsThere(aItem.first, aItem.second.incarnation);
   });
 }
 
--- a/src/coordination/LoadReportAggregator.cpp
+++ b/src/coordination/SendsHub.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/LoadReportAggregator.h"
+#include "damasklink/coordination/SendsHub.h"
 
 #include <utility>
 
 namespace damasklink {
 
 void
-LoadReportAggregator::PendingUpdate::Add(const SendsNews& aReport)
+SendsHub::PendingUpdate::Add(const SendsNews& aReport)
 {
   for (const TargetSendsNow& entry : aReport.sends) {
     std::vector<SizedPart>& parts = this->sends[entry.target];
@@ -26,7 +26,7 @@
 }
 
 void
-LoadReportAggregator::PendingUpdate::MoveExcessesAndFindings(SendsNews& aTo)
+SendsHub::PendingUpdate::MoveExcessesAndFindings(SendsNews& aTo)
 {
   for (auto& [store, excess] : std::exchange(this->excesses, {})) {
     aTo.excesses.push_back(std::move(excess));
@@ -37,7 +37,7 @@
 }
 
 void
-LoadReportAggregator::Update(const SendsNews& aReport, MonotonicTime aNow)
+SendsHub::Update(const SendsNews& aReport, MonotonicTime aNow)
 {
   if (aReport.last) {
     this->Remove(aReport.host);
@@ -50,14 +50,14 @@
 }
 
 void
-LoadReportAggregator::UpdatePeerSum(const SendsNews& aReport, MonotonicTime aNow)
+SendsHub::UpdatePeerSum(const SendsNews& aReport, MonotonicTime aNow)
 {
   this->peerSums.Update(aReport, aNow);
   this->totals.Add(aReport);
 }
 
 void
-LoadReportAggregator::Remove(const HostId& aHost)
+SendsHub::Remove(const HostId& aHost)
 {
   if (this->publishers.erase(aHost) == 0) {
     return;
@@ -70,13 +70,13 @@
 }
 
 void
-LoadReportAggregator::RemovePeersSilentSince(MonotonicTime aTime)
+SendsHub::RemovePeersSilentSince(MonotonicTime aTime)
 {
   this->MarkTotalsChanged(this->peerSums.RemoveSilentSince(aTime));
 }
 
 void
-LoadReportAggregator::MarkTotalsChanged(const std::vector<TargetId>& aTargets)
+SendsHub::MarkTotalsChanged(const std::vector<TargetId>& aTargets)
 {
   for (const TargetId& target : aTargets) {
     this->totals.sends.try_emplace(target);
@@ -84,7 +84,7 @@
 }
 
 LoadCounts
-LoadReportAggregator::TotalOf(const TargetId& aTarget) const
+SendsHub::TotalOf(const TargetId& aTarget) const
 {
   LoadCounts total = this->sum.Of(aTarget);
   total += this->peerSums.Of(aTarget);
@@ -110,21 +110,21 @@
 } // namespace
 
 SendsNews
-LoadReportAggregator::TakeChanges(const HostId& aSelf)
+SendsHub::TakeChanges(const HostId& aSelf)
 {
   return DrainPending(
     this->changes, aSelf, [this](const TargetId& aTarget) { return this->sum.Of(aTarget); });
 }
 
 SendsNews
-LoadReportAggregator::TakeTotals(const HostId& aSelf)
+SendsHub::TakeTotals(const HostId& aSelf)
 {
   return DrainPending(
     this->totals, aSelf, [this](const TargetId& aTarget) { return this->TotalOf(aTarget); });
 }
 
 SendsNews
-LoadReportAggregator::AllTotals(const HostId& aSelf) const
+SendsHub::AllTotals(const HostId& aSelf) const
 {
   std::set<TargetId> targets;
   this->sum.AddTargets(targets);
--- a/src/coordination/InFlightLoadSum.cpp
+++ b/src/coordination/SendsSum.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/InFlightLoadSum.h"
+#include "damasklink/coordination/SendsSum.h"
 
 #include <algorithm>
 #include <utility>
@@ -24,7 +24,7 @@
 }
 
 void
-InFlightLoadSum::Update(const SendsNews& aReport, MonotonicTime aNow)
+SendsSum::Update(const SendsNews& aReport, MonotonicTime aNow)
 {
   Host& host = this->hosts[aReport.host];
   host.reportedAt = aNow;
@@ -45,7 +45,7 @@
 }
 
 void
-InFlightLoadSum::Subtract(const Host& aHost)
+SendsSum::Subtract(const Host& aHost)
 {
   for (const auto& [target, load] : aHost.loads) {
     LoadCounts& sum = this->sums[target];
@@ -57,7 +57,7 @@
 }
 
 std::vector<TargetId>
-InFlightLoadSum::Remove(const HostId& aHost)
+SendsSum::Remove(const HostId& aHost)
 {
   std::vector<TargetId> targets;
   const auto found = this->hosts.find(aHost);
@@ -73,7 +73,7 @@
 }
 
 std::vector<TargetId>
-InFlightLoadSum::RemoveSilentSince(MonotonicTime aTime)
+SendsSum::RemoveSilentSince(MonotonicTime aTime)
 {
   std::vector<HostId> silent;
   for (const auto& [name, host] : this->hosts) {
@@ -90,7 +90,7 @@
 }
 
 void
-InFlightLoadSum::AddTargets(std::set<TargetId>& aTo) const
+SendsSum::AddTargets(std::set<TargetId>& aTo) const
 {
   for (const auto& [target, load] : this->sums) {
     aTo.insert(target);
@@ -98,7 +98,7 @@
 }
 
 LoadCounts
-InFlightLoadSum::Of(const TargetId& aTarget) const
+SendsSum::Of(const TargetId& aTarget) const
 {
   const auto found = this->sums.find(aTarget);
   return found == this->sums.end() ? LoadCounts() : found->second;
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -141,7 +141,7 @@
   WeightsDesk weights;
   SettledWeights settled{ this->clock, kSettling };
   HostRoster roster{ this->settings.host, this->settings.zone };
-  CrashRegistry crashes{ this->clock };
+  CrashLedger crashes{ this->clock };
   RefusalDesk refusals{ this->loop, this->group, this->crashes };
   PictureTeller teller{ this->clock,  this->settings, this->group, this->stores, this->picture,
                         this->roster, this->crashes,  this->mesh,  this->account };
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -154,11 +154,11 @@
   TargetPicker picker;
   TargetChannelPool pool;
   StorePace pace;
-  StartupRetryDelay comeBack;
+  ComeBack comeBack;
   ReturnQueue returns;
   TargetCheck checks;
-  CrashFilter crashes;
-  InterruptedRequests broken;
+  CrashWatch crashes;
+  BrokenRuns broken;
   TargetRateLimiter limits;
   PeerMesh mesh;
   EntryContext context;
@@ -377,7 +377,7 @@
   }
   this->TellWhatChanged(changed);
   this->configuration.Step();
-  this->picker.ForgetSumsBefore(this->clock.MonotonicNow() - InFlightLoadSum::kSilenceLimit);
+  this->picker.ForgetSumsBefore(this->clock.MonotonicNow() - SendsSum::kSilenceLimit);
   this->sharing.expires_after(kShareStep);
   this->sharing.async_wait([this](const IoError& aError) {
     if (!aError) {
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -9,15 +9,15 @@
 #include "EntryPicture.h"
 #include "FirstConfiguration.h"
 #include "TargetCheck.h"
-#include "damasklink/coordination/CrashFilter.h"
+#include "damasklink/coordination/BrokenRuns.h"
+#include "damasklink/coordination/ComeBack.h"
+#include "damasklink/coordination/CrashWatch.h"
 #include "damasklink/coordination/EventFramer.h"
 #include "damasklink/coordination/ExchangePlan.h"
 #include "damasklink/coordination/HomeRegions.h"
-#include "damasklink/coordination/InterruptedRequests.h"
 #include "damasklink/coordination/RequestFingerprint.h"
 #include "damasklink/coordination/ReturnQueue.h"
 #include "damasklink/coordination/ServiceRetryBudgets.h"
-#include "damasklink/coordination/StartupRetryDelay.h"
 #include "damasklink/coordination/StorePace.h"
 #include "damasklink/coordination/TargetPicker.h"
 #include "damasklink/coordination/TargetRateLimiter.h"
@@ -44,11 +44,11 @@
   TargetPicker& picker;
   TargetChannelPool& pool;
   StorePace& pace;
-  StartupRetryDelay& comeBack;
+  ComeBack& comeBack;
   ReturnQueue& returns;
   TargetCheck& checks;
-  CrashFilter& crashes;
-  InterruptedRequests& broken;
+  CrashWatch& crashes;
+  BrokenRuns& broken;
   TargetRateLimiter& limits;
   MonotonicTime started;
   // Tells the other hosts at once what this one has sent.
--- a/src/program/ExchangeRecord.cpp
+++ b/src/program/ExchangeRecord.cpp
@@ -66,7 +66,7 @@
   if (underWay) {
     this->context.broken.Add(report, aTarget.endpoint);
   }
-  CrashFilter& watch = this->context.crashes;
+  CrashWatch& watch = this->context.crashes;
   this->context.checks.Run(aTarget, [&watch, report, underWay](EndProof aProof) {
     if (underWay || aProof == EndProof::Refused) {
       watch.OnCrash(report);
--- a/src/program/PictureTeller.cpp
+++ b/src/program/PictureTeller.cpp
@@ -33,7 +33,7 @@
                              const StoreWatcher& aStores,
                              ControlPicture& aPicture,
                              HostRoster& aRoster,
-                             CrashRegistry& aCrashes,
+                             CrashLedger& aCrashes,
                              PeerMesh& aMesh,
                              WorkAccount& aAccount)
   : clock(aClock)
@@ -271,7 +271,7 @@
   if (this->limits.IsEmpty() && this->toldLimits.empty()) {
     return;
   }
-  this->limits.RetainOnly([this](const TargetId& aTarget, Incarnation aIncarnation) {
+  this->limits.KeepOnly([this](const TargetId& aTarget, Incarnation aIncarnation) {
     const TargetRecord* record = this->picture.Registry().Find(aTarget);
     return record != nullptr && !record->leaving && record->incarnation <= aIncarnation;
   });
@@ -319,7 +319,7 @@
 PictureTeller::TellSends()
 {
   const WorkTimer timer(this->account, Work::Loads);
-  this->sends.RemovePeersSilentSince(this->clock.MonotonicNow() - InFlightLoadSum::kSilenceLimit);
+  this->sends.RemovePeersSilentSince(this->clock.MonotonicNow() - SendsSum::kSilenceLimit);
   SendsNews own = this->sends.TakeChanges(this->settings.host);
   own.urgent = std::exchange(this->ownUrgentWaits, false);
   own.crashes = std::exchange(this->untoldCrashes, {});
--- a/src/program/PictureTeller.h
+++ b/src/program/PictureTeller.h
@@ -10,12 +10,12 @@
 #include "ServingGroup.h"
 #include "StoreWatcher.h"
 #include "WorkAccount.h"
-#include "damasklink/coordination/CrashRegistry.h"
+#include "damasklink/coordination/CrashLedger.h"
 #include "damasklink/coordination/DocumentSource.h"
 #include "damasklink/coordination/HostRoster.h"
-#include "damasklink/coordination/LoadReportAggregator.h"
 #include "damasklink/coordination/RateLimitAllocator.h"
 #include "damasklink/coordination/RecentHosts.h"
+#include "damasklink/coordination/SendsHub.h"
 #include "damasklink/transport/PeerMesh.h"
 
 namespace damasklink {
@@ -31,7 +31,7 @@
                 const StoreWatcher& aStores,
                 ControlPicture& aPicture,
                 HostRoster& aRoster,
-                CrashRegistry& aCrashes,
+                CrashLedger& aCrashes,
                 PeerMesh& aMesh,
                 WorkAccount& aAccount);
 
@@ -90,10 +90,10 @@
   const StoreWatcher& stores;
   ControlPicture& picture;
   HostRoster& roster;
-  CrashRegistry& crashes;
+  CrashLedger& crashes;
   PeerMesh& mesh;
   WorkAccount& account;
-  LoadReportAggregator sends;
+  SendsHub sends;
   DocumentSource document;
   // When entry hosts were told totals last.
   MonotonicTime toldTotals;
--- a/src/program/RefusalDesk.h
+++ b/src/program/RefusalDesk.h
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "ServingGroup.h"
-#include "damasklink/coordination/CrashRegistry.h"
+#include "damasklink/coordination/CrashLedger.h"
 
 namespace damasklink {
 
@@ -13,7 +13,7 @@
 {
 public:
   // Requires that all outlive the loop's work.
-  RefusalDesk(asio::io_context& aLoop, ServingGroup& aGroup, CrashRegistry& aLedger)
+  RefusalDesk(asio::io_context& aLoop, ServingGroup& aGroup, CrashLedger& aLedger)
     : loop(aLoop)
     , group(aGroup)
     , ledger(aLedger)
@@ -28,7 +28,7 @@
 
   asio::io_context& loop;
   ServingGroup& group;
-  CrashRegistry& ledger;
+  CrashLedger& ledger;
   // Proposals are under way; the next ones wait for them.
   bool committing = false;
 };
--- a/test/coordination/InterruptedRequestsTest.cpp
+++ b/test/coordination/BrokenRunsTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/InterruptedRequests.h"
+#include "damasklink/coordination/BrokenRuns.h"
 
 #include <gtest/gtest.h>
 
@@ -29,14 +29,14 @@
                       Incarnation(aIncarnation) };
 }
 
-class InterruptedRequestsTest : public testing::Test
+class BrokenRunsTest : public testing::Test
 {
 protected:
   ManualClock clock;
-  InterruptedRequests requests{ this->clock };
+  BrokenRuns requests{ this->clock };
 };
 
-TEST_F(InterruptedRequestsTest, RestartUnderTheSameIdConfirmsTheCrash)
+TEST_F(BrokenRunsTest, RestartUnderTheSameIdConfirmsTheCrash)
 {
   this->requests.Add(Report(1), kAddress);
   EXPECT_TRUE(this->requests.TakeConfirmedByStart(Target("t", 1)).empty());
@@ -45,7 +45,7 @@
   EXPECT_TRUE(this->requests.IsEmpty());
 }
 
-TEST_F(InterruptedRequestsTest, AnotherIdAtTheSameAddressConfirmsTheCrash)
+TEST_F(BrokenRunsTest, AnotherIdAtTheSameAddressConfirmsTheCrash)
 {
   this->requests.Add(Report(1), kAddress);
   EXPECT_TRUE(
@@ -54,25 +54,25 @@
             std::vector<CrashReport>{ Report(1) });
 }
 
-TEST_F(InterruptedRequestsTest, LateStartConfirmsNothing)
+TEST_F(BrokenRunsTest, LateStartConfirmsNothing)
 {
   this->requests.Add(Report(1), kAddress);
-  this->clock.Advance(InterruptedRequests::kRestartWindow + milliseconds(1));
+  this->clock.Advance(BrokenRuns::kRestartWindow + milliseconds(1));
   EXPECT_TRUE(this->requests.TakeConfirmedByStart(Target("t", 2)).empty());
 }
 
-TEST_F(InterruptedRequestsTest, SilenceConfirmsTheCrash)
+TEST_F(BrokenRunsTest, SilenceConfirmsTheCrash)
 {
   this->requests.Add(Report(1), kAddress);
   this->requests.Add(Report(2, "u"), kAddress);
-  this->clock.Advance(InterruptedRequests::kSilenceWindow);
+  this->clock.Advance(BrokenRuns::kSilenceWindow);
   EXPECT_EQ(this->requests.TakeConfirmedBySilence(Target("t", 1)),
             std::vector<CrashReport>{ Report(1) });
   EXPECT_FALSE(this->requests.IsEmpty());
 }
 
 // A target may break or garble a single answer and keep running.
-TEST_F(InterruptedRequestsTest, AnswerToALaterRequestClearsTheTarget)
+TEST_F(BrokenRunsTest, AnswerToALaterRequestClearsTheTarget)
 {
   this->requests.Add(Report(1), kAddress);
   this->clock.Advance(milliseconds(1));
@@ -80,7 +80,7 @@
   EXPECT_TRUE(this->requests.TakeConfirmedBySilence(Target("t", 1)).empty());
 }
 
-TEST_F(InterruptedRequestsTest, AnswerToAnEarlierRequestClearsNothing)
+TEST_F(BrokenRunsTest, AnswerToAnEarlierRequestClearsNothing)
 {
   const MonotonicTime before = this->clock.MonotonicNow();
   this->clock.Advance(milliseconds(1));
@@ -89,13 +89,13 @@
   EXPECT_EQ(this->requests.TakeConfirmedBySilence(Target("t", 1)).size(), 1U);
 }
 
-TEST_F(InterruptedRequestsTest, KeepsNoMoreThanTheMaximum)
+TEST_F(BrokenRunsTest, KeepsNoMoreThanTheMaximum)
 {
-  for (std::uint64_t request = 0; request <= InterruptedRequests::kMaxInterrupted; ++request) {
+  for (std::uint64_t request = 0; request <= BrokenRuns::kMaxInterrupted; ++request) {
     this->requests.Add(Report(request), kAddress);
   }
   EXPECT_EQ(this->requests.TakeConfirmedBySilence(Target("t", 1)).size(),
-            InterruptedRequests::kMaxInterrupted);
+            BrokenRuns::kMaxInterrupted);
 }
 
 } // namespace
--- a/test/coordination/CrashRegistryTest.cpp
+++ b/test/coordination/CrashLedgerTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashRegistry.h"
+#include "damasklink/coordination/CrashLedger.h"
 
 #include <gtest/gtest.h>
 
@@ -20,18 +20,18 @@
   };
 }
 
-class CrashRegistryTest : public testing::Test
+class CrashLedgerTest : public testing::Test
 {
 protected:
   bool IsRefused() const { return this->registry.Verdicts().refused.contains(kRequest); }
 
-  void PassSettleTime() { this->clock.Advance(CrashRegistry::kSettleTime); }
+  void PassSettleTime() { this->clock.Advance(CrashLedger::kSettleTime); }
 
   ManualClock clock;
-  CrashRegistry registry{ this->clock };
+  CrashLedger registry{ this->clock };
 };
 
-TEST_F(CrashRegistryTest, RefusesRequestAfterThreeCrashesAndTheSettleTime)
+TEST_F(CrashLedgerTest, RefusesRequestAfterThreeCrashesAndTheSettleTime)
 {
   this->registry.Add({ Crash("a"), Crash("b") });
   this->PassSettleTime();
@@ -45,7 +45,7 @@
   EXPECT_EQ(this->registry.ToRefuse()[0].facts.workspace, kWorkspace);
 }
 
-TEST_F(CrashRegistryTest, CrashReportedBySeveralHostsCountsOnce)
+TEST_F(CrashLedgerTest, CrashReportedBySeveralHostsCountsOnce)
 {
   this->registry.Add({ Crash("a"), Crash("a"), Crash("b") });
   this->registry.Add({ Crash("b"), Crash("a") });
@@ -53,14 +53,14 @@
   EXPECT_FALSE(this->IsRefused());
 }
 
-TEST_F(CrashRegistryTest, IncarnationsOfOneTargetCountSeparately)
+TEST_F(CrashLedgerTest, IncarnationsOfOneTargetCountSeparately)
 {
   this->registry.Add({ Crash("a", kRequest, 1), Crash("a", kRequest, 2), Crash("a", kRequest, 3) });
   this->PassSettleTime();
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashRegistryTest, SuccessfulRunResetsTheCount)
+TEST_F(CrashLedgerTest, SuccessfulRunResetsTheCount)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
   this->registry.AddSuccessfulRuns({ kSuccessfulRun });
@@ -69,7 +69,7 @@
   EXPECT_FALSE(this->IsRefused());
 }
 
-TEST_F(CrashRegistryTest, SuccessfulRunAtAnotherServiceClearsNothing)
+TEST_F(CrashLedgerTest, SuccessfulRunAtAnotherServiceClearsNothing)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
   this->registry.AddSuccessfulRuns({ SoundRun{ kRequest, ServiceName("another") } });
@@ -77,7 +77,7 @@
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashRegistryTest, LaterCrashesDoNotDelayTheRefusal)
+TEST_F(CrashLedgerTest, LaterCrashesDoNotDelayTheRefusal)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
   this->PassSettleTime();
@@ -85,14 +85,14 @@
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashRegistryTest, CommittedRefusalHoldsWithoutReports)
+TEST_F(CrashLedgerTest, CommittedRefusalHoldsWithoutReports)
 {
   this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
   EXPECT_TRUE(this->IsRefused());
   EXPECT_TRUE(this->registry.ToRelease().empty());
 }
 
-TEST_F(CrashRegistryTest, SuccessfulRunReleasesARefusedRequest)
+TEST_F(CrashLedgerTest, SuccessfulRunReleasesARefusedRequest)
 {
   this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
   this->registry.AddSuccessfulRuns({ kSuccessfulRun });
@@ -102,7 +102,7 @@
   EXPECT_TRUE(this->registry.ToRelease().empty());
 }
 
-TEST_F(CrashRegistryTest, ReleasedRequestMustCrashThreeTargetsAgain)
+TEST_F(CrashLedgerTest, ReleasedRequestMustCrashThreeTargetsAgain)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
   this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
@@ -112,29 +112,29 @@
   EXPECT_FALSE(this->IsRefused());
 }
 
-TEST_F(CrashRegistryTest, RefusalExpires)
+TEST_F(CrashLedgerTest, RefusalExpires)
 {
   this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
-  this->clock.Advance(CrashRegistry::kRefusalPeriod);
+  this->clock.Advance(CrashLedger::kRefusalPeriod);
   EXPECT_EQ(this->registry.ToRelease().size(), 1U);
 }
 
-TEST_F(CrashRegistryTest, EvictsRequestsWithFewestCrashesFirst)
+TEST_F(CrashLedgerTest, EvictsRequestsWithFewestCrashesFirst)
 {
   this->registry.Add({ Crash("a"), Crash("b") });
-  for (std::uint64_t other = 0; other < 2 * CrashRegistry::kMaxRequests; ++other) {
+  for (std::uint64_t other = 0; other < 2 * CrashLedger::kMaxRequests; ++other) {
     this->registry.Add({ Crash("x", RequestFingerprint(1000 + other)) });
   }
-  EXPECT_EQ(this->registry.All().size(), CrashRegistry::kMaxRequests + 1);
+  EXPECT_EQ(this->registry.All().size(), CrashLedger::kMaxRequests + 1);
   this->registry.Add({ Crash("c") });
   this->PassSettleTime();
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashRegistryTest, ReportsOfAllRestoreAnotherControlHost)
+TEST_F(CrashLedgerTest, ReportsOfAllRestoreAnotherControlHost)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
-  CrashRegistry other(this->clock);
+  CrashLedger other(this->clock);
   other.Add(this->registry.All());
   this->PassSettleTime();
   EXPECT_EQ(other.Verdicts(), this->registry.Verdicts());
--- a/test/coordination/CrashModelTest.cpp
+++ b/test/coordination/CrashModelTest.cpp
@@ -8,8 +8,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "damasklink/coordination/CrashFilter.h"
-#include "damasklink/coordination/CrashRegistry.h"
+#include "damasklink/coordination/CrashLedger.h"
+#include "damasklink/coordination/CrashWatch.h"
 
 namespace damasklink {
 namespace {
@@ -78,9 +78,9 @@
     {
     }
 
-    CrashFilter& Filter() { return *this->instance; }
+    CrashWatch& Filter() { return *this->instance; }
 
-    std::optional<CrashFilter> instance;
+    std::optional<CrashWatch> instance;
     std::size_t hub = 0;
     MonotonicTime downUntil;
     // Whether control hosts have sent it their verdicts since it started.
@@ -94,10 +94,10 @@
     {
     }
 
-    CrashRegistry& Registry() { return *this->instance; }
+    CrashLedger& Registry() { return *this->instance; }
 
     HostId host;
-    std::optional<CrashRegistry> instance;
+    std::optional<CrashLedger> instance;
     CrashingRequests sentVerdicts;
     MonotonicTime downUntil;
   };
@@ -196,7 +196,7 @@
     if (isInformed && this->thirdCrash && this->Now() > *this->thirdCrash + kDetectionTime) {
       ++this->repeatsAfterDetection;
     }
-    if (++this->crashes == static_cast<int>(CrashRegistry::kCrashesToRefuse)) {
+    if (++this->crashes == static_cast<int>(CrashLedger::kCrashesToRefuse)) {
       this->thirdCrash = this->Now();
     }
     this->Crash(target, &entry);
@@ -291,7 +291,7 @@
 
   void TakeReport(const Message& aMessage)
   {
-    CrashRegistry& registry = this->controls[aMessage.to].Registry();
+    CrashLedger& registry = this->controls[aMessage.to].Registry();
     registry.Add(aMessage.report.crashes);
     registry.AddSuccessfulRuns(aMessage.report.sound);
     for (std::size_t other = 0; aMessage.fromEntry && other < this->controls.size(); ++other) {
--- a/test/coordination/RateLimitAllocatorTest.cpp
+++ b/test/coordination/RateLimitAllocatorTest.cpp
@@ -82,11 +82,11 @@
   EXPECT_EQ(allocator.All(), std::vector<LimitReport>{ Report(4, 2) });
 }
 
-TEST(RateLimitAllocatorTest, RetainOnlyRemovesOtherTargets)
+TEST(RateLimitAllocatorTest, KeepOnlyRemovesOtherTargets)
 {
   RateLimitAllocator allocator;
   allocator.Update({ Report(4) });
-  allocator.RetainOnly([](const TargetId&, Incarnation) { return false; });
+  allocator.KeepOnly([](const TargetId&, Incarnation) { return false; });
   EXPECT_TRUE(allocator.IsEmpty());
 }
 
--- a/test/coordination/LoadReportAggregatorTest.cpp
+++ b/test/coordination/SendsHubTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/LoadReportAggregator.h"
+#include "damasklink/coordination/SendsHub.h"
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
   };
 }
 
-class LoadReportAggregatorTest : public testing::Test
+class SendsHubTest : public testing::Test
 {
 protected:
   void Update(const std::string& aHost, std::vector<TargetSendsNow> aLoads)
@@ -25,10 +25,10 @@
   }
 
   ManualClock clock;
-  LoadReportAggregator aggregator;
+  SendsHub aggregator;
 };
 
-TEST_F(LoadReportAggregatorTest, AddsUpTheLoadOfHosts)
+TEST_F(SendsHubTest, AddsUpTheLoadOfHosts)
 {
   this->Update("x", { Load("a", 2) });
   this->Update("y", { Load("a", 3), Load("b", 1) });
@@ -37,7 +37,7 @@
   EXPECT_EQ(report.sends, (std::vector<TargetSendsNow>{ Load("a", 5), Load("b", 1) }));
 }
 
-TEST_F(LoadReportAggregatorTest, TakeChangesReturnsOnlyChangedTargets)
+TEST_F(SendsHubTest, TakeChangesReturnsOnlyChangedTargets)
 {
   this->Update("x", { Load("a", 2), Load("b", 1) });
   this->aggregator.TakeChanges(kSelf);
@@ -46,14 +46,14 @@
   EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Load("b", 4) });
 }
 
-TEST_F(LoadReportAggregatorTest, LaterUpdateOfAHostReplacesEarlierOnes)
+TEST_F(SendsHubTest, LaterUpdateOfAHostReplacesEarlierOnes)
 {
   this->Update("x", { Load("a", 2) });
   this->Update("x", { Load("a", 1) });
   EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Load("a", 1) });
 }
 
-TEST_F(LoadReportAggregatorTest, RemovingAHostSubtractsItsLoad)
+TEST_F(SendsHubTest, RemovingAHostSubtractsItsLoad)
 {
   this->Update("x", { Load("a", 2) });
   this->Update("y", { Load("a", 3) });
@@ -63,7 +63,7 @@
   EXPECT_EQ(this->aggregator.Publishers(), std::set<HostId>{ HostId("y") });
 }
 
-TEST_F(LoadReportAggregatorTest, LastUpdateOfAHostRemovesIt)
+TEST_F(SendsHubTest, LastUpdateOfAHostRemovesIt)
 {
   this->Update("x", { Load("a", 2) });
   this->aggregator.Update(SendsNews{ HostId("x"), {}, {}, {}, true }, this->clock.MonotonicNow());
@@ -71,7 +71,7 @@
   EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Load("a", 0) });
 }
 
-TEST_F(LoadReportAggregatorTest, AddsUpStoreExcessesOnce)
+TEST_F(SendsHubTest, AddsUpStoreExcessesOnce)
 {
   this->aggregator.Update(SendsNews{ HostId("x"), {}, { StoreExcess{ "s", 2, 10 } }, {}, false },
                           this->clock.MonotonicNow());
@@ -82,7 +82,7 @@
   EXPECT_TRUE(this->aggregator.TakeChanges(kSelf).excesses.empty());
 }
 
-TEST_F(LoadReportAggregatorTest, ReturnsPartsOfAllHostsOnce)
+TEST_F(SendsHubTest, ReturnsPartsOfAllHostsOnce)
 {
   TargetSendsNow first = Load("a", 1);
   first.parts = { SizedPart{ PartKey(1), TokenCount(800) } };
@@ -97,7 +97,7 @@
   EXPECT_TRUE(this->aggregator.TakeChanges(kSelf).sends.front().parts.empty());
 }
 
-TEST_F(LoadReportAggregatorTest, TotalsIncludeOtherControlHosts)
+TEST_F(SendsHubTest, TotalsIncludeOtherControlHosts)
 {
   this->Update("x", { Load("a", 2) });
   this->aggregator.UpdatePeerSum(
@@ -110,7 +110,7 @@
   EXPECT_TRUE(this->aggregator.TakeTotals(kSelf).sends.empty());
 }
 
-TEST_F(LoadReportAggregatorTest, RemovingASilentControlHostSubtractsItsLoad)
+TEST_F(SendsHubTest, RemovingASilentControlHostSubtractsItsLoad)
 {
   this->Update("x", { Load("a", 2) });
   this->aggregator.UpdatePeerSum(SendsNews{ HostId("north"), { Load("a", 5) }, {}, {}, false },
@@ -121,7 +121,7 @@
   EXPECT_EQ(this->aggregator.TakeTotals(kSelf).sends, std::vector<TargetSendsNow>{ Load("a", 2) });
 }
 
-TEST_F(LoadReportAggregatorTest, AllTotalsContainEveryTargetInUse)
+TEST_F(SendsHubTest, AllTotalsContainEveryTargetInUse)
 {
   this->Update("x", { Load("a", 2) });
   this->aggregator.UpdatePeerSum(SendsNews{ HostId("north"), { Load("b", 1) }, {}, {}, false },
@@ -131,7 +131,7 @@
             (std::vector<TargetSendsNow>{ Load("a", 2), Load("b", 1) }));
 }
 
-TEST_F(LoadReportAggregatorTest, ReturnsFindingsOfAllHostsOnce)
+TEST_F(SendsHubTest, ReturnsFindingsOfAllHostsOnce)
 {
   this->aggregator.Update(
     SendsNews{ HostId("x"), {}, {}, { TargetFindings{ TargetId("a"), 1, 0 } }, false },
@@ -147,13 +147,13 @@
 // 195 entry hosts in five zones with one control host each, and 98 targets. Each entry host reports
 // changes at some targets. The totals that an entry host gets contain each target once, whatever
 // the number of hosts.
-TEST(LoadReportAggregatorLoadTest, TotalsDoNotGrowWithTheNumberOfHosts)
+TEST(SendsHubLoadTest, TotalsDoNotGrowWithTheNumberOfHosts)
 {
   constexpr int kTargets = 98;
   constexpr int kControlHosts = 5;
   const auto sizeOfTotals = [](int aEntryHosts) {
     ManualClock clock;
-    std::vector<LoadReportAggregator> controlHosts(kControlHosts);
+    std::vector<SendsHub> controlHosts(kControlHosts);
     for (int host = 0; host < aEntryHosts; ++host) {
       SendsNews report;
       report.host = HostId("entry-" + std::to_string(host));
--- a/test/coordination/TargetRateLimiterTest.cpp
+++ b/test/coordination/TargetRateLimiterTest.cpp
@@ -26,48 +26,48 @@
     if (aPerSecond) {
       limit = RequestRate{ *aPerSecond };
     }
-    this->limiter.OnAnswer(this->record, limit, this->clock.MonotonicNow() - aTook);
+    this->limits.OnAnswer(this->record, limit, this->clock.MonotonicNow() - aTook);
   }
 
   void SetShare(double aShare, const std::set<HostId>& aHosts = { kSelf })
   {
-    this->limiter.SetShares(
+    this->limits.SetShares(
       { TargetLimit{ kTarget, Incarnation(1), RequestRate{ 4 }, RequestRate{ aShare }, aHosts } });
   }
 
   ManualClock clock;
-  TargetRateLimiter limiter{ this->clock, kSelf };
+  TargetRateLimiter limits{ this->clock, kSelf };
   TargetRecord record;
 };
 
 TEST_F(TargetRateLimiterTest, SendsNothingBeforeItHasAShare)
 {
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
   this->Answer(4);
   this->clock.Advance(seconds(20));
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
-  EXPECT_EQ(this->limiter.TakeReports(),
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
+  EXPECT_EQ(this->limits.TakeReports(),
             (std::vector<LimitReport>{ { kTarget, Incarnation(1), RequestRate{ 4 } } }));
 }
 
 TEST_F(TargetRateLimiterTest, ShareStartsEmptyAndDoesNotAccumulate)
 {
   this->SetShare(2);
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
   this->clock.Advance(milliseconds(500));
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
   this->clock.Advance(seconds(60));
-  this->limiter.OnSent(kTarget);
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
-  EXPECT_EQ(this->limiter.TimeUntilPermit({ this->record }), milliseconds(500));
+  this->limits.OnSent(kTarget);
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
+  EXPECT_EQ(this->limits.TimeUntilPermit({ this->record }), milliseconds(500));
 }
 
 TEST_F(TargetRateLimiterTest, DoesNotUseSharesOfOtherHosts)
 {
   this->SetShare(2, { HostId("other") });
   this->clock.Advance(seconds(20));
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
-  EXPECT_EQ(this->limiter.TimeUntilPermit({ this->record }), std::nullopt);
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
+  EXPECT_EQ(this->limits.TimeUntilPermit({ this->record }), std::nullopt);
 }
 
 TEST_F(TargetRateLimiterTest, RepeatedSharesDoNotRefillPermits)
@@ -76,10 +76,10 @@
   for (int repeat = 0; repeat < 100; ++repeat) {
     this->SetShare(1);
   }
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
   this->clock.Advance(seconds(1));
   this->SetShare(1);
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
 TEST_F(TargetRateLimiterTest, AnswerToAnEarlierRequestDoesNotLiftTheLimit)
@@ -87,36 +87,36 @@
   this->Answer(4);
   this->clock.Advance(seconds(1));
   this->Answer(std::nullopt, seconds(5));
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
   this->Answer(std::nullopt, milliseconds(100));
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
-  EXPECT_EQ(this->limiter.TakeReports(),
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
+  EXPECT_EQ(this->limits.TakeReports(),
             (std::vector<LimitReport>{ { kTarget, Incarnation(1), std::nullopt } }));
 }
 
 TEST_F(TargetRateLimiterTest, SharesOlderThanTheReportDoNotLiftTheLimit)
 {
   this->Answer(4);
-  this->limiter.SetShares({});
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
+  this->limits.SetShares({});
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
   this->clock.Advance(TargetRateLimiter::kReportInFlight);
-  this->limiter.SetShares({});
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
+  this->limits.SetShares({});
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
 TEST_F(TargetRateLimiterTest, ResendAllQueuesEveryKnownLimit)
 {
   this->SetShare(2);
-  EXPECT_TRUE(this->limiter.TakeReports().empty());
-  this->limiter.ResendAll();
-  EXPECT_EQ(this->limiter.TakeReports().size(), 1U);
+  EXPECT_TRUE(this->limits.TakeReports().empty());
+  this->limits.ResendAll();
+  EXPECT_EQ(this->limits.TakeReports().size(), 1U);
 }
 
 TEST_F(TargetRateLimiterTest, RestartRemovesTheLimit)
 {
   this->Answer(4);
-  this->limiter.OnRestart(kTarget);
-  EXPECT_TRUE(this->limiter.IsEmpty());
+  this->limits.OnRestart(kTarget);
+  EXPECT_TRUE(this->limits.IsEmpty());
 }
 
 constexpr Duration kColdFor = seconds(3);
@@ -131,79 +131,79 @@
 
 TEST_F(TargetRateLimiterTest, SendsNothingToAColdTargetWithoutAShare)
 {
-  this->limiter.OnCold(this->record, kColdFor);
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
-  EXPECT_EQ(this->limiter.TimeUntilPermit({ this->record }), kColdFor);
+  this->limits.OnCold(this->record, kColdFor);
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
+  EXPECT_EQ(this->limits.TimeUntilPermit({ this->record }), kColdFor);
   this->clock.Advance(kColdFor);
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
-  EXPECT_TRUE(this->limiter.TakeReports().empty());
-  EXPECT_TRUE(this->limiter.IsEmpty());
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
+  EXPECT_TRUE(this->limits.TakeReports().empty());
+  EXPECT_TRUE(this->limits.IsEmpty());
 }
 
 TEST_F(TargetRateLimiterTest, SpendsShareOfAColdTargetEvenly)
 {
-  this->limiter.OnCold(this->record, kColdFor);
-  this->limiter.SetShares({ ColdShare(2, { kSelf }) });
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
-  this->limiter.OnSent(kTarget);
+  this->limits.OnCold(this->record, kColdFor);
+  this->limits.SetShares({ ColdShare(2, { kSelf }) });
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
+  this->limits.OnSent(kTarget);
   this->clock.Advance(milliseconds(499));
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
   this->clock.Advance(milliseconds(1));
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
 TEST_F(TargetRateLimiterTest, HostsStartSendingToAColdTargetInTurn)
 {
-  this->limiter.SetShares({ ColdShare(1, { HostId("a"), HostId("b"), HostId("c"), kSelf }) });
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
+  this->limits.SetShares({ ColdShare(1, { HostId("a"), HostId("b"), HostId("c"), kSelf }) });
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
   this->clock.Advance(milliseconds(750));
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
 // A share that is moved to another host and back must not start with new permits each time.
 TEST_F(TargetRateLimiterTest, ReturnedShareDoesNotRefillPermits)
 {
-  this->limiter.SetShares({ ColdShare(1, { kSelf }) });
-  this->limiter.OnSent(kTarget);
-  this->limiter.SetShares({ ColdShare(1, { HostId("other") }) });
-  this->limiter.SetShares({ ColdShare(1, { kSelf }) });
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
+  this->limits.SetShares({ ColdShare(1, { kSelf }) });
+  this->limits.OnSent(kTarget);
+  this->limits.SetShares({ ColdShare(1, { HostId("other") }) });
+  this->limits.SetShares({ ColdShare(1, { kSelf }) });
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
 }
 
 TEST_F(TargetRateLimiterTest, SharesWithoutTheColdTargetKeepItLimited)
 {
-  this->limiter.OnCold(this->record, kColdFor);
-  this->limiter.SetShares({});
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
+  this->limits.OnCold(this->record, kColdFor);
+  this->limits.SetShares({});
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
 }
 
 TEST_F(TargetRateLimiterTest, AnswerWithoutLimitDoesNotEndTheColdPeriod)
 {
-  this->limiter.OnCold(this->record, kColdFor);
+  this->limits.OnCold(this->record, kColdFor);
   this->clock.Advance(milliseconds(10));
   this->Answer(std::nullopt);
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
-  EXPECT_TRUE(this->limiter.TakeReports().empty());
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
+  EXPECT_TRUE(this->limits.TakeReports().empty());
 }
 
 // All shares are sent whenever one of them changes, which must not restart the cold period.
 TEST_F(TargetRateLimiterTest, RepeatedSharesDoNotExtendTheColdPeriod)
 {
-  this->limiter.OnCold(this->record, kColdFor);
-  this->limiter.SetShares({ ColdShare(1, { kSelf }) });
+  this->limits.OnCold(this->record, kColdFor);
+  this->limits.SetShares({ ColdShare(1, { kSelf }) });
   this->clock.Advance(kColdFor - milliseconds(1));
-  this->limiter.SetShares({ ColdShare(1, { kSelf }) });
-  this->limiter.OnSent(kTarget);
+  this->limits.SetShares({ ColdShare(1, { kSelf }) });
+  this->limits.OnSent(kTarget);
   this->clock.Advance(milliseconds(1));
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
 TEST_F(TargetRateLimiterTest, NewHostLearnsOfAColdTargetFromShares)
 {
-  this->limiter.SetShares({ ColdShare(1, { HostId("other") }) });
-  EXPECT_FALSE(this->limiter.MaySend(kTarget));
+  this->limits.SetShares({ ColdShare(1, { HostId("other") }) });
+  EXPECT_FALSE(this->limits.MaySend(kTarget));
   this->clock.Advance(kColdFor);
-  EXPECT_TRUE(this->limiter.MaySend(kTarget));
+  EXPECT_TRUE(this->limits.MaySend(kTarget));
 }
 
 } // namespace
--- a/test/program/ExchangeFixture.h
+++ b/test/program/ExchangeFixture.h
@@ -219,11 +219,11 @@
   TargetPicker picker{ this->health, this->reach, 1 };
   TargetChannelPool pool{ this->clock };
   StorePace pace{ 1 };
-  StartupRetryDelay comeBack{ 1 };
+  ComeBack comeBack{ 1 };
   ReturnQueue returns{ this->clock, 1 };
   TargetCheck checks{ this->loop, this->clock };
-  CrashFilter crashes{ this->clock };
-  InterruptedRequests broken{ this->clock };
+  CrashWatch crashes{ this->clock };
+  BrokenRuns broken{ this->clock };
   HostId self{ "entry" };
   TargetRateLimiter limits{ this->clock, this->self };
   EntryContext context{ this->loop,
