--- a/include/damasklink/coordination/ClaimRegistry.h
+++ b/include/damasklink/coordination/ClaimRegistry.h
@@ -93,7 +93,9 @@
   Released = 4, // Not run; another attempt may run.
 };
 
+// Digest of workspace and key.
 using ClaimName = std::array<std::uint8_t, 32>;
+// Truncated digest that stands for a body or an attempt.
 using ClaimTag = std::array<std::uint8_t, 16>;
 
 // An answer and the log index that orders answers for dropping.
--- a/include/damasklink/coordination/CrashLedger.h
+++ b/include/damasklink/coordination/CrashLedger.h
@@ -46,7 +46,10 @@
   }
 
   void Add(const std::vector<CrashReport>& aReports);
+  // Removes the crashes at the service of each run, and marks refused requests for release.
   void AddSuccessfulRuns(const std::vector<SoundRun>& aRuns);
+  // Sets the requests that the replicated log refuses. Those that are missing now were released and
+  // are counted from zero again.
   void SetRefused(const RefusedRequests& aRefused);
 
   // Returns the refused and suspected requests for entry hosts. Requests that only this host finds
--- a/include/damasklink/coordination/RateLimitAllocator.h
+++ b/include/damasklink/coordination/RateLimitAllocator.h
@@ -6,11 +6,11 @@
 //   allocator.RemoveWarmTargets(now);
 //   allocator.Shares(allEntryHosts);           // For entry hosts.
 //
-// The limit of a target applies to all hosts together and may be a few requests per second for
-// hundreds of hosts. A part for each host would be too small to use, and a burst of one request
-// from each host would exceed what the target accepts. So a few hosts are chosen for each target by
-// rendezvous hashing: all control hosts choose the same ones without coordination, and the loss of
-// a host moves only its own share. Not thread-safe.
+// A target's limit applies to all hosts together and may be a few requests per second for hundreds
+// of hosts. A part for each host would be too small to use, and a burst of one request from each
+// would exceed what the target accepts. So a few hosts are chosen for each target, by rendezvous
+// hashing: all control hosts choose the same ones without asking each other, and the loss of a host
+// moves only its own share. Not thread-safe.
 #pragma once
 
 #include <functional>
--- a/include/damasklink/coordination/ServiceRetryBudgets.h
+++ b/include/damasklink/coordination/ServiceRetryBudgets.h
@@ -36,7 +36,7 @@
   }
 
   // Sets the number of entry hosts that share the budget. Zero means unknown and gives no reserve.
-  // Only the first call grants a full reserve: changes of the number must not grant a new one.
+  // Only the first known number grants a full reserve: later changes must not grant a new one.
   void SetHosts(std::uint64_t aHosts);
 
   void OnCall(const ServiceName& aService) { this->Of(aService).OnRequest(); }
--- a/src/coordination/AdmissionQueue.cpp
+++ b/src/coordination/AdmissionQueue.cpp
@@ -14,7 +14,7 @@
 constexpr int kDeviations = 2;
 // Limits how far use on other hosts moves a workspace's virtual finish time ahead, in requests of
 // cost 1. Without it a workspace would wait for long after the others have stopped sending.
-constexpr double kMaxDebt = 64;
+constexpr double kMaxLead = 64;
 // Beyond this number, accounts that are idle and not ahead of virtual time are removed.
 constexpr std::size_t kMaxIdleAccounts = 4096;
 
@@ -236,7 +236,7 @@
   Account& account = this->accounts[aWorkspace];
   const double finishTime =
     this->StartTimeOf(aWorkspace) + aCost / static_cast<double>(account.share);
-  account.finishTime = std::min(finishTime, this->virtualTime + kMaxDebt);
+  account.finishTime = std::min(finishTime, this->virtualTime + kMaxLead);
 }
 
 std::vector<AdmissionDecision>
--- a/test/coordination/RateLimitAllocatorTest.cpp
+++ b/test/coordination/RateLimitAllocatorTest.cpp
@@ -19,9 +19,9 @@
 }
 
 LimitReport
-Report(std::optional<double> aPerSecond, std::uint64_t aIncarnation = 1)
+Report(std::optional<double> aPerSecond, std::uint64_t aStart = 1)
 {
-  LimitReport report{ kTarget, Incarnation(aIncarnation), std::nullopt };
+  LimitReport report{ kTarget, Incarnation(aStart), std::nullopt };
   if (aPerSecond) {
     report.limit = RequestRate{ *aPerSecond };
   }
