--- a/src/coordination/CrashLedger.cpp
+++ b/src/coordination/CrashLedger.cpp
@@ -15,8 +15,8 @@
     Entry& entry = this->entries[report.request];
     entry.workspace = report.workspace;
     const bool counts = entry.crashed.size() < kCrashesToRefuse;
-    const TargetIncarnation start{ report.target, report.incarnation };
-    if (counts && entry.crashed.emplace(start, report.service).second) {
+    const TargetIncarnation incarnation{ report.target, report.incarnation };
+    if (counts && entry.crashed.emplace(incarnation, report.service).second) {
       entry.lastCrash = this->clock.MonotonicNow();
     }
   }
@@ -124,9 +124,9 @@
 {
   std::vector<CrashReport> reports;
   for (const auto& [request, entry] : this->entries) {
-    for (const auto& [start, service] : entry.crashed) {
+    for (const auto& [incarnation, service] : entry.crashed) {
       reports.push_back(
-        CrashReport{ request, entry.workspace, service, start.first, start.second });
+        CrashReport{ request, entry.workspace, service, incarnation.first, incarnation.second });
     }
   }
   return reports;
--- a/test/coordination/ColdModelTest.cpp
+++ b/test/coordination/ColdModelTest.cpp
@@ -319,18 +319,18 @@
       this->Now());
     for (std::size_t to = 0; to < this->entries.size(); ++to) {
       if (this->entries[to].hub == aMessage.to) {
-        Message sentShares = aMessage;
-        sentShares.to = to;
-        sentShares.toControl = false;
-        this->Post(sentShares);
+        Message forwarded = aMessage;
+        forwarded.to = to;
+        forwarded.toControl = false;
+        this->Post(forwarded);
       }
     }
     for (std::size_t other = 0; aMessage.fromTarget && other < this->controls.size(); ++other) {
       if (other != aMessage.to && this->CanReach(aMessage.to, other)) {
-        Message sentShares = aMessage;
-        sentShares.to = other;
-        sentShares.fromTarget = false;
-        this->Post(sentShares);
+        Message forwarded = aMessage;
+        forwarded.to = other;
+        forwarded.fromTarget = false;
+        this->Post(forwarded);
       }
     }
   }
--- a/test/coordination/CrashModelTest.cpp
+++ b/test/coordination/CrashModelTest.cpp
@@ -335,11 +335,11 @@
       }
       control.Registry().SetRefused(this->log.Refused());
       this->Commit(control);
-      const CrashingRequests sentVerdicts = control.Registry().Verdicts();
-      if (sentVerdicts != control.sentVerdicts) {
-        control.sentVerdicts = sentVerdicts;
+      const CrashingRequests verdicts = control.Registry().Verdicts();
+      if (verdicts != control.sentVerdicts) {
+        control.sentVerdicts = verdicts;
         for (std::size_t to = 0; to < this->entries.size(); ++to) {
-          this->Post(Message{ {}, to, {}, false, sentVerdicts, control.host });
+          this->Post(Message{ {}, to, {}, false, verdicts, control.host });
         }
       }
     }
--- a/test/coordination/SendsHubTest.cpp
+++ b/test/coordination/SendsHubTest.cpp
@@ -163,9 +163,9 @@
       controlHosts[static_cast<std::size_t>(host % kControlHosts)].Update(report,
                                                                           clock.MonotonicNow());
     }
-    for (std::size_t aggregator = 1; aggregator < kControlHosts; ++aggregator) {
-      const HostId name("hub-" + std::to_string(aggregator));
-      controlHosts.front().UpdatePeerSum(controlHosts[aggregator].TakeChanges(name),
+    for (std::size_t index = 1; index < kControlHosts; ++index) {
+      const HostId name("hub-" + std::to_string(index));
+      controlHosts.front().UpdatePeerSum(controlHosts[index].TakeChanges(name),
                                          clock.MonotonicNow());
     }
     std::uint64_t requests = 0;
