--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -172,10 +172,10 @@
   void TakeSum(const SendsNews& aNews, MonotonicTime aNow);
 
   // Forgets control hosts that have told nothing since a time.
-  void ForgetSumsBefore(MonotonicTime aTime) { this->told.ForgetBefore(aTime); }
+  void ForgetSumsBefore(MonotonicTime aTime) { this->told.RemoveSilentSince(aTime); }
 
   // Returns what all hosts are believed to have at the target, this one among them.
-  SentLoad LoadOf(const TargetId& aTarget) const;
+  LoadCounts LoadOf(const TargetId& aTarget) const;
 
   // Returns a target that is believed to hold the part, of those in the list; null when none is.
   const TargetRecord* HolderOf(const SizedPart& aPart,
@@ -215,14 +215,14 @@
   HeldParts held;
   absl::flat_hash_map<ModelName, EnginePace> paces;
   // What this host has at targets.
-  absl::flat_hash_map<TargetId, SentLoad> loads;
+  absl::flat_hash_map<TargetId, LoadCounts> loads;
   // Targets that have started again under their ids, with their newest starts.
   absl::flat_hash_map<TargetId, Incarnation> starts;
   // What this host has changed since TakeSends(), with the parts sent.
   std::map<TargetId, std::vector<SizedPart>> untold;
   bool urgent = false;
   // What this host told of itself; the sums that come back contain it.
-  absl::flat_hash_map<TargetId, SentLoad> ownTold;
+  absl::flat_hash_map<TargetId, LoadCounts> ownTold;
   // Sums by control host.
   SendsSum told;
 };
--- a/src/coordination/BurnReport.cpp
+++ b/src/coordination/BurnReport.cpp
@@ -5,17 +5,17 @@
 namespace damasklink {
 namespace {
 
-// Positions in kBurnWindows.
+// Indices of kBurnWindows.
 constexpr std::size_t kFiveMinutes = 0;
 constexpr std::size_t kOneHour = 1;
 constexpr std::size_t kSixHours = 2;
 
 void
-AddCounts(WindowCounts& aTo, const WindowCounts& aMore)
+AddCounts(WindowCounts& aTo, const WindowCounts& aCounts)
 {
   for (std::size_t index = 0; index < aTo.size(); ++index) {
-    aTo.at(index).good += aMore.at(index).good;
-    aTo.at(index).total += aMore.at(index).total;
+    aTo.at(index).good += aCounts.at(index).good;
+    aTo.at(index).total += aCounts.at(index).total;
   }
 }
 
@@ -33,7 +33,7 @@
 } // namespace
 
 double
-BurnOf(const ServiceLevelCount& aCount, const ServiceLevel& aObjective)
+BurnRateOf(const ServiceLevelCount& aCount, const ServiceLevel& aObjective)
 {
   if (aCount.total == 0) {
     return 0;
@@ -45,9 +45,9 @@
 BurnLevel
 BurnLevelOf(const WorkspaceBurn& aBurn)
 {
-  const double fiveMinutes = BurnOf(aBurn.windows.at(kFiveMinutes), aBurn.objective);
-  const double oneHour = BurnOf(aBurn.windows.at(kOneHour), aBurn.objective);
-  const double sixHours = BurnOf(aBurn.windows.at(kSixHours), aBurn.objective);
+  const double fiveMinutes = BurnRateOf(aBurn.windows.at(kFiveMinutes), aBurn.objective);
+  const double oneHour = BurnRateOf(aBurn.windows.at(kOneHour), aBurn.objective);
+  const double sixHours = BurnRateOf(aBurn.windows.at(kSixHours), aBurn.objective);
   if (fiveMinutes >= kPageBurn && oneHour >= kPageBurn) {
     return BurnLevel::Page;
   }
@@ -95,8 +95,8 @@
   std::map<WorkspaceId, WorkspaceBurn> rows;
   for (const HostBurn& host : aHosts) {
     for (const WorkspaceBurn& burn : host.workspaces) {
-      auto [row, fresh] = rows.try_emplace(burn.workspace, burn);
-      if (fresh) {
+      auto [row, isNew] = rows.try_emplace(burn.workspace, burn);
+      if (isNew) {
         continue;
       }
       AddCounts(row->second.windows, burn.windows);
--- a/src/coordination/ComeBack.cpp
+++ b/src/coordination/ComeBack.cpp
@@ -3,12 +3,12 @@
 namespace damasklink {
 
 Duration
-ComeBack::WhileStarting(Duration aSinceStart)
+ComeBack::DelayDuringStartup(Duration aSinceStart)
 {
   if (aSinceStart >= kStartTakes) {
-    return kStartIsLate;
+    return kLateStartupDelay;
   }
-  std::uniform_int_distribution<Duration::rep> spread(0, kReturnOver.count());
+  std::uniform_int_distribution<Duration::rep> spread(0, kRetrySpread.count());
   return kStartTakes - aSinceStart + Duration(spread(this->random));
 }
 
--- a/src/coordination/CrashLedger.cpp
+++ b/src/coordination/CrashLedger.cpp
@@ -6,44 +6,44 @@
 namespace damasklink {
 
 void
-CrashLedger::Take(const std::vector<CrashReport>& aReports)
+CrashLedger::Add(const std::vector<CrashReport>& aReports)
 {
   for (const CrashReport& report : aReports) {
-    if (!this->entries.contains(report.request) && this->entries.size() >= kMostRequests) {
-      this->MakeRoom();
+    if (!this->entries.contains(report.request) && this->entries.size() >= kMaxRequests) {
+      this->EvictOne();
     }
     Entry& entry = this->entries[report.request];
     entry.workspace = report.workspace;
-    const bool counts = entry.ended.size() < kCrashesToRefuse;
-    const TargetStart start{ report.target, report.incarnation };
-    if (counts && entry.ended.emplace(start, report.service).second) {
+    const bool counts = entry.crashed.size() < kCrashesToRefuse;
+    const TargetIncarnation incarnation{ report.target, report.incarnation };
+    if (counts && entry.crashed.emplace(incarnation, report.service).second) {
       entry.lastCrash = this->clock.MonotonicNow();
     }
   }
 }
 
-// Forgets the request with the fewest crashes, the oldest of these: one that is sent once only must
-// not push out those that come again.
+// Evicts the request with the fewest crashes, and the oldest among these: requests that are sent
+// once must not evict those that are repeated.
 void
-CrashLedger::MakeRoom()
+CrashLedger::EvictOne()
 {
   const auto least = std::min_element(
     this->entries.begin(), this->entries.end(), [](const auto& aLeft, const auto& aRight) {
-      return std::tuple(aLeft.second.ended.size(), aLeft.second.lastCrash) <
-             std::tuple(aRight.second.ended.size(), aRight.second.lastCrash);
+      return std::tuple(aLeft.second.crashed.size(), aLeft.second.lastCrash) <
+             std::tuple(aRight.second.crashed.size(), aRight.second.lastCrash);
     });
   this->entries.erase(least);
 }
 
 void
-CrashLedger::TakeSound(const std::vector<SoundRun>& aRuns)
+CrashLedger::AddSuccessfulRuns(const std::vector<SoundRun>& aRuns)
 {
   for (const SoundRun& run : aRuns) {
     const auto found = this->entries.find(run.request);
     if (found != this->entries.end()) {
-      std::erase_if(found->second.ended,
+      std::erase_if(found->second.crashed,
                     [&](const auto& aItem) { return aItem.second == run.service; });
-      if (!found->second.ended.empty()) {
+      if (!found->second.crashed.empty()) {
         continue;
       }
       this->entries.erase(found);
@@ -59,7 +59,7 @@
 {
   for (const auto& [request, facts] : this->refused) {
     if (!aRefused.contains(request)) {
-      // Released: it has to crash as many targets again.
+      // Released: the count starts again from zero.
       this->entries.erase(request);
       this->cleared.erase(request);
     }
@@ -68,29 +68,30 @@
 }
 
 bool
-CrashLedger::IsConvicted(const Entry& aEntry) const
+CrashLedger::ShouldRefuse(const Entry& aEntry) const
 {
-  return aEntry.ended.size() >= kCrashesToRefuse &&
-         this->clock.MonotonicNow() - aEntry.lastCrash >= kSettling;
+  return aEntry.crashed.size() >= kCrashesToRefuse &&
+         this->clock.MonotonicNow() - aEntry.lastCrash >= kSettleTime;
 }
 
 CrashingRequests
-CrashLedger::Told() const
+CrashLedger::Verdicts() const
 {
-  CrashingRequests told;
+  CrashingRequests verdicts;
   for (const auto& [request, facts] : this->refused) {
     if (!this->cleared.contains(request)) {
-      told.refused.insert(request);
+      verdicts.refused.insert(request);
     }
   }
   for (const auto& [request, entry] : this->entries) {
-    if (this->IsConvicted(entry)) {
-      told.refused.insert(request);
-    } else if (entry.ended.size() >= kCrashesToSuspect && told.suspected.size() < kMostSuspects) {
-      told.suspected.insert(request);
+    if (this->ShouldRefuse(entry)) {
+      verdicts.refused.insert(request);
+    } else if (entry.crashed.size() >= kCrashesToSuspect &&
+               verdicts.suspected.size() < kMaxSuspects) {
+      verdicts.suspected.insert(request);
     }
   }
-  return told;
+  return verdicts;
 }
 
 std::vector<RefuseRequest>
@@ -98,7 +99,7 @@
 {
   std::vector<RefuseRequest> requests;
   for (const auto& [request, entry] : this->entries) {
-    if (this->IsConvicted(entry) && !this->refused.contains(request)) {
+    if (this->ShouldRefuse(entry) && !this->refused.contains(request)) {
       requests.push_back(RefuseRequest{ request, { entry.workspace, this->clock.WallNow() } });
     }
   }
@@ -110,7 +111,7 @@
 {
   std::vector<ReleaseRequest> requests;
   for (const auto& [request, facts] : this->refused) {
-    const bool over = this->clock.WallNow() - facts.since >= kRefusedFor;
+    const bool over = this->clock.WallNow() - facts.since >= kRefusalPeriod;
     if (over || this->cleared.contains(request)) {
       requests.push_back(ReleaseRequest{ request });
     }
@@ -123,9 +124,9 @@
 {
   std::vector<CrashReport> reports;
   for (const auto& [request, entry] : this->entries) {
-    for (const auto& [start, service] : entry.ended) {
+    for (const auto& [incarnation, service] : entry.crashed) {
       reports.push_back(
-        CrashReport{ request, entry.workspace, service, start.first, start.second });
+        CrashReport{ request, entry.workspace, service, incarnation.first, incarnation.second });
     }
   }
   return reports;
--- a/src/coordination/DispatchRecord.cpp
+++ b/src/coordination/DispatchRecord.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 bool
-MayMove(AttemptStage aFrom, AttemptStage aTo)
+IsValidTransition(AttemptStage aFrom, AttemptStage aTo)
 {
   switch (aFrom) {
     case AttemptStage::Prepared:
@@ -54,13 +54,13 @@
 DispatchRecord::Advance(AttemptStage aStage)
 {
   AttemptStage& stage = this->attempts.back().stage;
-  if (MayMove(stage, aStage)) {
+  if (IsValidTransition(stage, aStage)) {
     stage = aStage;
   }
 }
 
 void
-DispatchRecord::NoteEarlier(RunOutcome aOutcome)
+DispatchRecord::AddEarlierOutcome(RunOutcome aOutcome)
 {
   this->earlier = std::max(this->earlier, aOutcome);
 }
--- a/src/coordination/SendsSum.cpp
+++ b/src/coordination/SendsSum.cpp
@@ -5,8 +5,8 @@
 
 namespace damasklink {
 
-SentLoad&
-SentLoad::operator+=(const SentLoad& aOther)
+LoadCounts&
+LoadCounts::operator+=(const LoadCounts& aOther)
 {
   this->requests += aOther.requests;
   this->unread += aOther.unread;
@@ -14,8 +14,8 @@
   return *this;
 }
 
-SentLoad&
-SentLoad::operator-=(const SentLoad& aOther)
+LoadCounts&
+LoadCounts::operator-=(const LoadCounts& aOther)
 {
   this->requests -= std::min(this->requests, aOther.requests);
   this->unread -= std::min(this->unread, aOther.unread);
@@ -24,14 +24,14 @@
 }
 
 void
-SendsSum::Take(const SendsNews& aNews, MonotonicTime aNow)
+SendsSum::Update(const SendsNews& aReport, MonotonicTime aNow)
 {
-  Host& host = this->hosts[aNews.host];
-  host.heard = aNow;
-  for (const TargetSendsNow& sends : aNews.sends) {
-    const SentLoad now{ sends.requests, sends.unread.Value(), sends.memory.Value() };
-    SentLoad& load = host.loads[sends.target];
-    SentLoad& sum = this->sums[sends.target];
+  Host& host = this->hosts[aReport.host];
+  host.reportedAt = aNow;
+  for (const TargetSendsNow& sends : aReport.sends) {
+    const LoadCounts now{ sends.requests, sends.unread.Value(), sends.memory.Value() };
+    LoadCounts& load = host.loads[sends.target];
+    LoadCounts& sum = this->sums[sends.target];
     sum -= load;
     sum += now;
     load = now;
@@ -45,10 +45,10 @@
 }
 
 void
-SendsSum::Drop(const Host& aHost)
+SendsSum::Subtract(const Host& aHost)
 {
   for (const auto& [target, load] : aHost.loads) {
-    SentLoad& sum = this->sums[target];
+    LoadCounts& sum = this->sums[target];
     sum -= load;
     if (sum.IsEmpty()) {
       this->sums.erase(target);
@@ -57,7 +57,7 @@
 }
 
 std::vector<TargetId>
-SendsSum::Forget(const HostId& aHost)
+SendsSum::Remove(const HostId& aHost)
 {
   std::vector<TargetId> targets;
   const auto found = this->hosts.find(aHost);
@@ -67,24 +67,24 @@
   for (const auto& [target, load] : found->second.loads) {
     targets.push_back(target);
   }
-  this->Drop(found->second);
+  this->Subtract(found->second);
   this->hosts.erase(found);
   return targets;
 }
 
 std::vector<TargetId>
-SendsSum::ForgetBefore(MonotonicTime aTime)
+SendsSum::RemoveSilentSince(MonotonicTime aTime)
 {
   std::vector<HostId> silent;
   for (const auto& [name, host] : this->hosts) {
-    if (host.heard < aTime) {
+    if (host.reportedAt < aTime) {
       silent.push_back(name);
     }
   }
   std::vector<TargetId> targets;
   for (const HostId& host : silent) {
-    const std::vector<TargetId> had = this->Forget(host);
-    targets.insert(targets.end(), had.begin(), had.end());
+    const std::vector<TargetId> removed = this->Remove(host);
+    targets.insert(targets.end(), removed.begin(), removed.end());
   }
   return targets;
 }
@@ -97,15 +97,15 @@
   }
 }
 
-SentLoad
+LoadCounts
 SendsSum::Of(const TargetId& aTarget) const
 {
   const auto found = this->sums.find(aTarget);
-  return found == this->sums.end() ? SentLoad() : found->second;
+  return found == this->sums.end() ? LoadCounts() : found->second;
 }
 
 TargetSendsNow
-StateSends(const TargetId& aTarget, const SentLoad& aLoad, std::vector<SizedPart> aParts)
+ToInFlightLoad(const TargetId& aTarget, const LoadCounts& aLoad, std::vector<SizedPart> aParts)
 {
   TargetSendsNow sends;
   sends.target = aTarget;
--- a/src/coordination/TargetLimits.cpp
+++ b/src/coordination/TargetRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetLimits.h"
+#include "damasklink/coordination/TargetRateLimiter.h"
 
 #include <algorithm>
 #include <iterator>
@@ -7,10 +7,10 @@
 namespace damasklink {
 namespace {
 
-// Returns what a host that gets its first share of a cold target may send at once: hosts begin one
-// after the other, so that all together send evenly from the first second on.
+// Returns the initial permits of a host that gets its first share of a cold target. The hosts start
+// one after the other, so that all together send evenly from the first second on.
 double
-FirstPermits(const std::set<HostId>& aHosts, const HostId& aSelf)
+InitialPermits(const std::set<HostId>& aHosts, const HostId& aSelf)
 {
   const auto position = std::distance(aHosts.begin(), aHosts.find(aSelf));
   return 1 - (static_cast<double>(position) / static_cast<double>(aHosts.size()));
@@ -19,26 +19,26 @@
 } // namespace
 
 bool
-TargetLimits::IsCold(const Entry& aEntry) const
+TargetRateLimiter::IsCold(const Entry& aEntry) const
 {
   return this->clock.MonotonicNow() < aEntry.coldUntil;
 }
 
 bool
-TargetLimits::IsLimited(const Entry& aEntry) const
+TargetRateLimiter::IsLimited(const Entry& aEntry) const
 {
   return aEntry.limit || this->IsCold(aEntry);
 }
 
 double
-TargetLimits::PermitsNow(const Entry& aEntry) const
+TargetRateLimiter::PermitsNow(const Entry& aEntry) const
 {
   const std::chrono::duration<double> since = this->clock.MonotonicNow() - aEntry.filledAt;
   return std::min(1.0, aEntry.permits + (aEntry.share.perSecond * since.count()));
 }
 
 bool
-TargetLimits::MaySend(const TargetId& aTarget) const
+TargetRateLimiter::MaySend(const TargetId& aTarget) const
 {
   const auto found = this->entries.find(aTarget);
   return found == this->entries.end() || !this->IsLimited(found->second) ||
@@ -46,7 +46,7 @@
 }
 
 void
-TargetLimits::OnSent(const TargetId& aTarget)
+TargetRateLimiter::OnSent(const TargetId& aTarget)
 {
   const auto found = this->entries.find(aTarget);
   if (found != this->entries.end()) {
@@ -57,10 +57,10 @@
   }
 }
 
-// Returns how long until this host may send one, or until the target is warm where that is all that
-// keeps it; nothing when neither is known.
+// Returns the time until this host may send a request. Without a share, it is the time until the
+// target is warm, or nothing if the target also has a limit.
 std::optional<Duration>
-TargetLimits::UntilPermit(const Entry& aEntry) const
+TargetRateLimiter::TimeUntilPermit(const Entry& aEntry) const
 {
   if (aEntry.share.perSecond > 0) {
     const double missing = std::max(1 - this->PermitsNow(aEntry), 0.0);
@@ -74,45 +74,46 @@
 }
 
 std::optional<Duration>
-TargetLimits::UntilPermit(const std::vector<TargetRecord>& aTargets) const
+TargetRateLimiter::TimeUntilPermit(const std::vector<TargetRecord>& aTargets) const
 {
-  std::optional<Duration> soonest;
+  std::optional<Duration> shortest;
   for (const TargetRecord& target : aTargets) {
     const auto found = this->entries.find(target.id);
     if (found == this->entries.end() || !this->IsLimited(found->second)) {
       continue;
     }
-    if (const std::optional<Duration> wait = this->UntilPermit(found->second)) {
-      soonest = soonest ? std::min(*soonest, *wait) : *wait;
+    if (const std::optional<Duration> wait = this->TimeUntilPermit(found->second)) {
+      shortest = shortest ? std::min(*shortest, *wait) : *wait;
     }
   }
-  return soonest;
+  return shortest;
 }
 
 void
-TargetLimits::OnAnswer(const TargetRecord& aTarget,
-                       const std::optional<RequestRate>& aLimit,
-                       MonotonicTime aSentAt)
+TargetRateLimiter::OnAnswer(const TargetRecord& aTarget,
+                            const std::optional<RequestRate>& aLimit,
+                            MonotonicTime aSentAt)
 {
   const auto found = this->entries.find(aTarget.id);
   const bool known = found != this->entries.end();
   if (known && aTarget.incarnation < found->second.incarnation) {
     return;
   }
-  const bool named = known && found->second.limit;
+  const bool wasLimited = known && found->second.limit;
   if (!aLimit) {
-    if (named && aSentAt > found->second.knownSince) {
+    if (wasLimited && aSentAt > found->second.knownSince) {
       this->Report(aTarget.id, found->second, true);
       found->second.limit.reset();
-      this->ForgetWarm();
+      this->RemoveWarmTargets();
     }
     return;
   }
-  if (named && found->second.limit == aLimit && found->second.incarnation == aTarget.incarnation) {
+  if (wasLimited && found->second.limit == aLimit &&
+      found->second.incarnation == aTarget.incarnation) {
     return;
   }
   Entry& entry = this->entries[aTarget.id];
-  if (!named) {
+  if (!wasLimited) {
     entry.knownSince = this->clock.MonotonicNow();
   }
   if (!known) {
@@ -125,7 +126,7 @@
 }
 
 void
-TargetLimits::OnCold(const TargetRecord& aTarget, Duration aColdFor)
+TargetRateLimiter::OnCold(const TargetRecord& aTarget, Duration aColdFor)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const auto [position, isNew] = this->entries.try_emplace(aTarget.id);
@@ -140,69 +141,69 @@
 }
 
 void
-TargetLimits::Report(const TargetId& aTarget, const Entry& aEntry, bool aLifted)
+TargetRateLimiter::Report(const TargetId& aTarget, const Entry& aEntry, bool aLifted)
 {
   LimitReport report{ aTarget, aEntry.incarnation, aEntry.limit };
   if (aLifted) {
     report.limit.reset();
   }
-  this->untold[aTarget] = report;
+  this->pendingReports[aTarget] = report;
 }
 
 void
-TargetLimits::TakeShare(const TargetLimit& aTold, Entry& aTo) const
+TargetRateLimiter::ApplyShare(const TargetLimit& aShare, Entry& aTo) const
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const bool hadShare = aTo.share.perSecond > 0;
   aTo.permits = this->PermitsNow(aTo);
   aTo.filledAt = now;
-  aTo.incarnation = aTold.incarnation;
-  aTo.limit = aTold.limit;
-  if (!aTold.hosts.contains(this->self)) {
+  aTo.incarnation = aShare.incarnation;
+  aTo.limit = aShare.limit;
+  if (!aShare.hosts.contains(this->self)) {
     aTo.share = RequestRate();
-    // What was saved up belonged to the share that is another host's now.
+    // The permits belonged to the share that another host has now.
     aTo.permits = 0;
     return;
   }
-  aTo.share = aTold.share;
+  aTo.share = aShare.share;
   if (!hadShare && !aTo.sent && !aTo.limit && this->IsCold(aTo)) {
-    aTo.permits = FirstPermits(aTold.hosts, this->self);
+    aTo.permits = InitialPermits(aShare.hosts, this->self);
   }
 }
 
 void
-TargetLimits::Take(const std::vector<TargetLimit>& aTold)
+TargetRateLimiter::SetShares(const std::vector<TargetLimit>& aShares)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  std::map<TargetId, Entry> taken;
-  for (const TargetLimit& told : aTold) {
-    Entry& entry = taken[told.target];
-    const auto found = this->entries.find(told.target);
+  std::map<TargetId, Entry> updated;
+  for (const TargetLimit& share : aShares) {
+    Entry& entry = updated[share.target];
+    const auto found = this->entries.find(share.target);
     if (found != this->entries.end()) {
       entry = found->second;
     } else {
       entry.knownSince = now;
       entry.filledAt = now;
-      // Of a target that it knows, this host has heard itself until when it is cold.
-      entry.coldUntil = now + told.coldFor;
+      // For a known target the end of the cold period comes from OnCold().
+      entry.coldUntil = now + share.coldFor;
     }
-    this->TakeShare(told, entry);
+    this->ApplyShare(share, entry);
   }
   for (const auto& [target, entry] : this->entries) {
-    const bool reportUnderWay = entry.reportedAt && now - *entry.reportedAt < kReportUnderWay;
-    if (!reportUnderWay && !this->IsCold(entry)) {
+    const bool reportInFlight = entry.reportedAt && now - *entry.reportedAt < kReportInFlight;
+    if (!reportInFlight && !this->IsCold(entry)) {
       continue;
     }
-    const auto [position, isKept] = taken.try_emplace(target, entry);
-    if (isKept && !reportUnderWay) {
+    const auto [position, inserted] = updated.try_emplace(target, entry);
+    if (inserted && !reportInFlight) {
       position->second.limit.reset();
     }
   }
-  this->entries = std::move(taken);
+  this->entries = std::move(updated);
 }
 
 void
-TargetLimits::TellAllAnew()
+TargetRateLimiter::ResendAll()
 {
   for (auto& [target, entry] : this->entries) {
     if (entry.limit) {
@@ -213,18 +214,18 @@
 }
 
 void
-TargetLimits::ForgetWarm()
+TargetRateLimiter::RemoveWarmTargets()
 {
   std::erase_if(this->entries,
                 [this](const auto& aItem) { return !this->IsLimited(aItem.second); });
 }
 
 std::vector<LimitReport>
-TargetLimits::TakeReports()
+TargetRateLimiter::TakeReports()
 {
-  this->ForgetWarm();
+  this->RemoveWarmTargets();
   std::vector<LimitReport> reports;
-  for (auto& [target, report] : std::exchange(this->untold, {})) {
+  for (auto& [target, report] : std::exchange(this->pendingReports, {})) {
     reports.push_back(std::move(report));
   }
   return reports;
--- a/src/program/ClaimGate.cpp
+++ b/src/program/ClaimGate.cpp
@@ -151,7 +151,7 @@
     return entrance;
   }
   const ClaimRefusal refusal = RefusalOf(reply.value());
-  aRecord.NoteEarlier(refusal.earlier);
+  aRecord.AddEarlierOutcome(refusal.earlier);
   return refuse(refusal.error, refusal.retryAfter);
 }
 
@@ -173,7 +173,7 @@
   command.key = aCall.key;
   command.attempt = aCall.attempt;
   command.body = aCall.body;
-  command.birth = origin.value().birth;
+  command.createdAt = origin.value().createdAt;
   command.retention = this->context.settings.timeouts.keyRetention;
   command.lease = aCall.longestRun + kLeaseSlack;
   return command;
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -16,11 +16,11 @@
 #include "damasklink/coordination/ExchangePlan.h"
 #include "damasklink/coordination/HomeRegions.h"
 #include "damasklink/coordination/RequestFingerprint.h"
-#include "damasklink/coordination/RetryShares.h"
 #include "damasklink/coordination/ReturnQueue.h"
+#include "damasklink/coordination/ServiceRetryBudgets.h"
 #include "damasklink/coordination/StorePace.h"
-#include "damasklink/coordination/TargetLimits.h"
 #include "damasklink/coordination/TargetPicker.h"
+#include "damasklink/coordination/TargetRateLimiter.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
 #include "damasklink/transport/CallerChannel.h"
@@ -38,7 +38,7 @@
   Metrics& metrics;
   EntryPicture& picture;
   FirstConfiguration& firstConfiguration;
-  RetryShares& retries;
+  ServiceRetryBudgets& retries;
   TargetHealth& health;
   ZoneReach& reach;
   TargetPicker& picker;
@@ -49,7 +49,7 @@
   TargetCheck& checks;
   CrashWatch& crashes;
   BrokenRuns& broken;
-  TargetLimits& limits;
+  TargetRateLimiter& limits;
   MonotonicTime started;
   // Tells the other hosts at once what this one has sent.
   std::function<void()> tellSends;
--- a/src/program/ExchangeRecord.cpp
+++ b/src/program/ExchangeRecord.cpp
@@ -64,7 +64,7 @@
   }
   const bool underWay = this->WasUnderWay();
   if (underWay) {
-    this->context.broken.Note(report, aTarget.endpoint);
+    this->context.broken.Add(report, aTarget.endpoint);
   }
   CrashWatch& watch = this->context.crashes;
   this->context.checks.Run(aTarget, [&watch, report, underWay](EndProof aProof) {
@@ -90,7 +90,7 @@
   const bool sent = this->sentAt != MonotonicTime();
   const Duration waited = this->context.clock.MonotonicNow() - this->sentAt;
   if (sent && !this->plan->PassedOn() && waited >= kSuspiciousWait) {
-    this->context.broken.Note(this->ReportOn(aTarget), aTarget.endpoint);
+    this->context.broken.Add(this->ReportOn(aTarget), aTarget.endpoint);
   }
 }
 
@@ -115,7 +115,7 @@
 Exchange::NoteSound()
 {
   if (this->ranWell && this->context.crashes.IsActive()) {
-    this->context.crashes.OnSound(SoundRun{ this->Fingerprint(), this->service });
+    this->context.crashes.OnSuccessfulRun(SoundRun{ this->Fingerprint(), this->service });
   }
 }
 
@@ -174,7 +174,7 @@
     return std::count_if(
       aMoves.begin(), aMoves.end(), [](const PartMove& aMove) { return aMove.peer.has_value(); });
   };
-  const SentLoad load = this->context.picker.LoadOf(aTarget.id);
+  const LoadCounts load = this->context.picker.LoadOf(aTarget.id);
   LogEvent(LogLevel::Info, "prompt_sent")
     .With("request", this->call.request)
     .With("target", aTarget.id)
--- a/src/program/PictureTeller.h
+++ b/src/program/PictureTeller.h
@@ -13,7 +13,7 @@
 #include "damasklink/coordination/CrashLedger.h"
 #include "damasklink/coordination/DocumentSource.h"
 #include "damasklink/coordination/HostRegistry.h"
-#include "damasklink/coordination/LimitBook.h"
+#include "damasklink/coordination/RateLimitAllocator.h"
 #include "damasklink/coordination/RecentHosts.h"
 #include "damasklink/coordination/SendsHub.h"
 #include "damasklink/transport/PeerMesh.h"
@@ -64,7 +64,7 @@
   bool HasUrgentSends() const { return this->urgentWaits; }
 
   // A host's connection to this one is lost.
-  void OnLost(const HostId& aHost) { this->sends.Forget(aHost); }
+  void OnLost(const HostId& aHost) { this->sends.Remove(aHost); }
 
 private:
   Picture BarePicture() const;
@@ -117,7 +117,7 @@
   // Since when this host has heard others tell of entry hosts.
   MonotonicTime startedAt;
   RecentHosts recentHosts;
-  LimitBook limits;
+  RateLimitAllocator limits;
   std::vector<TargetLimit> toldLimits;
   // What own entry hosts reported, for the other control hosts.
   std::vector<LimitReport> untoldLimits;
--- a/src/protocol/ClaimMachine.cpp
+++ b/src/protocol/ClaimMachine.cpp
@@ -121,7 +121,7 @@
                                 attempt,
                                 Nanoseconds(aEntry.expiry),
                                 Nanoseconds(aEntry.leaseEnd),
-                                Nanoseconds(aEntry.birth),
+                                Nanoseconds(aEntry.createdAt),
                                 static_cast<std::uint8_t>(aEntry.state),
                                 aEntry.bodyKnown,
                                 storedAt,
@@ -135,7 +135,7 @@
                      UnpackBytes(*aFrom.attempt(), aTo.attempt);
   aTo.expiry = TimeOf(aFrom.expiry());
   aTo.leaseEnd = TimeOf(aFrom.lease_end());
-  aTo.birth = TimeOf(aFrom.birth());
+  aTo.createdAt = TimeOf(aFrom.birth());
   aTo.state = static_cast<ClaimState>(aFrom.state());
   aTo.bodyKnown = aFrom.body_known();
   if (auto answer = UnpackAnswer(aFrom.answer())) {
@@ -145,12 +145,12 @@
   return whole && aTo.state >= ClaimState::Running && aTo.state <= ClaimState::Released;
 }
 
-ClaimLedger::Header
+ClaimRegistry::Header
 UnpackHeader(const wire::ClaimSnapshot& aFrom)
 {
-  ClaimLedger::Header header;
+  ClaimRegistry::Header header;
   header.incarnation = Incarnation(aFrom.incarnation());
-  header.forgottenBirth = TimeOf(aFrom.forgotten_birth());
+  header.latestRemovedCreation = TimeOf(aFrom.forgotten_birth());
   if (aFrom.has_reformed()) {
     header.reformedAt = TimeOf(aFrom.reformed_at());
   }
@@ -175,8 +175,8 @@
                                           key,
                                           attempt,
                                           body,
-                                          aCommand.birth.has_value(),
-                                          Nanoseconds(aCommand.birth.value_or(WallTime())),
+                                          aCommand.createdAt.has_value(),
+                                          Nanoseconds(aCommand.createdAt.value_or(WallTime())),
                                           aCommand.retention.count(),
                                           aCommand.lease.count(),
                                           answer));
@@ -200,7 +200,7 @@
   command.attempt = AttemptId(packed->attempt()->str());
   command.body = Digest(packed->body()->str());
   if (packed->has_birth()) {
-    command.birth = TimeOf(packed->birth());
+    command.createdAt = TimeOf(packed->birth());
   }
   command.retention = Duration(packed->retention());
   command.lease = Duration(packed->lease());
@@ -214,7 +214,7 @@
   FlatBufferBuilder builder;
   const auto answer = PackAnswer(builder, aReply.answer);
   const auto verdict = static_cast<std::uint8_t>(aReply.verdict);
-  builder.Finish(wire::CreateClaimReply(builder, verdict, aReply.comeBack.count(), answer));
+  builder.Finish(wire::CreateClaimReply(builder, verdict, aReply.retryAfter.count(), answer));
   return Finished(builder);
 }
 
@@ -230,7 +230,7 @@
   if (reply.verdict < ClaimVerdict::Granted || reply.verdict > ClaimVerdict::NotReady) {
     return Fail(Corrupt("a claim's answer"));
   }
-  reply.comeBack = Duration(packed->come_back());
+  reply.retryAfter = Duration(packed->come_back());
   reply.answer = UnpackAnswer(packed->answer());
   return reply;
 }
@@ -254,14 +254,14 @@
   this->ledger.Visit([&](const ClaimName& aName, const ClaimEntry& aEntry) {
     entries.push_back(PackEntry(builder, aName, aEntry));
   });
-  const ClaimLedger::Header& head = this->ledger.Head();
+  const ClaimRegistry::Header& head = this->ledger.GetHeader();
   const auto packed = builder.CreateVector(entries);
   builder.Finish(wire::CreateClaimSnapshot(builder,
                                            kWireVersion,
                                            head.incarnation.Value(),
                                            head.reformedAt.has_value(),
                                            Nanoseconds(head.reformedAt.value_or(WallTime())),
-                                           Nanoseconds(head.forgottenBirth),
+                                           Nanoseconds(head.latestRemovedCreation),
                                            packed));
   return Finished(builder);
 }
@@ -273,8 +273,8 @@
   if (packed == nullptr || packed->version() != kWireVersion || packed->entries() == nullptr) {
     return Fail(Corrupt("a snapshot of claims"));
   }
-  ClaimLedger fresh;
-  fresh.SetHead(UnpackHeader(*packed));
+  ClaimRegistry fresh;
+  fresh.SetHeader(UnpackHeader(*packed));
   for (const wire::ClaimEntry* entry : *packed->entries()) {
     ClaimName name{};
     ClaimEntry unpacked;
--- a/test/coordination/ClaimLedgerTest.cpp
+++ b/test/coordination/ClaimRegistryTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ClaimLedger.h"
+#include "damasklink/coordination/ClaimRegistry.h"
 
 #include <gtest/gtest.h>
 
@@ -9,13 +9,13 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-class ClaimLedgerTest : public testing::Test
+class ClaimRegistryTest : public testing::Test
 {
 protected:
   ClaimReply Apply(const ClaimCommand& aCommand)
   {
     this->context.index = this->context.index.Next();
-    return this->ledger.Apply(this->context, aCommand);
+    return this->registry.Apply(this->context, aCommand);
   }
 
   ClaimReply Claim(const std::string& aAttempt) { return this->Apply(this->Command(aAttempt)); }
@@ -34,40 +34,40 @@
     command.key = IdempotencyKey("order-17");
     command.attempt = AttemptId(aAttempt);
     command.body = Digest("body");
-    command.birth = this->birth;
+    command.createdAt = this->createdAt;
     command.retention = hours(48);
     command.lease = seconds(30);
     command.answer = KeptAnswer{ 200, "text/plain", "plate 17" };
     return command;
   }
 
-  void Pass(Duration aTime)
+  void Advance(Duration aTime)
   {
     this->context.proposedAt += std::chrono::duration_cast<WallTime::duration>(aTime);
   }
 
-  ClaimLedger ledger{ ClaimLedger::Limits{ 3, 100 } };
+  ClaimRegistry registry{ ClaimRegistry::Limits{ 3, 100 } };
   ApplyContext context{ GroupId("claims/north"), {}, Term(1), WallTime(hours(500'000)),
                         Incarnation(1),          {} };
-  std::optional<WallTime> birth;
+  std::optional<WallTime> createdAt;
 };
 
-TEST_F(ClaimLedgerTest, SecondAttemptIsToldThatTheFirstRuns)
+TEST_F(ClaimRegistryTest, SecondAttemptIsRefusedWhileTheFirstRuns)
 {
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
-  this->Pass(seconds(10));
+  this->Advance(seconds(10));
   const ClaimReply second = this->Claim("b");
   EXPECT_EQ(second.verdict, ClaimVerdict::Running);
-  EXPECT_EQ(second.comeBack, seconds(20));
+  EXPECT_EQ(second.retryAfter, seconds(20));
 }
 
-TEST_F(ClaimLedgerTest, SameAttemptGetsTheSameAnswer)
+TEST_F(ClaimRegistryTest, RepeatedClaimOfOneAttemptIsGrantedAgain)
 {
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, FinishedRunHandsOutItsAnswer)
+TEST_F(ClaimRegistryTest, FinishedRunReturnsItsKeptAnswer)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Finish, "a");
@@ -76,28 +76,28 @@
   EXPECT_EQ(second.answer, KeptAnswer({ 200, "text/plain", "plate 17" }));
 }
 
-TEST_F(ClaimLedgerTest, RunLostWithItsHostMayHaveRun)
+TEST_F(ClaimRegistryTest, RunWithExpiredLeaseMayHaveRun)
 {
   this->Claim("a");
-  this->Pass(seconds(30));
+  this->Advance(seconds(30));
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::MayHaveRun);
 }
 
-TEST_F(ClaimLedgerTest, BrokenOffRunMayHaveRunAtOnce)
+TEST_F(ClaimRegistryTest, AbandonedRunMayHaveRun)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Abandon, "a");
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::MayHaveRun);
 }
 
-TEST_F(ClaimLedgerTest, ReleasedClaimLetsAnotherAttemptRun)
+TEST_F(ClaimRegistryTest, ReleasedClaimLetsAnotherAttemptRun)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Release, "a");
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, LateReleaseOfAnEarlierAttemptFreesNothing)
+TEST_F(ClaimRegistryTest, LateReleaseOfAnEarlierAttemptFreesNothing)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Release, "a");
@@ -106,22 +106,22 @@
   EXPECT_EQ(this->Claim("c").verdict, ClaimVerdict::Running);
 }
 
-TEST_F(ClaimLedgerTest, ClaimThatItsReleaseOvertookIsNotGranted)
+TEST_F(ClaimRegistryTest, ClaimThatArrivesAfterItsReleaseIsNotGranted)
 {
   this->Settle(ClaimVerb::Release, "a");
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Withdrawn);
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, SameKeyWithAnotherBodyIsRefused)
+TEST_F(ClaimRegistryTest, SameKeyWithAnotherBodyIsRefused)
 {
   this->Claim("a");
   ClaimCommand other = this->Command("b");
   other.body = Digest("other");
-  EXPECT_EQ(this->Apply(other).verdict, ClaimVerdict::OtherBody);
+  EXPECT_EQ(this->Apply(other).verdict, ClaimVerdict::BodyMismatch);
 }
 
-TEST_F(ClaimLedgerTest, KeysOfTwoWorkspacesAreTwoKeys)
+TEST_F(ClaimRegistryTest, SameKeyInTwoWorkspacesIsTwoClaims)
 {
   this->Claim("a");
   this->Settle(ClaimVerb::Finish, "a");
@@ -130,38 +130,38 @@
   EXPECT_EQ(this->Apply(other).verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, ForgottenMintedKeyIsExpiredAndNotRunAgain)
+TEST_F(ClaimRegistryTest, ForgottenMintedKeyIsExpired)
 {
-  this->birth = this->context.proposedAt;
+  this->createdAt = this->context.proposedAt;
   this->Claim("a");
   this->Settle(ClaimVerb::Finish, "a");
-  this->Pass(hours(49));
+  this->Advance(hours(49));
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::Expired);
-  EXPECT_EQ(this->ledger.Size(), 0U);
-  EXPECT_EQ(this->ledger.AnswerBytes(), 0U);
+  EXPECT_EQ(this->registry.Size(), 0U);
+  EXPECT_EQ(this->registry.AnswerBytes(), 0U);
 }
 
-// A host whose settings remember keys for longer must not revive what the ledger forgot.
-TEST_F(ClaimLedgerTest, LongerRetentionDoesNotReviveAForgottenKey)
+// A host whose settings have a longer retention must not revive a key that was removed.
+TEST_F(ClaimRegistryTest, LongerRetentionDoesNotReviveAForgottenKey)
 {
-  this->birth = this->context.proposedAt;
+  this->createdAt = this->context.proposedAt;
   this->Claim("a");
-  this->Pass(hours(49));
+  this->Advance(hours(49));
   ClaimCommand longer = this->Command("b");
   longer.retention = hours(100);
   EXPECT_EQ(this->Apply(longer).verdict, ClaimVerdict::Expired);
 }
 
-TEST_F(ClaimLedgerTest, OldKeyThatWasNeverSeenIsExpired)
+TEST_F(ClaimRegistryTest, OldKeyThatWasNeverSeenIsExpired)
 {
-  this->birth = this->context.proposedAt - hours(48);
+  this->createdAt = this->context.proposedAt - hours(48);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Expired);
 }
 
-TEST_F(ClaimLedgerTest, ReleaseAfterTheRunEndedFreesNothing)
+TEST_F(ClaimRegistryTest, ReleaseAfterTheRunEndedFreesNothing)
 {
   for (const ClaimVerb end : { ClaimVerb::Finish, ClaimVerb::Abandon }) {
-    this->ledger = ClaimLedger();
+    this->registry = ClaimRegistry();
     this->Claim("a");
     this->Settle(end, "a");
     this->Settle(ClaimVerb::Release, "a");
@@ -169,24 +169,25 @@
   }
 }
 
-TEST_F(ClaimLedgerTest, KeyFromTheFutureIsRefused)
+TEST_F(ClaimRegistryTest, KeyFromTheFutureIsRefused)
 {
-  this->birth = this->context.proposedAt + minutes(5);
-  EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::NotYetBorn);
+  this->createdAt = this->context.proposedAt + minutes(5);
+  EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::CreatedInFuture);
 }
 
-TEST_F(ClaimLedgerTest, GroupFormedAnewRunsNoKeyFromBefore)
+TEST_F(ClaimRegistryTest, ReformedGroupGrantsNoEarlierKey)
 {
-  this->birth = this->context.proposedAt - minutes(1);
+  this->createdAt = this->context.proposedAt - minutes(1);
   this->context.incarnation = Incarnation(2);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::MayHaveRun);
-  this->Pass(hours(2));
-  this->birth = this->context.proposedAt;
+  this->Advance(hours(2));
+  this->createdAt = this->context.proposedAt;
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
 }
 
-// Until the control group has numbered it, a group may be one whose records were lost.
-TEST_F(ClaimLedgerTest, GroupThatIsNotYetNumberedGrantsNothing)
+// Until the control group has assigned an incarnation, the group may be a re-formed one that lost
+// its records.
+TEST_F(ClaimRegistryTest, GroupWithoutIncarnationGrantsNothing)
 {
   this->context.incarnation = Incarnation();
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::NotReady);
@@ -194,7 +195,7 @@
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, ReleaseInAGroupNotYetNumberedFreesNothingLater)
+TEST_F(ClaimRegistryTest, ReleaseInAGroupWithoutIncarnationFreesNothing)
 {
   this->context.incarnation = Incarnation();
   this->Settle(ClaimVerb::Release, "a");
@@ -202,15 +203,15 @@
   EXPECT_EQ(this->Claim("b").verdict, ClaimVerdict::MayHaveRun);
 }
 
-TEST_F(ClaimLedgerTest, GroupFormedAnewRunsKeysWithoutABirthOnlyAfterTheRetention)
+TEST_F(ClaimRegistryTest, ReformedGroupGrantsCallersOwnKeysOnlyAfterTheRetention)
 {
   this->context.incarnation = Incarnation(2);
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::MayHaveRun);
-  this->Pass(hours(48));
+  this->Advance(hours(48));
   EXPECT_EQ(this->Claim("a").verdict, ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimLedgerTest, FullLedgerRefusesNewKeysAndKeepsTheOld)
+TEST_F(ClaimRegistryTest, FullRegistryRefusesNewKeysAndKeepsTheOld)
 {
   for (const char* key : { "k1", "k2", "k3", "k4" }) {
     ClaimCommand command = this->Command("a");
@@ -220,7 +221,7 @@
   }
 }
 
-TEST_F(ClaimLedgerTest, OldestAnswersGoFirstAndTheirKeysStay)
+TEST_F(ClaimRegistryTest, DropsOldestAnswersFirstAndKeepsTheirKeys)
 {
   for (const char* key : { "k1", "k2" }) {
     ClaimCommand command = this->Command("a");
@@ -232,7 +233,7 @@
   }
   ClaimCommand again = this->Command("b");
   again.key = IdempotencyKey("k1");
-  EXPECT_EQ(this->Apply(again).verdict, ClaimVerdict::AnswerGone);
+  EXPECT_EQ(this->Apply(again).verdict, ClaimVerdict::AnswerDropped);
   again.key = IdempotencyKey("k2");
   EXPECT_EQ(this->Apply(again).verdict, ClaimVerdict::Kept);
 }
--- a/test/coordination/ComeBackTest.cpp
+++ b/test/coordination/ComeBackTest.cpp
@@ -5,32 +5,32 @@
 namespace damasklink {
 namespace {
 
-// The load: all hosts were down and start together. 120 calls a second meet entry hosts that have
-// no configuration for 1.2 s, and each caller comes back once. None of them may be refused twice,
-// nor may they all return in one moment.
-TEST(ComeBackTest, WhoIsRefusedDuringAStartReturnsOnceAfterIt)
+// All hosts start together. For 1.2 s, 120 calls a second reach entry hosts without a
+// configuration, and each caller retries once. No retry may come too early and be refused again,
+// and retries must not all come at one moment.
+TEST(ComeBackTest, SpreadsRetriesOverTheTimeAfterStartup)
 {
   constexpr Duration kReady = std::chrono::milliseconds(1200);
   constexpr Duration kStep = std::chrono::microseconds(8333);
-  ComeBack comeBack(1);
-  int early = 0;
+  ComeBack retryDelay(1);
+  int tooEarly = 0;
   int inFirstTenth = 0;
-  int all = 0;
+  int callers = 0;
   for (Duration arrival{ 0 }; arrival < kReady; arrival += kStep) {
-    const Duration back = arrival + comeBack.WhileStarting(arrival);
-    early += back < kReady ? 1 : 0;
-    inFirstTenth += back < ComeBack::kStartTakes + ComeBack::kReturnOver / 10 ? 1 : 0;
-    ++all;
+    const Duration retryAt = arrival + retryDelay.DelayDuringStartup(arrival);
+    tooEarly += retryAt < kReady ? 1 : 0;
+    inFirstTenth += retryAt < ComeBack::kStartTakes + ComeBack::kRetrySpread / 10 ? 1 : 0;
+    ++callers;
   }
-  EXPECT_EQ(early, 0);
-  EXPECT_LT(inFirstTenth, all / 4);
+  EXPECT_EQ(tooEarly, 0);
+  EXPECT_LT(inFirstTenth, callers / 4);
 }
 
-TEST(ComeBackTest, StartThatTakesLongerIsAskedAgainSoon)
+TEST(ComeBackTest, ReturnsShortDelayWhenStartupIsLate)
 {
-  ComeBack comeBack(1);
-  EXPECT_EQ(comeBack.WhileStarting(ComeBack::kStartTakes), ComeBack::kStartIsLate);
-  EXPECT_EQ(comeBack.WhileStarting(std::chrono::hours(1)), ComeBack::kStartIsLate);
+  ComeBack retryDelay(1);
+  EXPECT_EQ(retryDelay.DelayDuringStartup(ComeBack::kStartTakes), ComeBack::kLateStartupDelay);
+  EXPECT_EQ(retryDelay.DelayDuringStartup(std::chrono::hours(1)), ComeBack::kLateStartupDelay);
 }
 
 } // namespace
--- a/test/program/ExchangeFixture.h
+++ b/test/program/ExchangeFixture.h
@@ -213,7 +213,7 @@
   NoMetrics metrics;
   EntryPicture picture{ this->clock };
   FirstConfiguration firstConfiguration{ this->loop };
-  RetryShares retries{ RetryAllowance{} };
+  ServiceRetryBudgets retries{ RetryAllowance{} };
   TargetHealth health{ this->clock, 1 };
   ZoneReach reach{ this->clock, 1 };
   TargetPicker picker{ this->health, this->reach, 1 };
@@ -225,7 +225,7 @@
   CrashWatch crashes{ this->clock };
   BrokenRuns broken{ this->clock };
   HostId self{ "entry" };
-  TargetLimits limits{ this->clock, this->self };
+  TargetRateLimiter limits{ this->clock, this->self };
   EntryContext context{ this->loop,
                         this->clock,
                         this->settings,
