--- a/bench/PolicyBench.cpp
+++ b/bench/PolicyBench.cpp
@@ -241,7 +241,7 @@
     { "no equal spread", [](SimOptions& aOptions) { aOptions.router.spreadEqual = false; } },
     { "no cache views", [](SimOptions& aOptions) { aOptions.router.useCaches = false; } },
     { "no imports", [](SimOptions& aOptions) { aOptions.router.useStores = false; } },
-    { "keep everything", [](SimOptions& aOptions) { aOptions.choosy = false; } },
+    { "keep everything", [](SimOptions& aOptions) { aOptions.costBasedAdmission = false; } },
     { "no learnt returns", [](SimOptions& aOptions) { aOptions.learnReturns = false; } }
   };
   PrintHead();
--- a/bench/PolicyJobs.cpp
+++ b/bench/PolicyJobs.cpp
@@ -155,7 +155,7 @@
   const double rate = this->IsCost() ? this->costRouters[aJob->prompt->host]->PrefillRate(engine.id)
                                      : this->user.prefillRate;
   const ByteCount bytes(rest * this->BlockBytes());
-  const ImportRest left{
+  const RemainingImport left{
     bytes, TokenCount(rest * kBlockTokens), store.owner->Link().RateFor(bytes), rate
   };
   const ObjectiveWeights weights = this->IsCost() ? this->user.objective : ObjectiveWeights();
@@ -169,7 +169,7 @@
     this->Enqueue(aJob);
     return;
   }
-  this->Transfer(aJob, aStore, grant.value(), ImportPatience(left, weights));
+  this->Transfer(aJob, aStore, grant.value(), ImportTimeLimit(left, weights));
 }
 
 void
@@ -179,7 +179,7 @@
                      Duration aPatience)
 {
   Store& store = this->stores[aStore];
-  StoreOwner* owner = store.owner.get();
+  StoreManager* owner = store.owner.get();
   const auto moving = std::make_shared<bool>(true);
   const std::uint64_t depth = this->engines[aJob->engine].cache.Depth(aJob->route.blocks);
   const std::uint64_t transfer = store.link->Start(
@@ -348,7 +348,7 @@
       if (chance < kLostOfThousand) {
         continue;
       }
-      PrefixView& caches = this->costRouters[host]->Caches();
+      PrefixCacheIndex& caches = this->costRouters[host]->Caches();
       caches.OnEvent(*event);
       if (chance < 2 * kLostOfThousand) {
         caches.OnEvent(*event);
@@ -361,7 +361,7 @@
 void
 Simulation::Rebuild(std::uint32_t aHost, std::uint32_t aEngine)
 {
-  PrefixView& caches = this->costRouters[aHost]->Caches();
+  PrefixCacheIndex& caches = this->costRouters[aHost]->Caches();
   const std::pair<std::uint32_t, std::uint32_t> key(aHost, aEngine);
   if (!caches.IsStale(this->engines[aEngine].id) || !this->rebuilding.insert(key).second) {
     return;
@@ -376,7 +376,7 @@
 void
 Simulation::Offer(const Job& aJob, std::uint64_t aBlocks)
 {
-  KeepOffer offer;
+  HashedPrompt offer;
   offer.scope = this->ScopeOf(aJob);
   offer.blocks.assign(aJob.blocks->begin(),
                       aJob.blocks->begin() + static_cast<std::ptrdiff_t>(aBlocks));
@@ -392,7 +392,7 @@
     }
     Store& store = this->stores[number];
     store.owner->OnAnswered(offer);
-    const std::uint64_t kept = store.owner->KeptBlocks(offer);
+    const std::uint64_t kept = store.owner->CountStoredBlocks(offer);
     const std::pair<std::uint64_t, double> rank(kept, -static_cast<double>(store.offers.size()));
     if (best == kStores || rank > bestRank) {
       best = number;
@@ -448,7 +448,7 @@
     store.offers.pop_front();
   }
   store.pumping = true;
-  StoreOwner* owner = store.owner.get();
+  StoreManager* owner = store.owner.get();
   const auto bytes = static_cast<double>(exported.size() * this->BlockBytes());
   store.link->Start(false, bytes, [=, this](Duration aElapsed) {
     if (this->stores[aStore].owner.get() == owner) {
--- a/bench/PolicySim.cpp
+++ b/bench/PolicySim.cpp
@@ -57,15 +57,15 @@
   constexpr double kConstantWeight = 1e18;
   for (std::uint32_t number = 0; number < kStores; ++number) {
     Store& store = this->stores.emplace_back();
-    StoreOwnerOptions owner;
+    StoreManagerOptions owner;
     owner.store = StoreId(Concat("store-", number));
     owner.declared = this->user.store;
-    owner.choosy = this->IsCost() && this->options.choosy;
+    owner.costBasedAdmission = this->IsCost() && this->options.costBasedAdmission;
     if (!this->IsCost() || !this->options.learnReturns) {
       // A share that never changes: all kinds alike, so that the least recently used goes first.
       owner.returns.priorWeight = kConstantWeight;
     }
-    store.owner = std::make_unique<StoreOwner>(this->loop.GetClock(), FencingNumber(1), owner);
+    store.owner = std::make_unique<StoreManager>(this->loop.GetClock(), FencingNumber(1), owner);
     store.link = std::make_unique<FakeLink>(
       this->loop, static_cast<double>(this->user.store.linkBytesPerSecond.Value()));
   }
@@ -108,13 +108,13 @@
 Simulation::LoseStore()
 {
   // Its owner starts again with nothing; offers on the way are lost with it.
-  StoreOwnerOptions owner;
+  StoreManagerOptions owner;
   owner.store = StoreId("store-0");
   owner.declared = this->user.store;
-  owner.choosy = this->IsCost() && this->options.choosy;
+  owner.costBasedAdmission = this->IsCost() && this->options.costBasedAdmission;
   this->stores[0].offers.clear();
   this->stores[0].owner =
-    std::make_unique<StoreOwner>(this->loop.GetClock(), FencingNumber(2), owner);
+    std::make_unique<StoreManager>(this->loop.GetClock(), FencingNumber(2), owner);
   this->stores[0].owner->Rebuild({});
 }
 
--- a/bench/PolicySim.h
+++ b/bench/PolicySim.h
@@ -31,7 +31,7 @@
   FaultKind fault = FaultKind::None;
   // Of the policy that is measured.
   CostRouterOptions router;
-  bool choosy = true;
+  bool costBasedAdmission = true;
   bool learnReturns = true;
 };
 
--- a/bench/PolicySimulation.h
+++ b/bench/PolicySimulation.h
@@ -6,7 +6,7 @@
 
 #include "PolicyParts.h"
 #include "damasklink/coordination/BlockNames.h"
-#include "damasklink/coordination/StoreOwner.h"
+#include "damasklink/coordination/StoreManager.h"
 
 namespace damasklink::bench {
 
@@ -53,11 +53,11 @@
 // A fake store with its owner.
 struct Store
 {
-  std::unique_ptr<StoreOwner> owner;
+  std::unique_ptr<StoreManager> owner;
   std::unique_ptr<FakeLink> link;
   struct Offer
   {
-    KeepOffer keep;
+    HashedPrompt keep;
     std::uint32_t engine = 0;
   };
   std::deque<Offer> offers;
--- a/bench/ReuseBench.cpp
+++ b/bench/ReuseBench.cpp
@@ -8,7 +8,7 @@
 
 #include "damasklink/coordination/BlockNames.h"
 #include "damasklink/coordination/CostRouter.h"
-#include "damasklink/coordination/OwnedStore.h"
+#include "damasklink/coordination/LeasedStore.h"
 #include "damasklink/state/Digests.h"
 #include "damasklink/state/Text.h"
 #include "damasklink/state/Units.h"
@@ -139,13 +139,13 @@
 {
   const SystemClock clock;
   const std::vector<BlockHeader> inventory = Inventory();
-  StoreOwnerOptions options;
+  StoreManagerOptions options;
   options.store = StoreId("store");
   options.declared = {
     ByteCount(kGibibyte * 4096), ByteCount(0), ByteCount(kGibibyte), ByteCount(32 * kKibibyte)
   };
   const std::uint64_t before = HeapBytes();
-  OwnedStore owned(clock, FencingNumber(2), options);
+  LeasedStore owned(clock, FencingNumber(2), options);
   owned.Renew(clock.MonotonicNow() + std::chrono::hours(1));
   const auto begin = std::chrono::steady_clock::now();
   owned.Rebuild(inventory);
--- a/include/damasklink/coordination/BlockDirectory.h
+++ b/include/damasklink/coordination/BlockDirectory.h
@@ -52,7 +52,7 @@
 };
 
 // Tells a store to forget a block, or to move it to its disk.
-struct BlockOrder
+struct BlockCommand
 {
   Digest block;
   Generation generation;
@@ -69,7 +69,7 @@
 };
 
 // How much of a prompt a store keeps.
-struct KeptPrefix
+struct PrefixMatch
 {
   std::uint64_t blocks = 0;
   ByteCount bytes;
@@ -83,7 +83,7 @@
 //   directory.Seal(block, generation, length, checksum);
 //   auto pinned = directory.Pin(block, scope);                  // An engine imports.
 //   directory.Unpin(pinned.value().pin);
-//   for (const BlockOrder& order : directory.TakeFreed()) ...   // The store may reuse the room.
+//   for (const BlockCommand& order : directory.TakeFreed()) ...   // The store may reuse the room.
 //
 // Generations grow with the fencing number, so that two owners never give the same one. When room
 // is short, what is least expected to return soon goes first: return share of its kind by time
@@ -136,16 +136,16 @@
   std::set<std::pair<ModelName, WeightVersion>> Versions() const;
 
   // Returns how many leading blocks of a prompt are sealed here, and marks them as used now.
-  KeptPrefix LookUp(const std::vector<Digest>& aBlocks, const BlockScope& aScope);
+  PrefixMatch LookUp(const std::vector<Digest>& aBlocks, const BlockScope& aScope);
 
   // Lets leases run out. Requires to be called now and then.
   void Expire();
 
   // Returns the blocks that were freed since the last call. The store may forget them.
-  std::vector<BlockOrder> TakeFreed();
+  std::vector<BlockCommand> TakeFreed();
 
   // Returns the blocks that were moved from memory to disk since the last call.
-  std::vector<BlockOrder> TakeDemoted();
+  std::vector<BlockCommand> TakeDemoted();
 
   // Returns the kind's rank among what is kept: the higher, the longer it stays. aAge is the time
   // since its last use.
@@ -157,7 +157,7 @@
 private:
   using Name = std::array<std::uint64_t, 4>;
   using Slot = std::uint32_t;
-  static constexpr Slot kNone = std::numeric_limits<Slot>::max();
+  static constexpr Slot kNoSlot = std::numeric_limits<Slot>::max();
 
   struct Record
   {
@@ -165,12 +165,12 @@
     Generation generation;
     std::uint64_t length = 0;
     Checksum checksum;
-    MonotonicTime used;
+    MonotonicTime lastUsed;
     // Of a reserved or writing block: when it is given up.
-    MonotonicTime writeUntil;
+    MonotonicTime writeDeadline;
     // Neighbours of the same kind and tier, by last use.
-    Slot older = kNone;
-    Slot newer = kNone;
+    Slot older = kNoSlot;
+    Slot newer = kNoSlot;
     std::uint32_t pins = 0;
     std::uint32_t scope = 0;
     PromptKind kind = 0;
@@ -179,33 +179,33 @@
   };
 
   // Blocks of one kind in one tier, by last use.
-  struct UseList
+  struct LruList
   {
-    Slot oldest = kNone;
-    Slot newest = kNone;
+    Slot oldest = kNoSlot;
+    Slot newest = kNoSlot;
   };
 
   struct Pinned
   {
-    Slot slot = kNone;
+    Slot slot = kNoSlot;
     MonotonicTime until;
   };
 
   static Name NameOf(const Digest& aBlock);
   static Digest DigestOfName(const Name& aName);
   Record* Find(const Digest& aBlock, Generation aGeneration);
-  // Returns the block's slot when it is sealed and of the scope, else kNone.
+  // Returns the block's slot when it is sealed and of the scope, else kNoSlot.
   Slot FindSealed(const Digest& aBlock, std::uint32_t aScope) const;
   // Returns the number of the scope, which is new where no block of it was ever kept.
   std::uint32_t ScopeIndex(const BlockScope& aScope);
-  // Returns the number of the scope, kNone where no block of it was ever kept.
+  // Returns the number of the scope, kNoSlot where no block of it was ever kept.
   std::uint32_t KnownScope(const BlockScope& aScope) const;
   Slot AddRecord(const Digest& aBlock, const BlockScope& aScope, PromptKind aKind);
   void Link(Slot aSlot);
   void Unlink(Slot aSlot);
-  UseList& ListOf(const Record& aRecord);
+  LruList& LruListOf(const Record& aRecord);
   bool MakeRoom(StoreTier aTier, std::uint64_t aBytes, double aRank);
-  Slot Worst(StoreTier aTier, double& aRank) const;
+  Slot FindLowestRanked(StoreTier aTier, double& aRank) const;
   void StartDraining(Slot aSlot);
   void FreeIfUnpinned(Slot aSlot);
   std::uint64_t& UsedBytes(StoreTier aTier);
@@ -214,7 +214,7 @@
   DirectoryOptions options;
   const ReturnPredictor& returns;
   // No block is freed earlier.
-  MonotonicTime freeFrom;
+  MonotonicTime earliestFree;
   std::uint64_t nextGeneration;
   std::uint64_t nextPin;
   absl::flat_hash_map<Name, Slot> slots;
@@ -223,15 +223,15 @@
   std::vector<BlockScope> scopes;
   absl::flat_hash_map<std::string, std::uint32_t> scopeIndexes;
   // By kind, then tier.
-  std::vector<std::array<UseList, 2>> lists;
+  std::vector<std::array<LruList, 2>> lists;
   absl::flat_hash_map<PinId, Pinned> pins;
-  // Blocks that wait for their pins, or for freeFrom.
+  // Blocks that wait for their pins, or for earliestFree.
   std::vector<Slot> draining;
   std::vector<Slot> unsealed;
   std::uint64_t memoryUsed = 0;
   std::uint64_t diskUsed = 0;
-  std::vector<BlockOrder> freed;
-  std::vector<BlockOrder> demoted;
+  std::vector<BlockCommand> freed;
+  std::vector<BlockCommand> demoted;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/CostRouter.h
+++ b/include/damasklink/coordination/CostRouter.h
@@ -7,7 +7,7 @@
 #include <absl/container/flat_hash_map.h>
 
 #include "damasklink/coordination/EligibilityCache.h"
-#include "damasklink/coordination/PrefixView.h"
+#include "damasklink/coordination/PrefixCacheIndex.h"
 #include "damasklink/coordination/Router.h"
 
 namespace damasklink {
@@ -84,7 +84,7 @@
   void OnPeerSends(const std::vector<TargetSends>& aSends);
 
   // Where cache events go.
-  PrefixView& Caches() { return this->caches; }
+  PrefixCacheIndex& Caches() { return this->caches; }
 
   // Returns the prefill rate that decisions use for the target, in tokens a second; 0 when the
   // target is not known.
@@ -106,7 +106,7 @@
     TargetId id;
     // Well-spread number of the id.
     std::uint64_t spread = 0;
-    PrefixView::Index cache = 0;
+    PrefixCacheIndex::TargetNumber cache = 0;
     Incarnation incarnation;
     Sequence sequence;
     TargetLoad load;
@@ -176,7 +176,7 @@
   const Clock& clock;
   CostRouterOptions options;
   MonotonicTime now;
-  PrefixView caches;
+  PrefixCacheIndex caches;
   std::vector<TargetState> states;
   absl::flat_hash_map<TargetId, StateIndex> indexes;
   // The state of each position in the list of targets, which seldom changes.
--- a/include/damasklink/coordination/HeldParts.h
+++ b/include/damasklink/coordination/EngineCacheModel.h
@@ -3,9 +3,9 @@
 // A guess from what was sent there: engines drop the least recently used parts when their memory is
 // full, and so does this view. A wrong guess costs time, never a wrong answer.
 //
-//   HeldParts held;
-//   held.OnRead(target, parts);
-//   held.LeadingHeld(target, parts);     // Parts from the start of the prompt.
+//   EngineCacheModel held;
+//   held.OnSent(target, parts);
+//   held.LeadingCached(target, parts);     // Parts from the start of the prompt.
 //
 // Not thread-safe.
 #pragma once
@@ -20,14 +20,14 @@
 
 namespace damasklink {
 
-class HeldParts
+class EngineCacheModel
 {
 public:
   // Tokens of parts that one engine is believed to keep where its memory is not declared.
-  static constexpr std::uint64_t kUsualCapacity = 100'000;
+  static constexpr std::uint64_t kDefaultCapacity = 100'000;
 
   // Parts beyond the capacity are forgotten, the least recently used first.
-  explicit HeldParts(TokenCount aCapacity = TokenCount(kUsualCapacity))
+  explicit EngineCacheModel(TokenCount aCapacity = TokenCount(kDefaultCapacity))
     : capacity(aCapacity.Value())
   {
   }
@@ -37,10 +37,10 @@
   void SetCapacity(TokenCount aCapacity) { this->capacity = aCapacity.Value(); }
 
   // Tells that the target reads the parts.
-  void OnRead(const TargetId& aTarget, const std::vector<SizedPart>& aParts);
+  void OnSent(const TargetId& aTarget, const std::vector<SizedPart>& aParts);
 
   // Returns how many parts from the first on the target holds, without a gap.
-  std::size_t LeadingHeld(const TargetId& aTarget, const std::vector<SizedPart>& aParts) const;
+  std::size_t LeadingCached(const TargetId& aTarget, const std::vector<SizedPart>& aParts) const;
 
   // Returns whether the target holds the part, whatever stands before it.
   bool Holds(const TargetId& aTarget, PartKey aPart) const;
--- a/include/damasklink/coordination/EventFramer.h
+++ b/include/damasklink/coordination/EventFramer.h
@@ -1,7 +1,7 @@
 // Cuts the bytes of an event stream (text/event-stream) into whole events.
 //
 //   EventFramer framer;
-//   std::string whole = framer.Take(piece);   // Whole events only; the rest is kept.
+//   std::string whole = framer.Append(piece);   // Whole events only; the rest is kept.
 //   framer.LastEvent();                       // Id of the last event taken out.
 //
 // A target may stop in the middle of an event; what was passed on then ends with a whole one, so
@@ -19,19 +19,19 @@
 {
 public:
   // Returns all events that are whole with these bytes, as they came.
-  std::string Take(std::string_view aBytes);
+  std::string Append(std::string_view aBytes);
 
   // Returns the id of the last event that was taken out, nothing while there was none.
   std::optional<std::uint64_t> LastEvent() const { return this->lastEvent; }
 
   // Whether bytes of an event that is not whole are kept.
-  bool HoldsPart() const { return !this->rest.empty(); }
+  bool HasPartialEvent() const { return !this->rest.empty(); }
 
   // Returns the bytes of the event that is not whole, and forgets them: another target goes on.
-  std::string DropPart();
+  std::string DiscardPartialEvent();
 
 private:
-  void NoteIds(std::string_view aEvents);
+  void UpdateLastId(std::string_view aEvents);
 
   std::string rest;
   std::optional<std::uint64_t> lastEvent;
--- a/include/damasklink/coordination/OwnedStore.h
+++ b/include/damasklink/coordination/LeasedStore.h
@@ -13,7 +13,7 @@
 
 // Answers questions about a store while the lease holds.
 //
-//   OwnedStore owned(clock, lease, options);
+//   LeasedStore owned(clock, lease, options);
 //   owned.Rebuild(inventory);                  // Until then it knows of nothing.
 //   StoreAnswer answer = owned.Answer(question);
 //   owned.OnOutcome(outcome);
@@ -21,10 +21,10 @@
 //
 // Grants whose outcome never comes end with their lease. An outcome that is late, doubled or of an
 // earlier owner is ignored. Not thread-safe.
-class OwnedStore
+class LeasedStore
 {
 public:
-  OwnedStore(const Clock& aClock, FencingNumber aFencing, StoreOwnerOptions aOptions);
+  LeasedStore(const Clock& aClock, FencingNumber aFencing, StoreManagerOptions aOptions);
 
   // Moves the end of this owner's lease, on this host's clock.
   void Renew(MonotonicTime aUntil) { this->until = aUntil; }
@@ -44,10 +44,10 @@
   void Expire();
 
   // Orders for the store since the last call; none once the lease has run out.
-  std::vector<BlockOrder> TakeFreed();
-  std::vector<BlockOrder> TakeDemoted();
+  std::vector<BlockCommand> TakeFreed();
+  std::vector<BlockCommand> TakeDemoted();
 
-  bool Holds() const;
+  bool HoldsLease() const;
   bool IsReady() const { return this->ready; }
   FencingNumber Fencing() const { return this->fencing; }
   const BlockDirectory& Directory() const { return this->owner.Directory(); }
@@ -55,26 +55,26 @@
 private:
   struct OpenGrant
   {
-    ImportGrant import;
-    ExportGrant write;
+    ImportGrant importGrant;
+    ExportGrant exportGrant;
     MonotonicTime until;
   };
 
   void AnswerLookUp(const StoreQuestion& aQuestion, StoreAnswer& aAnswer);
   void AnswerImport(const StoreQuestion& aQuestion, StoreAnswer& aAnswer);
   void AnswerExport(const StoreQuestion& aQuestion, StoreAnswer& aAnswer);
-  GrantId Open(OpenGrant aGrant, Duration aValid);
-  void Close(const OpenGrant& aGrant, const StoreOutcome& aOutcome);
+  GrantId AddGrant(OpenGrant aGrant, Duration aValid);
+  void FinishGrant(const OpenGrant& aGrant, const StoreOutcome& aOutcome);
 
   const Clock& clock;
   FencingNumber fencing;
-  StoreOwnerOptions options;
-  StoreOwner owner;
+  StoreManagerOptions options;
+  StoreManager owner;
   MonotonicTime until;
   bool ready = false;
   GrantId lastGrant;
   std::map<GrantId, OpenGrant> grants;
-  std::map<ModelVersion, MonotonicTime> servedAt;
+  std::map<ModelVersion, MonotonicTime> lastServed;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/LinkBudget.h
+++ b/include/damasklink/coordination/LinkBudget.h
@@ -20,7 +20,7 @@
 // budget; exports get nothing while an import waits.
 //
 //   LinkBudget budget(clock, ByteCount(125'000'000));
-//   if (budget.Take(Transfer::Import, bytes)) { ... budget.OnMoved(bytes, elapsed); }
+//   if (budget.TryAcquire(Transfer::Import, bytes)) { ... budget.OnMoved(bytes, elapsed); }
 //   budget.RateFor(bytes);   // What an import begun now may expect, in bytes a second.
 //
 // A link that turns out slower than its budget is noticed through OnMoved(). Not thread-safe.
@@ -31,7 +31,7 @@
 
   // Grants a transfer, or returns false and then counts an import as waiting for a short while.
   // More than a second's budget at once is never granted.
-  bool Take(Transfer aKind, ByteCount aBytes);
+  bool TryAcquire(Transfer aKind, ByteCount aBytes);
 
   // Tells that granted bytes have arrived, aElapsed after the grant.
   void OnMoved(ByteCount aBytes, Duration aElapsed);
@@ -40,7 +40,7 @@
   void OnFailed(ByteCount aBytes);
 
   // Tells that granted bytes were not needed. They stay counted as granted for their second.
-  void OnUnused(ByteCount aBytes) { this->Settle(aBytes); }
+  void OnUnused(ByteCount aBytes) { this->RemoveInFlight(aBytes); }
 
   // Returns the bytes a second that an import of so many bytes may expect, behind what is granted
   // and still under way.
@@ -49,7 +49,7 @@
   ByteCount Budget() const { return this->budget; }
 
   // Returns the bytes granted and not yet moved.
-  ByteCount UnderWay() const { return this->underWay; }
+  ByteCount InFlight() const { return this->inFlight; }
 
 private:
   struct Grant
@@ -58,8 +58,8 @@
     std::uint64_t bytes = 0;
   };
 
-  void Forget(MonotonicTime aNow);
-  void Settle(ByteCount aBytes);
+  void DropExpiredGrants(MonotonicTime aNow);
+  void RemoveInFlight(ByteCount aBytes);
 
   const Clock& clock;
   ByteCount budget;
@@ -67,12 +67,12 @@
   double rate;
   std::deque<Grant> grants;
   std::uint64_t grantedBytes = 0;
-  ByteCount underWay;
+  ByteCount inFlight;
   MonotonicTime importWaitsUntil;
 };
 
 // What is left of an import, and what computing it would take instead.
-struct ImportRest
+struct RemainingImport
 {
   ByteCount bytes;
   TokenCount tokens;
@@ -85,10 +85,10 @@
 // Returns how long the rest of an import may take before computing it is cheaper by the weights of
 // the request's subtree. Zero when nothing moves or nothing is gained.
 Duration
-ImportPatience(const ImportRest& aRest, const ObjectiveWeights& aWeights);
+ImportTimeLimit(const RemainingImport& aImport, const ObjectiveWeights& aWeights);
 
 // Returns whether computing is by now expected to be cheaper than importing the rest.
 bool
-ShouldAbandonImport(const ImportRest& aRest, const ObjectiveWeights& aWeights);
+ShouldAbandonImport(const RemainingImport& aImport, const ObjectiveWeights& aWeights);
 
 } // namespace damasklink
--- a/include/damasklink/coordination/PrefixView.h
+++ b/include/damasklink/coordination/PrefixCacheIndex.h
@@ -38,23 +38,23 @@
 // Guesses which blocks each target holds, from what was sent there and from cache events. A wrong
 // guess costs time, never a wrong answer: the engine itself decides what it reuses.
 //
-//   PrefixView view(100'000);
+//   PrefixCacheIndex view(100'000);
 //   view.OnSent(target, blocks);
 //   view.Match(blocks);
-//   view.Depth(view.IndexOf(target));   // Leading blocks that the target should hold.
+//   view.Depth(view.NumberOf(target));   // Leading blocks that the target should hold.
 //
 // A gap in the sequence marks a target's view stale until a snapshot rebuilds it; meanwhile events
 // are still taken as hints. Holds at most the given number of blocks for each target, the least
 // recently used ones go first. Not thread-safe.
-class PrefixView
+class PrefixCacheIndex
 {
 public:
-  using Index = std::uint32_t;
+  using TargetNumber = std::uint32_t;
 
-  explicit PrefixView(std::uint64_t aMostBlocksPerTarget);
+  explicit PrefixCacheIndex(std::uint64_t aMaxBlocksPerTarget);
 
   // Returns a small number for the target, the same until Forget().
-  Index IndexOf(const TargetId& aTarget);
+  TargetNumber NumberOf(const TargetId& aTarget);
 
   // Drops all that is known of a target. Its number may go to another one.
   void Forget(const TargetId& aTarget);
@@ -70,16 +70,16 @@
   void OnSnapshot(const CacheSnapshot& aSnapshot);
 
   // Returns the targets whose views are stale and need a snapshot.
-  std::vector<TargetId> Stale() const;
+  std::vector<TargetId> StaleTargets() const;
   bool IsStale(const TargetId& aTarget) const;
 
   // Finds how many leading blocks each target holds; read with Depth() until the next call.
   void Match(const std::vector<Digest>& aBlocks);
 
   // Returns the leading blocks of the last Match() that the target is believed to hold.
-  std::uint64_t Depth(Index aIndex) const;
+  std::uint64_t Depth(TargetNumber aTarget) const;
 
-  // Returns how many (block, target) pairs are held.
+  // Returns how many (block, target) pairs are blockCount.
   std::uint64_t Size() const;
 
 private:
@@ -87,7 +87,7 @@
 
   struct Holder
   {
-    Index target = 0;
+    TargetNumber target = 0;
     std::uint32_t stamp = 0;
   };
 
@@ -97,33 +97,33 @@
     std::uint32_t stamp = 0;
   };
 
-  struct TargetView
+  struct TargetState
   {
     TargetId id;
     Incarnation incarnation;
     Sequence sequence;
     bool stale = false;
     std::uint32_t nextStamp = 1;
-    std::uint64_t held = 0;
+    std::uint64_t blockCount = 0;
     // Uses in order; a block used again later stands here more than once.
     std::deque<Use> uses;
   };
 
-  void Add(Index aIndex, Hint aBlock);
-  void Remove(Index aIndex, Hint aBlock);
-  void Clear(Index aIndex);
-  void Trim(Index aIndex);
-  Holder* Find(Index aIndex, Hint aBlock);
-  bool IsLastUse(Index aIndex, const Use& aUse);
-
-  std::uint64_t mostBlocks;
-  absl::flat_hash_map<TargetId, Index> indexes;
-  std::vector<Index> unused;
-  std::vector<TargetView> targets;
+  void Add(TargetNumber aTarget, Hint aBlock);
+  void Remove(TargetNumber aTarget, Hint aBlock);
+  void Clear(TargetNumber aTarget);
+  void Trim(TargetNumber aTarget);
+  Holder* Find(TargetNumber aTarget, Hint aBlock);
+  bool IsLastUse(TargetNumber aTarget, const Use& aUse);
+
+  std::uint64_t maxBlocks;
+  absl::flat_hash_map<TargetId, TargetNumber> numbers;
+  std::vector<TargetNumber> unused;
+  std::vector<TargetState> targets;
   // Most blocks have one holder, so that it stands in the table itself.
   absl::flat_hash_map<Hint, absl::InlinedVector<Holder, 1>> holders;
   std::vector<std::uint32_t> depths;
-  std::vector<Index> matched;
+  std::vector<TargetNumber> matched;
   std::vector<Hint> hints;
 };
 
--- a/include/damasklink/coordination/PromptParts.h
+++ b/include/damasklink/coordination/PromptParts.h
@@ -13,25 +13,25 @@
 using PartKey = NumberId<struct PartKeyTag>;
 
 // What keeps the cached parts of a prompt apart.
-struct ScopeFacts
+struct PartScope
 {
   ModelName model;
   std::uint64_t weights = 0;
   // Set for an isolated workspace only.
-  WorkspaceId wall;
+  WorkspaceId isolatedWorkspace;
   // The home regions of the call as one text; empty where it may go anywhere.
-  std::string homes;
+  std::string homeRegions;
 
-  bool operator==(const ScopeFacts&) const = default;
+  bool operator==(const PartScope&) const = default;
 };
 
 // Returns the text of a scope, as targets and stores are told it.
 std::string
-FormatScope(const ScopeFacts& aFacts);
+FormatPartScope(const PartScope& aScope);
 
-// Returns what a scope's text says, nothing for a text that FormatScope() did not make.
-std::optional<ScopeFacts>
-ParseScope(std::string_view aText);
+// Returns what a scope's text says, nothing for a text that FormatPartScope() did not make.
+std::optional<PartScope>
+ParsePartScope(std::string_view aText);
 
 // A part as a store lists it.
 struct PartName
--- a/include/damasklink/coordination/PromptReuse.h
+++ b/include/damasklink/coordination/PromptReuse.h
@@ -18,23 +18,23 @@
   virtual void LookUp(std::string_view aPrompt, RouteRequest& aRequest) = 0;
 
   // Imports what the decision says, waiting while that is expected to be faster than to compute.
-  virtual void Bring(const RouteRequest& aRequest, const RouteDecision& aDecision) = 0;
+  virtual void ImportBlocks(const RouteRequest& aRequest, const RouteDecision& aDecision) = 0;
 
   // Takes note of a whole answer; may order an export, without waiting for it.
-  virtual void Keep(const RouteRequest& aRequest,
-                    const RouteDecision& aDecision,
-                    const AnswerUsage& aUsage) = 0;
+  virtual void OnAnswered(const RouteRequest& aRequest,
+                          const RouteDecision& aDecision,
+                          const AnswerUsage& aUsage) = 0;
 };
 
 // Reuses nothing but what the engines' own caches hold.
-class NoReuse final : public PromptReuse
+class NoPromptReuse final : public PromptReuse
 {
 public:
   void LookUp(std::string_view aPrompt, RouteRequest& aRequest) override;
-  void Bring(const RouteRequest& aRequest, const RouteDecision& aDecision) override;
-  void Keep(const RouteRequest& aRequest,
-            const RouteDecision& aDecision,
-            const AnswerUsage& aUsage) override;
+  void ImportBlocks(const RouteRequest& aRequest, const RouteDecision& aDecision) override;
+  void OnAnswered(const RouteRequest& aRequest,
+                  const RouteDecision& aDecision,
+                  const AnswerUsage& aUsage) override;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/ReturnQueue.h
+++ b/include/damasklink/coordination/RetryScheduler.h
@@ -1,9 +1,10 @@
 // When callers that are refused because all targets are full should come again: one after the
 // other, as places that the others leave are given to them.
 //
-//   ReturnQueue queue(clock, seed);
+//   RetryScheduler queue(clock, seed);
 //   queue.OnAdmitted();                       // A call was sent to a target.
-//   Duration after = queue.Join();            // One was refused: what to tell its caller.
+//   Duration after = queue.NextRetryDelay();            // One was refused: what to tell its
+//   caller.
 //
 // After an outage all who waited ask at once, several times what targets can take. Told one short
 // time, all come back together and are refused for good. A queue that gives them a share of what is
@@ -18,18 +19,18 @@
 
 namespace damasklink {
 
-class ReturnQueue
+class RetryScheduler
 {
 public:
   // Share of the calls that are admitted which may be returning ones.
-  static constexpr double kShare = 0.25;
+  static constexpr double kRetryRatio = 0.25;
   // Nobody returns sooner: queues at targets that are full empty in about this time.
-  static constexpr Duration kSoonest = std::chrono::milliseconds(300);
+  static constexpr Duration kMinRetryDelay = std::chrono::milliseconds(300);
   // Nor later: callers do not wait for longer, and an overload that lasts for longer is none of
   // those that a queue helps over.
-  static constexpr Duration kLatest = std::chrono::seconds(2);
+  static constexpr Duration kMaxRetryDelay = std::chrono::seconds(2);
 
-  ReturnQueue(const Clock& aClock, std::uint64_t aSeed)
+  RetryScheduler(const Clock& aClock, std::uint64_t aSeed)
     : clock(aClock)
     , random(aSeed)
   {
@@ -39,7 +40,7 @@
   void OnAdmitted();
 
   // A caller is refused. Returns after how long it should come back.
-  Duration Join();
+  Duration NextRetryDelay();
 
 private:
   void Decay();
@@ -50,7 +51,7 @@
   double admitted = 0;
   MonotonicTime decayedAt;
   // The turn of the last caller that joined.
-  MonotonicTime lastTurn;
+  MonotonicTime lastRetry;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/ReturnPredictor.h
+++ b/include/damasklink/coordination/ReturnPredictor.h
@@ -19,7 +19,7 @@
   // How many observations the prior weighs.
   double priorWeight = 10;
   // Prompts whose return is waited for, over all kinds.
-  std::uint64_t mostAwaited = 100'000;
+  std::uint64_t maxAwaited = 100'000;
 };
 
 // A kind of prompt: those of one workspace, of about the same length, that go on with an earlier
@@ -32,7 +32,7 @@
 //   const PromptKind kind = returns.KindOf(workspace, tokens, returning);
 //   const bool returning = returns.OnPrompt(blocks);
 //   returns.OnAnswered(kind, blocks);   // From now on it may return.
-//   returns.Share(kind);
+//   returns.ReturnProbability(kind);
 //
 // The declared prior counts like a few observations, so that it fades as real ones come in.
 // Bounded; not thread-safe.
@@ -52,7 +52,7 @@
   void OnAnswered(PromptKind aKind, const std::vector<Digest>& aBlocks);
 
   // Returns the expected share of prompts of this kind that return, between 0 and 1.
-  double Share(PromptKind aKind) const;
+  double ReturnProbability(PromptKind aKind) const;
 
 private:
   struct Count
@@ -66,7 +66,7 @@
   std::vector<Count> counts;
   // The last block of each prompt that may return, and its kind.
   absl::flat_hash_map<std::uint64_t, PromptKind> awaited;
-  std::deque<std::uint64_t> order;
+  std::deque<std::uint64_t> awaitedOrder;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/StoreFeed.h
+++ b/include/damasklink/coordination/StoreContentTracker.h
@@ -1,8 +1,8 @@
 // What one store of prompt parts holds, as its events and lists tell.
 //
-//   StoreFeed feed;
-//   if (feed.NeedsList()) feed.TakeList(list);
-//   else feed.TakeEvents(events);
+//   StoreContentTracker feed;
+//   if (feed.NeedsList()) feed.ApplyList(list);
+//   else feed.ApplyEvents(events);
 //   StoreStatement changes = feed.TakeChanges();    // For entry hosts.
 //
 // A restarted store has another epoch and nothing in it; a gap in the events, or another epoch,
@@ -65,15 +65,15 @@
   std::vector<UnfinishedPart> unfinished;
 };
 
-class StoreFeed
+class StoreContentTracker
 {
 public:
   // A part of which nothing was written for so long is not being written any more: transfers that
   // would wait two seconds are not begun, and the longest takes some seconds on a slow link. After
   // a third of the engines crashed three times, one store of five had no room left without this.
-  static constexpr Duration kBrokenOffAfter = std::chrono::seconds(9);
+  static constexpr Duration kAbandonedAfter = std::chrono::seconds(9);
 
-  explicit StoreFeed(Endpoint aStore)
+  explicit StoreContentTracker(Endpoint aStore)
     : store(std::move(aStore))
   {
   }
@@ -83,25 +83,25 @@
   // Where the next question for events goes on.
   Sequence Next() const { return this->next; }
 
-  void TakeEvents(const StoreEvents& aEvents);
-  void TakeList(const StoreList& aList, MonotonicTime aNow);
+  void ApplyEvents(const StoreEvents& aEvents);
+  void ApplyList(const StoreList& aList, MonotonicTime aNow);
 
   // The store does not answer: nothing that is known of it counts.
-  void Lose();
+  void MarkUnreachable();
 
   // Returns what has changed since the last call; nothing when nothing has.
   std::optional<StoreStatement> TakeChanges();
 
   // Returns the whole of what is known.
-  StoreStatement All() const;
+  StoreStatement Snapshot() const;
 
   // Returns the parts that were made by weights older than those given, by model, at most aMost.
-  std::vector<PartName> MadeBefore(const std::map<ModelName, std::uint64_t>& aWeights,
-                                   std::size_t aMost) const;
+  std::vector<PartName> PartsOfOlderWeights(const std::map<ModelName, std::uint64_t>& aWeights,
+                                            std::size_t aMost) const;
 
   // Returns parts whose writers broke off, at most aMost. They were never whole, so nobody reads
   // them; an engine that crashes while it saves leaves one, and space for a tenth of a small store.
-  std::vector<PartName> BrokenOff(MonotonicTime aNow, std::size_t aMost) const;
+  std::vector<PartName> AbandonedParts(MonotonicTime aNow, std::size_t aMost) const;
 
   StoreEpoch Epoch() const { return this->epoch; }
 
--- a/include/damasklink/coordination/StoreOwner.h
+++ b/include/damasklink/coordination/StoreManager.h
@@ -10,7 +10,7 @@
 
 namespace damasklink {
 
-struct StoreOwnerOptions
+struct StoreManagerOptions
 {
   StoreId store;
   StoreDeclaration declared;
@@ -20,11 +20,11 @@
   Duration pinLease = std::chrono::seconds(10);
   Duration writeLease = std::chrono::seconds(30);
   // Whether what is unlikely to pay for its link bytes is left out; off in the bench's ablation.
-  bool choosy = true;
+  bool costBasedAdmission = true;
 };
 
 // An answered prompt whose blocks an engine could export.
-struct KeepOffer
+struct HashedPrompt
 {
   BlockScope scope;
   std::vector<Digest> blocks;
@@ -61,7 +61,7 @@
 // The decisions of a store's owner while its lease holds. Joins the directory, the link's budget
 // and the prediction of returns.
 //
-//   StoreOwner owner(clock, fencing, options);
+//   StoreManager owner(clock, fencing, options);
 //   owner.Rebuild(inventory);
 //   StoredPrefix kept = owner.LookUp(scope, blocks);
 //   auto grant = owner.GrantImport(scope, blocks, 0, kept.blocks);    // Overloaded: ask again.
@@ -70,12 +70,12 @@
 //   owner.OnExported(room.value(), exported, elapsed);
 //
 // Not thread-safe.
-class StoreOwner
+class StoreManager
 {
 public:
-  StoreOwner(const Clock& aClock, FencingNumber aFencing, StoreOwnerOptions aOptions);
-  StoreOwner(const StoreOwner&) = delete;
-  StoreOwner& operator=(const StoreOwner&) = delete;
+  StoreManager(const Clock& aClock, FencingNumber aFencing, StoreManagerOptions aOptions);
+  StoreManager(const StoreManager&) = delete;
+  StoreManager& operator=(const StoreManager&) = delete;
 
   // Takes over what the store holds; see BlockDirectory::Rebuild().
   void Rebuild(const std::vector<BlockHeader>& aInventory) { this->directory.Rebuild(aInventory); }
@@ -84,9 +84,9 @@
   StoredPrefix LookUp(const BlockScope& aScope, const std::vector<Digest>& aBlocks);
 
   // Returns how many leading blocks of an answered prompt are kept.
-  std::uint64_t KeptBlocks(const KeepOffer& aOffer)
+  std::uint64_t CountStoredBlocks(const HashedPrompt& aPrompt)
   {
-    return this->directory.LookUp(aOffer.blocks, aOffer.scope).blocks;
+    return this->directory.LookUp(aPrompt.blocks, aPrompt.scope).blocks;
   }
 
   // Permits the import of some of the blocks [aFrom, aTo), from aFrom on. Fails with Overloaded
@@ -105,10 +105,10 @@
   // Permits the export of some of the blocks that are missing here. Fails with NotFound when
   // nothing is worth exporting, and with Overloaded when the link or the store has nothing left
   // now.
-  Result<ExportGrant> GrantExport(const KeepOffer& aOffer);
+  Result<ExportGrant> GrantExport(const HashedPrompt& aPrompt);
 
   // Counts a prompt as answered once; see ReturnPredictor.
-  void OnAnswered(const KeepOffer& aOffer);
+  void OnAnswered(const HashedPrompt& aPrompt);
 
   // Seals what arrived and gives up the rest of the grant.
   void OnExported(const ExportGrant& aGrant,
@@ -125,19 +125,21 @@
   void Expire() { this->directory.Expire(); }
 
   // Orders for the store since the last call.
-  std::vector<BlockOrder> TakeFreed() { return this->directory.TakeFreed(); }
-  std::vector<BlockOrder> TakeDemoted() { return this->directory.TakeDemoted(); }
+  std::vector<BlockCommand> TakeFreed() { return this->directory.TakeFreed(); }
+  std::vector<BlockCommand> TakeDemoted() { return this->directory.TakeDemoted(); }
 
   const BlockDirectory& Directory() const { return this->directory; }
   const LinkBudget& Link() const { return this->link; }
 
 private:
-  bool IsWorthKeeping(const KeepOffer& aOffer, std::uint64_t aMissing, PromptKind aKind) const;
-  PromptKind KindOf(const KeepOffer& aOffer);
+  bool IsWorthExporting(const HashedPrompt& aPrompt,
+                        std::uint64_t aMissing,
+                        PromptKind aKind) const;
+  PromptKind KindOf(const HashedPrompt& aPrompt);
   std::uint64_t BlockBytes() const;
   std::uint64_t BlocksPerGrant() const;
 
-  StoreOwnerOptions options;
+  StoreManagerOptions options;
   ReturnPredictor returns;
   BlockDirectory directory;
   LinkBudget link;
--- a/include/damasklink/coordination/StoreMessages.h
+++ b/include/damasklink/coordination/StoreMessages.h
@@ -5,8 +5,8 @@
 #include <vector>
 
 #include "damasklink/coordination/CostRouter.h"
-#include "damasklink/coordination/PrefixView.h"
-#include "damasklink/coordination/StoreOwner.h"
+#include "damasklink/coordination/PrefixCacheIndex.h"
+#include "damasklink/coordination/StoreManager.h"
 
 namespace damasklink {
 
@@ -39,7 +39,7 @@
   QuestionKind kind = QuestionKind::LookUp;
   StoreId store;
   // The prompt's blocks and what is known of it; the weights and rate matter to exports only.
-  KeepOffer prompt;
+  HashedPrompt prompt;
   // Blocks to import.
   std::uint64_t from = 0;
   std::uint64_t to = 0;
--- a/include/damasklink/coordination/StoredParts.h
+++ b/include/damasklink/coordination/StoredPartIndex.h
@@ -1,10 +1,10 @@
 // Where the parts of prompts are stored, as one control host states it.
 //
-//   StoredParts stored;
+//   StoredPartIndex stored;
 //   stored.SetStores(config.services);
-//   stored.Take(statement);
+//   stored.Apply(statement);
 //   const PromptStore* from = stored.Find(key);        // Whole there, and readable.
-//   const PromptStore* to = stored.HomeOf(part);       // Where it is to be saved.
+//   const PromptStore* to = stored.SelectStore(part);       // Where it is to be saved.
 //
 // The words of two control hosts about one store cannot be put in order, so each has an object of
 // its own. A part that is not certainly whole is never read. Not thread-safe.
@@ -34,24 +34,24 @@
   absl::flat_hash_map<PartKey, TokenCount> parts;
 };
 
-class StoredParts
+class StoredPartIndex
 {
 public:
   // Share of a store up to which parts are sent to it: what is on its way has no place in the
   // figures yet.
-  static constexpr double kFullShare = 0.95;
+  static constexpr double kMaxFillRatio = 0.95;
 
   // Takes the stores of a configuration; what is known of those that stay is kept.
   void SetStores(const std::vector<ServingService>& aServices);
 
   // Takes what the control host states. A store that the configuration does not name is ignored.
-  void Take(const StoreStatement& aStatement);
+  void Apply(const StoreStatement& aStatement);
 
   // Returns the names of all stores.
-  std::vector<std::string> Names() const;
+  std::vector<std::string> StoreNames() const;
 
   // How many stores the control host hears.
-  std::size_t LiveStores() const;
+  std::size_t CountLiveStores() const;
 
   // Returns the store from which a target in the zone reads the part soonest, or null when none
   // surely holds it whole.
@@ -63,11 +63,11 @@
   // Returns the store that a part belongs into, the same on all hosts: a weighted choice by the
   // part's key among stores with room. Null while that store is not live: it comes back within
   // seconds, and all its parts at once would overrun the others.
-  const PromptStore* HomeOf(const SizedPart& aPart) const;
+  const PromptStore* SelectStore(const SizedPart& aPart) const;
 
   // Returns how long reading so many tokens from the store takes within its zone, without waiting,
   // in milliseconds.
-  double ReadTime(const PromptStore& aStore, TokenCount aTokens) const;
+  double TransferTime(const PromptStore& aStore, TokenCount aTokens) const;
 
 private:
   std::map<std::string, PromptStore> stores;
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -20,8 +20,8 @@
 
 #include <absl/container/flat_hash_map.h>
 
+#include "damasklink/coordination/EngineCacheModel.h"
 #include "damasklink/coordination/EnginePace.h"
-#include "damasklink/coordination/HeldParts.h"
 #include "damasklink/coordination/SendsSum.h"
 #include "damasklink/coordination/ServingPicture.h"
 #include "damasklink/coordination/Target.h"
@@ -197,7 +197,7 @@
   // Takes how long a call of a model ran at its engine, from its sending to its end.
   void NoteRun(const ModelName& aModel, Duration aTook) { this->paces[aModel].NoteRun(aTook); }
 
-  HeldParts& Held() { return this->held; }
+  EngineCacheModel& Held() { return this->held; }
 
 private:
   std::vector<const TargetRecord*> Candidates(const PickQuestion& aQuestion,
@@ -212,7 +212,7 @@
   const ZoneReach& reach;
   PickCosts costs;
   std::minstd_rand random;
-  HeldParts held;
+  EngineCacheModel held;
   absl::flat_hash_map<ModelName, EnginePace> paces;
   // What this host has at targets.
   absl::flat_hash_map<TargetId, SentLoad> loads;
--- a/include/damasklink/protocol/ServingDialect.h
+++ b/include/damasklink/protocol/ServingDialect.h
@@ -13,7 +13,7 @@
 
 #include "damasklink/coordination/ServingConfig.h"
 #include "damasklink/coordination/ServingMachine.h"
-#include "damasklink/coordination/StoreFeed.h"
+#include "damasklink/coordination/StoreContentTracker.h"
 #include "damasklink/coordination/Target.h"
 #include "damasklink/coordination/WeightRollout.h"
 #include "damasklink/protocol/ErrorBody.h"
--- a/include/damasklink/protocol/StoreApi.h
+++ b/include/damasklink/protocol/StoreApi.h
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
-#include "damasklink/coordination/PrefixView.h"
-#include "damasklink/coordination/StoreOwner.h"
+#include "damasklink/coordination/PrefixCacheIndex.h"
+#include "damasklink/coordination/StoreManager.h"
 #include "damasklink/state/Settings.h"
 
 namespace damasklink {
@@ -60,7 +60,7 @@
 struct StoreOrder
 {
   FencingNumber fencing;
-  std::vector<BlockOrder> blocks;
+  std::vector<BlockCommand> blocks;
 };
 
 std::string
--- a/src/coordination/BlockDirectory.cpp
+++ b/src/coordination/BlockDirectory.cpp
@@ -14,7 +14,7 @@
 // Generations that one owner can give before it would reach those of the next one.
 constexpr unsigned kGenerationBits = 32;
 // Blocks used within this time rank alike.
-constexpr Duration kFreshAge = std::chrono::seconds(60);
+constexpr Duration kMinRankAge = std::chrono::seconds(60);
 
 auto
 WrongState(std::string_view aWhat)
@@ -45,7 +45,7 @@
   : clock(aClock)
   , options(aOptions)
   , returns(aReturns)
-  , freeFrom(aClock.MonotonicNow())
+  , earliestFree(aClock.MonotonicNow())
   , nextGeneration((aFencing.Value() << kGenerationBits) + 1)
   , nextPin((aFencing.Value() << kGenerationBits) + 1)
 {
@@ -54,7 +54,7 @@
 void
 BlockDirectory::Rebuild(const std::vector<BlockHeader>& aInventory)
 {
-  this->freeFrom = this->clock.MonotonicNow() + this->options.pinLease;
+  this->earliestFree = this->clock.MonotonicNow() + this->options.pinLease;
   for (const BlockHeader& header : aInventory) {
     // An honest store holds no generation that this owner has yet to give.
     const bool fromLater = header.generation.Value() >= this->nextGeneration;
@@ -66,7 +66,7 @@
     record.generation = header.generation;
     record.length = header.length.Value();
     record.checksum = header.checksum;
-    record.used = this->clock.MonotonicNow();
+    record.lastUsed = this->clock.MonotonicNow();
     record.state = BlockState::Sealed;
     const bool fits = this->memoryUsed + record.length <= this->options.memory.Value();
     record.tier = fits ? StoreTier::Memory : StoreTier::Disk;
@@ -94,7 +94,7 @@
   Record& record = this->records[slot];
   record.generation = Generation(this->nextGeneration++);
   record.length = aLength.Value();
-  record.writeUntil = this->clock.MonotonicNow() + this->options.writeLease;
+  record.writeDeadline = this->clock.MonotonicNow() + this->options.writeLease;
   this->memoryUsed += record.length;
   this->unsealed.push_back(slot);
   return ReservedBlock{ aBlock, record.generation, aLength };
@@ -127,7 +127,7 @@
   }
   record->state = BlockState::Sealed;
   record->checksum = aChecksum;
-  record->used = this->clock.MonotonicNow();
+  record->lastUsed = this->clock.MonotonicNow();
   const Slot slot = this->slots.at(record->name);
   std::erase(this->unsealed, slot);
   this->Link(slot);
@@ -149,7 +149,7 @@
 BlockDirectory::Pin(const Digest& aBlock, const BlockScope& aScope)
 {
   const Slot slot = this->FindSealed(aBlock, this->KnownScope(aScope));
-  if (slot == kNone) {
+  if (slot == kNoSlot) {
     return Fail(ErrorKind::NotFound, "the block is not kept", "compute the prompt");
   }
   Record& found = this->records[slot];
@@ -210,19 +210,19 @@
   return versions;
 }
 
-KeptPrefix
+PrefixMatch
 BlockDirectory::LookUp(const std::vector<Digest>& aBlocks, const BlockScope& aScope)
 {
-  KeptPrefix kept;
+  PrefixMatch kept;
   const MonotonicTime now = this->clock.MonotonicNow();
   const std::uint32_t scope = this->KnownScope(aScope);
   for (const Digest& block : aBlocks) {
     const Slot slot = this->FindSealed(block, scope);
-    if (slot == kNone) {
+    if (slot == kNoSlot) {
       break;
     }
     this->Unlink(slot);
-    this->records[slot].used = now;
+    this->records[slot].lastUsed = now;
     this->Link(slot);
     ++kept.blocks;
     kept.bytes = ByteCount(kept.bytes.Value() + this->records[slot].length);
@@ -234,22 +234,22 @@
 BlockDirectory::Expire()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  std::vector<PinId> over;
+  std::vector<PinId> expired;
   for (const auto& [pin, pinned] : this->pins) {
     if (pinned.until <= now) {
-      over.push_back(pin);
+      expired.push_back(pin);
     }
   }
-  for (const PinId pin : over) {
+  for (const PinId pin : expired) {
     this->Unpin(pin);
   }
-  std::vector<Slot> late;
+  std::vector<Slot> overdue;
   for (const Slot slot : this->unsealed) {
-    if (this->records[slot].writeUntil <= now) {
-      late.push_back(slot);
+    if (this->records[slot].writeDeadline <= now) {
+      overdue.push_back(slot);
     }
   }
-  for (const Slot slot : late) {
+  for (const Slot slot : overdue) {
     this->StartDraining(slot);
   }
   const std::vector<Slot> waiting = std::move(this->draining);
@@ -259,13 +259,13 @@
   }
 }
 
-std::vector<BlockOrder>
+std::vector<BlockCommand>
 BlockDirectory::TakeFreed()
 {
   return std::exchange(this->freed, {});
 }
 
-std::vector<BlockOrder>
+std::vector<BlockCommand>
 BlockDirectory::TakeDemoted()
 {
   return std::exchange(this->demoted, {});
@@ -274,8 +274,8 @@
 double
 BlockDirectory::RankOf(PromptKind aKind, Duration aAge) const
 {
-  const double seconds = std::chrono::duration<double>(std::max(aAge, kFreshAge)).count();
-  return this->returns.Share(aKind) / seconds;
+  const double seconds = std::chrono::duration<double>(std::max(aAge, kMinRankAge)).count();
+  return this->returns.ReturnProbability(aKind) / seconds;
 }
 
 ByteCount
@@ -323,19 +323,19 @@
 {
   const auto found = this->slots.find(NameOf(aBlock));
   if (found == this->slots.end()) {
-    return kNone;
+    return kNoSlot;
   }
   const Record& record = this->records[found->second];
   const bool readable = record.state == BlockState::Sealed && record.scope == aScope;
-  return readable ? found->second : kNone;
+  return readable ? found->second : kNoSlot;
 }
 
 std::uint32_t
 BlockDirectory::ScopeIndex(const BlockScope& aScope)
 {
-  const auto [found, fresh] = this->scopeIndexes.try_emplace(
+  const auto [found, inserted] = this->scopeIndexes.try_emplace(
     ScopeText(aScope), static_cast<std::uint32_t>(this->scopes.size()));
-  if (fresh) {
+  if (inserted) {
     this->scopes.push_back(aScope);
   }
   return found->second;
@@ -345,7 +345,7 @@
 BlockDirectory::KnownScope(const BlockScope& aScope) const
 {
   const auto found = this->scopeIndexes.find(ScopeText(aScope));
-  return found == this->scopeIndexes.end() ? kNone : found->second;
+  return found == this->scopeIndexes.end() ? kNoSlot : found->second;
 }
 
 BlockDirectory::Slot
@@ -367,8 +367,8 @@
   return slot;
 }
 
-BlockDirectory::UseList&
-BlockDirectory::ListOf(const Record& aRecord)
+BlockDirectory::LruList&
+BlockDirectory::LruListOf(const Record& aRecord)
 {
   if (aRecord.kind >= this->lists.size()) {
     this->lists.resize(aRecord.kind + std::size_t{ 1 });
@@ -380,10 +380,10 @@
 BlockDirectory::Link(Slot aSlot)
 {
   Record& record = this->records[aSlot];
-  UseList& list = this->ListOf(record);
+  LruList& list = this->LruListOf(record);
   record.older = list.newest;
-  record.newer = kNone;
-  if (list.newest == kNone) {
+  record.newer = kNoSlot;
+  if (list.newest == kNoSlot) {
     list.oldest = aSlot;
   } else {
     this->records[list.newest].newer = aSlot;
@@ -395,11 +395,11 @@
 BlockDirectory::Unlink(Slot aSlot)
 {
   Record& record = this->records[aSlot];
-  UseList& list = this->ListOf(record);
-  (record.older == kNone ? list.oldest : this->records[record.older].newer) = record.newer;
-  (record.newer == kNone ? list.newest : this->records[record.newer].older) = record.older;
-  record.older = kNone;
-  record.newer = kNone;
+  LruList& list = this->LruListOf(record);
+  (record.older == kNoSlot ? list.oldest : this->records[record.older].newer) = record.newer;
+  (record.newer == kNoSlot ? list.newest : this->records[record.newer].older) = record.older;
+  record.older = kNoSlot;
+  record.newer = kNoSlot;
 }
 
 bool
@@ -412,48 +412,48 @@
   }
   while (this->UsedBytes(aTier) + aBytes > most) {
     double rank = 0;
-    const Slot worst = this->Worst(aTier, rank);
-    if (worst == kNone || rank >= aRank) {
+    const Slot lowest = this->FindLowestRanked(aTier, rank);
+    if (lowest == kNoSlot || rank >= aRank) {
       return false;
     }
-    const std::uint64_t length = this->records[worst].length;
+    const std::uint64_t length = this->records[lowest].length;
     if (toMemory && this->MakeRoom(StoreTier::Disk, length, rank)) {
-      Record& record = this->records[worst];
-      this->Unlink(worst);
+      Record& record = this->records[lowest];
+      this->Unlink(lowest);
       record.tier = StoreTier::Disk;
-      this->Link(worst);
+      this->Link(lowest);
       this->memoryUsed -= length;
       this->diskUsed += length;
       this->demoted.push_back({ DigestOfName(record.name), record.generation });
       continue;
     }
     // Draining gives no room yet while pins of an earlier owner may be alive.
-    if (this->clock.MonotonicNow() < this->freeFrom) {
+    if (this->clock.MonotonicNow() < this->earliestFree) {
       return false;
     }
-    this->StartDraining(worst);
+    this->StartDraining(lowest);
   }
   return true;
 }
 
 BlockDirectory::Slot
-BlockDirectory::Worst(StoreTier aTier, double& aRank) const
+BlockDirectory::FindLowestRanked(StoreTier aTier, double& aRank) const
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  Slot worst = kNone;
+  Slot lowest = kNoSlot;
   for (std::size_t kind = 0; kind < this->lists.size(); ++kind) {
     const Slot oldest = this->lists[kind][static_cast<std::size_t>(aTier)].oldest;
-    if (oldest == kNone) {
+    if (oldest == kNoSlot) {
       continue;
     }
     const double rank =
-      this->RankOf(static_cast<PromptKind>(kind), now - this->records[oldest].used);
-    if (worst == kNone || rank < aRank) {
-      worst = oldest;
+      this->RankOf(static_cast<PromptKind>(kind), now - this->records[oldest].lastUsed);
+    if (lowest == kNoSlot || rank < aRank) {
+      lowest = oldest;
       aRank = rank;
     }
   }
-  return worst;
+  return lowest;
 }
 
 void
@@ -473,7 +473,7 @@
 BlockDirectory::FreeIfUnpinned(Slot aSlot)
 {
   Record& record = this->records[aSlot];
-  if (record.pins > 0 || this->clock.MonotonicNow() < this->freeFrom) {
+  if (record.pins > 0 || this->clock.MonotonicNow() < this->earliestFree) {
     this->draining.push_back(aSlot);
     return;
   }
--- a/src/coordination/CostRouter.cpp
+++ b/src/coordination/CostRouter.cpp
@@ -157,7 +157,7 @@
       fresh.id = aTarget.id;
       fresh.spread = Spread(aTarget.id.Value());
       fresh.untold.target = aTarget.id;
-      fresh.cache = this->caches.IndexOf(aTarget.id);
+      fresh.cache = this->caches.NumberOf(aTarget.id);
       this->indexes.emplace(aTarget.id, index);
     } else {
       index = found->second;
--- a/src/coordination/HeldParts.cpp
+++ b/src/coordination/EngineCacheModel.cpp
@@ -1,9 +1,9 @@
-#include "damasklink/coordination/HeldParts.h"
+#include "damasklink/coordination/EngineCacheModel.h"
 
 namespace damasklink {
 
 void
-HeldParts::OnRead(const TargetId& aTarget, const std::vector<SizedPart>& aParts)
+EngineCacheModel::OnSent(const TargetId& aTarget, const std::vector<SizedPart>& aParts)
 {
   Cache& cache = this->targets[aTarget];
   for (const SizedPart& part : aParts) {
@@ -20,7 +20,7 @@
 }
 
 std::size_t
-HeldParts::LeadingHeld(const TargetId& aTarget, const std::vector<SizedPart>& aParts) const
+EngineCacheModel::LeadingCached(const TargetId& aTarget, const std::vector<SizedPart>& aParts) const
 {
   const auto found = this->targets.find(aTarget);
   if (found == this->targets.end()) {
@@ -34,14 +34,14 @@
 }
 
 bool
-HeldParts::Holds(const TargetId& aTarget, PartKey aPart) const
+EngineCacheModel::Holds(const TargetId& aTarget, PartKey aPart) const
 {
   const auto found = this->targets.find(aTarget);
   return found != this->targets.end() && found->second.parts.contains(aPart);
 }
 
 void
-HeldParts::Trim(Cache& aCache) const
+EngineCacheModel::Trim(Cache& aCache) const
 {
   while (!aCache.uses.empty()) {
     const Use& oldest = aCache.uses.front();
--- a/src/coordination/EventFramer.cpp
+++ b/src/coordination/EventFramer.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 std::string
-EventFramer::Take(std::string_view aBytes)
+EventFramer::Append(std::string_view aBytes)
 {
   this->rest.append(aBytes);
   const std::size_t end = EndOfWholeEvents(this->rest);
@@ -35,18 +35,18 @@
   }
   std::string whole = this->rest.substr(0, end);
   this->rest.erase(0, whole.size());
-  this->NoteIds(whole);
+  this->UpdateLastId(whole);
   return whole;
 }
 
 std::string
-EventFramer::DropPart()
+EventFramer::DiscardPartialEvent()
 {
   return std::exchange(this->rest, {});
 }
 
 void
-EventFramer::NoteIds(std::string_view aEvents)
+EventFramer::UpdateLastId(std::string_view aEvents)
 {
   // Only the last id counts.
   std::size_t at = aEvents.rfind(kIdField);
--- a/src/coordination/OwnedStore.cpp
+++ b/src/coordination/LeasedStore.cpp
@@ -1,10 +1,10 @@
-#include "damasklink/coordination/OwnedStore.h"
+#include "damasklink/coordination/LeasedStore.h"
 
 namespace damasklink {
 namespace {
 
 // A version that no engine has served for so long is withdrawn.
-constexpr Duration kWithdrawnAfter = std::chrono::seconds(60);
+constexpr Duration kUnservedTimeout = std::chrono::seconds(60);
 // A reader gets less than its pin holds, for the answer's way and for clocks that differ in speed.
 constexpr Duration kPinMargin = std::chrono::seconds(1);
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-OwnedStore::OwnedStore(const Clock& aClock, FencingNumber aFencing, StoreOwnerOptions aOptions)
+LeasedStore::LeasedStore(const Clock& aClock, FencingNumber aFencing, StoreManagerOptions aOptions)
   : clock(aClock)
   , fencing(aFencing)
   , options(aOptions)
@@ -25,26 +25,26 @@
 }
 
 void
-OwnedStore::Rebuild(const std::vector<BlockHeader>& aInventory)
+LeasedStore::Rebuild(const std::vector<BlockHeader>& aInventory)
 {
   this->owner.Rebuild(aInventory);
   this->ready = true;
 }
 
 bool
-OwnedStore::Holds() const
+LeasedStore::HoldsLease() const
 {
   return this->clock.MonotonicNow() < this->until;
 }
 
 StoreAnswer
-OwnedStore::Answer(const StoreQuestion& aQuestion)
+LeasedStore::Answer(const StoreQuestion& aQuestion)
 {
   StoreAnswer answer;
   answer.number = aQuestion.number;
   answer.fencing = this->fencing;
   answer.kept.store = this->options.store;
-  if (!this->Holds() || !this->ready) {
+  if (!this->HoldsLease() || !this->ready) {
     answer.status = AnswerStatus::NotOwner;
     return answer;
   }
@@ -66,16 +66,16 @@
 }
 
 void
-OwnedStore::AnswerLookUp(const StoreQuestion& aQuestion, StoreAnswer& aAnswer)
+LeasedStore::AnswerLookUp(const StoreQuestion& aQuestion, StoreAnswer& aAnswer)
 {
   aAnswer.kept = this->owner.LookUp(aQuestion.prompt.scope, aQuestion.prompt.blocks);
   aAnswer.status = aAnswer.kept.blocks > 0 ? AnswerStatus::Granted : AnswerStatus::Nothing;
 }
 
 void
-OwnedStore::AnswerImport(const StoreQuestion& aQuestion, StoreAnswer& aAnswer)
+LeasedStore::AnswerImport(const StoreQuestion& aQuestion, StoreAnswer& aAnswer)
 {
-  const KeepOffer& prompt = aQuestion.prompt;
+  const HashedPrompt& prompt = aQuestion.prompt;
   auto grant = this->owner.GrantImport(prompt.scope, prompt.blocks, aQuestion.from, aQuestion.to);
   if (!grant) {
     aAnswer.status = StatusOf(grant.error());
@@ -87,11 +87,11 @@
   }
   aAnswer.status = AnswerStatus::Granted;
   aAnswer.valid = this->options.pinLease - kPinMargin;
-  aAnswer.grant = this->Open({ std::move(grant.value()), {}, {} }, this->options.pinLease);
+  aAnswer.grant = this->AddGrant({ std::move(grant.value()), {}, {} }, this->options.pinLease);
 }
 
 void
-OwnedStore::AnswerExport(const StoreQuestion& aQuestion, StoreAnswer& aAnswer)
+LeasedStore::AnswerExport(const StoreQuestion& aQuestion, StoreAnswer& aAnswer)
 {
   auto grant = this->owner.GrantExport(aQuestion.prompt);
   if (!grant) {
@@ -103,11 +103,11 @@
   }
   aAnswer.status = AnswerStatus::Granted;
   aAnswer.valid = this->options.writeLease;
-  aAnswer.grant = this->Open({ {}, std::move(grant.value()), {} }, this->options.writeLease);
+  aAnswer.grant = this->AddGrant({ {}, std::move(grant.value()), {} }, this->options.writeLease);
 }
 
 GrantId
-OwnedStore::Open(OpenGrant aGrant, Duration aValid)
+LeasedStore::AddGrant(OpenGrant aGrant, Duration aValid)
 {
   this->lastGrant = this->lastGrant.Next();
   aGrant.until = this->clock.MonotonicNow() + aValid;
@@ -116,7 +116,7 @@
 }
 
 void
-OwnedStore::OnOutcome(const StoreOutcome& aOutcome)
+LeasedStore::OnOutcome(const StoreOutcome& aOutcome)
 {
   const auto found = this->grants.find(aOutcome.grant);
   if (aOutcome.fencing != this->fencing || found == this->grants.end()) {
@@ -124,43 +124,43 @@
   }
   const OpenGrant grant = std::move(found->second);
   this->grants.erase(found);
-  this->Close(grant, aOutcome);
+  this->FinishGrant(grant, aOutcome);
 }
 
 void
-OwnedStore::Close(const OpenGrant& aGrant, const StoreOutcome& aOutcome)
+LeasedStore::FinishGrant(const OpenGrant& aGrant, const StoreOutcome& aOutcome)
 {
-  if (!aGrant.write.blocks.empty()) {
-    this->owner.OnExported(aGrant.write, aOutcome.blocks, aOutcome.elapsed);
+  if (!aGrant.exportGrant.blocks.empty()) {
+    this->owner.OnExported(aGrant.exportGrant, aOutcome.blocks, aOutcome.elapsed);
     return;
   }
   if (aOutcome.moved && aOutcome.blocks.empty()) {
-    this->owner.OnImported(aGrant.import, aOutcome.elapsed);
+    this->owner.OnImported(aGrant.importGrant, aOutcome.elapsed);
     return;
   }
   std::vector<Digest> wrong;
   for (const ExportedBlock& block : aOutcome.blocks) {
     wrong.push_back(block.block);
   }
-  this->owner.OnImportFailed(aGrant.import, wrong);
+  this->owner.OnImportFailed(aGrant.importGrant, wrong);
 }
 
 void
-OwnedStore::OnServed(const std::set<ModelVersion>& aServed)
+LeasedStore::OnServed(const std::set<ModelVersion>& aServed)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   for (const ModelVersion& version : this->owner.Directory().Versions()) {
-    const auto [seen, fresh] = this->servedAt.try_emplace(version, now);
+    const auto [seen, fresh] = this->lastServed.try_emplace(version, now);
     if (aServed.contains(version)) {
       seen->second = now;
-    } else if (now - seen->second >= kWithdrawnAfter) {
+    } else if (now - seen->second >= kUnservedTimeout) {
       this->owner.DrainVersion(version.first, version.second);
     }
   }
 }
 
 void
-OwnedStore::Expire()
+LeasedStore::Expire()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   for (auto grant = this->grants.begin(); grant != this->grants.end();) {
@@ -168,22 +168,22 @@
       ++grant;
       continue;
     }
-    this->Close(grant->second, StoreOutcome());
+    this->FinishGrant(grant->second, StoreOutcome());
     grant = this->grants.erase(grant);
   }
   this->owner.Expire();
 }
 
-std::vector<BlockOrder>
-OwnedStore::TakeFreed()
+std::vector<BlockCommand>
+LeasedStore::TakeFreed()
 {
-  return this->Holds() ? this->owner.TakeFreed() : std::vector<BlockOrder>();
+  return this->HoldsLease() ? this->owner.TakeFreed() : std::vector<BlockCommand>();
 }
 
-std::vector<BlockOrder>
-OwnedStore::TakeDemoted()
+std::vector<BlockCommand>
+LeasedStore::TakeDemoted()
 {
-  return this->Holds() ? this->owner.TakeDemoted() : std::vector<BlockOrder>();
+  return this->HoldsLease() ? this->owner.TakeDemoted() : std::vector<BlockCommand>();
 }
 
 } // namespace damasklink
--- a/src/coordination/LinkBudget.cpp
+++ b/src/coordination/LinkBudget.cpp
@@ -9,11 +9,11 @@
 
 constexpr Duration kWindow = std::chrono::seconds(1);
 // How long a refused import holds exports back; it asks again sooner.
-constexpr Duration kImportPatience = std::chrono::milliseconds(200);
+constexpr Duration kImportPriorityTime = std::chrono::milliseconds(200);
 // Weight of one more observation in the measured rate.
-constexpr double kLearnWeight = 0.3;
+constexpr double kRateSmoothing = 0.3;
 // No caller waits longer for an import, whatever the weights.
-constexpr Duration kLongestImport = std::chrono::seconds(10);
+constexpr Duration kMaxImportTime = std::chrono::seconds(10);
 constexpr double kTokensPerRecomputeUnit = 1000;
 
 } // namespace
@@ -26,26 +26,26 @@
 }
 
 bool
-LinkBudget::Take(Transfer aKind, ByteCount aBytes)
+LinkBudget::TryAcquire(Transfer aKind, ByteCount aBytes)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  this->Forget(now);
+  this->DropExpiredGrants(now);
   const bool yields = aKind == Transfer::Export && now < this->importWaitsUntil;
   const bool fits = this->grantedBytes + aBytes.Value() <= this->budget.Value();
   if (yields || !fits) {
     if (aKind == Transfer::Import) {
-      this->importWaitsUntil = now + kImportPatience;
+      this->importWaitsUntil = now + kImportPriorityTime;
     }
     return false;
   }
   this->grants.push_back({ now, aBytes.Value() });
   this->grantedBytes += aBytes.Value();
-  this->underWay = ByteCount(this->underWay.Value() + aBytes.Value());
+  this->inFlight = ByteCount(this->inFlight.Value() + aBytes.Value());
   return true;
 }
 
 void
-LinkBudget::Forget(MonotonicTime aNow)
+LinkBudget::DropExpiredGrants(MonotonicTime aNow)
 {
   while (!this->grants.empty() && aNow - this->grants.front().at >= kWindow) {
     this->grantedBytes -= this->grants.front().bytes;
@@ -54,10 +54,10 @@
 }
 
 void
-LinkBudget::Settle(ByteCount aBytes)
+LinkBudget::RemoveInFlight(ByteCount aBytes)
 {
-  this->underWay =
-    ByteCount(this->underWay.Value() - std::min(this->underWay.Value(), aBytes.Value()));
+  this->inFlight =
+    ByteCount(this->inFlight.Value() - std::min(this->inFlight.Value(), aBytes.Value()));
 }
 
 void
@@ -66,19 +66,19 @@
   const double seconds = std::chrono::duration<double>(aElapsed).count();
   if (seconds > 0) {
     // Everything under way shared the link meanwhile.
-    const auto moved = static_cast<double>(std::max(aBytes.Value(), this->underWay.Value()));
+    const auto moved = static_cast<double>(std::max(aBytes.Value(), this->inFlight.Value()));
     const auto most = static_cast<double>(this->budget.Value());
     const double observed = std::min(most, moved / seconds);
-    this->rate += kLearnWeight * (observed - this->rate);
+    this->rate += kRateSmoothing * (observed - this->rate);
   }
-  this->Settle(aBytes);
+  this->RemoveInFlight(aBytes);
 }
 
 void
 LinkBudget::OnFailed(ByteCount aBytes)
 {
-  this->Settle(aBytes);
-  this->rate *= 1 - kLearnWeight;
+  this->RemoveInFlight(aBytes);
+  this->rate *= 1 - kRateSmoothing;
 }
 
 double
@@ -88,37 +88,37 @@
     return this->rate;
   }
   const auto bytes = static_cast<double>(aBytes.Value());
-  return this->rate * bytes / (bytes + static_cast<double>(this->underWay.Value()));
+  return this->rate * bytes / (bytes + static_cast<double>(this->inFlight.Value()));
 }
 
 Duration
-ImportPatience(const ImportRest& aRest, const ObjectiveWeights& aWeights)
+ImportTimeLimit(const RemainingImport& aImport, const ObjectiveWeights& aWeights)
 {
-  if (aRest.tokensPerSecond <= 0) {
-    return kLongestImport;
+  if (aImport.tokensPerSecond <= 0) {
+    return kMaxImportTime;
   }
-  const auto tokens = static_cast<double>(aRest.tokens.Value());
+  const auto tokens = static_cast<double>(aImport.tokens.Value());
   const double mebibytes =
-    static_cast<double>(aRest.bytes.Value()) / static_cast<double>(kMebibyte);
-  const double computing = tokens / aRest.tokensPerSecond;
+    static_cast<double>(aImport.bytes.Value()) / static_cast<double>(kMebibyte);
+  const double computing = tokens / aImport.tokensPerSecond;
   // Both ways priced alike; the price of time turns what is saved besides into seconds.
   const double besides =
     (aWeights.recompute * tokens / kTokensPerRecomputeUnit) - (aWeights.link * mebibytes);
-  const double longest = std::chrono::duration<double>(kLongestImport).count();
+  const double longest = std::chrono::duration<double>(kMaxImportTime).count();
   const double seconds = aWeights.time > 0 ? computing + (besides / aWeights.time) : longest;
   return std::chrono::duration_cast<Duration>(
     std::chrono::duration<double>(std::clamp(seconds, 0.0, longest)));
 }
 
 bool
-ShouldAbandonImport(const ImportRest& aRest, const ObjectiveWeights& aWeights)
+ShouldAbandonImport(const RemainingImport& aImport, const ObjectiveWeights& aWeights)
 {
-  if (aRest.bytesPerSecond <= 0) {
+  if (aImport.bytesPerSecond <= 0) {
     return true;
   }
-  const std::chrono::duration<double> importing(static_cast<double>(aRest.bytes.Value()) /
-                                                aRest.bytesPerSecond);
-  return importing > ImportPatience(aRest, aWeights);
+  const std::chrono::duration<double> importing(static_cast<double>(aImport.bytes.Value()) /
+                                                aImport.bytesPerSecond);
+  return importing > ImportTimeLimit(aImport, aWeights);
 }
 
 } // namespace damasklink
--- a/src/coordination/PromptParts.cpp
+++ b/src/coordination/PromptParts.cpp
@@ -11,22 +11,23 @@
 namespace {
 
 // Stands between the wall and the home regions, where there are any.
-constexpr char kBeforeHomes = ';';
+constexpr char kHomeRegionsSeparator = ';';
 
 } // namespace
 
 std::string
-FormatScope(const ScopeFacts& aFacts)
+FormatPartScope(const PartScope& aScope)
 {
-  std::string scope = Concat(aFacts.model.Value(), "/", aFacts.weights, "/", aFacts.wall.Value());
-  if (!aFacts.homes.empty()) {
-    scope += kBeforeHomes + aFacts.homes;
+  std::string scope =
+    Concat(aScope.model.Value(), "/", aScope.weights, "/", aScope.isolatedWorkspace.Value());
+  if (!aScope.homeRegions.empty()) {
+    scope += kHomeRegionsSeparator + aScope.homeRegions;
   }
   return scope;
 }
 
-std::optional<ScopeFacts>
-ParseScope(std::string_view aText)
+std::optional<PartScope>
+ParsePartScope(std::string_view aText)
 {
   // Neither versions nor the names of workspaces hold a slash; a model's name may.
   const std::size_t last = aText.rfind('/');
@@ -35,19 +36,19 @@
   if (last == std::string_view::npos || middle == std::string_view::npos) {
     return std::nullopt;
   }
-  ScopeFacts facts;
-  facts.model = ModelName(std::string(aText.substr(0, middle)));
+  PartScope scope;
+  scope.model = ModelName(std::string(aText.substr(0, middle)));
   const std::string_view owner = aText.substr(last + 1);
-  const std::size_t homes = owner.find(kBeforeHomes);
-  facts.wall = WorkspaceId(std::string(owner.substr(0, homes)));
+  const std::size_t homes = owner.find(kHomeRegionsSeparator);
+  scope.isolatedWorkspace = WorkspaceId(std::string(owner.substr(0, homes)));
   if (homes != std::string_view::npos) {
-    facts.homes = std::string(owner.substr(homes + 1));
+    scope.homeRegions = std::string(owner.substr(homes + 1));
   }
   const std::string_view version = aText.substr(middle + 1, last - middle - 1);
   const char* end = version.data() + version.size();
-  const auto [stop, error] = std::from_chars(version.data(), end, facts.weights);
+  const auto [stop, error] = std::from_chars(version.data(), end, scope.weights);
   const bool read = error == std::errc() && stop == end;
-  return read ? std::optional(facts) : std::nullopt;
+  return read ? std::optional(scope) : std::nullopt;
 }
 
 PartKey
--- a/src/coordination/PromptReuse.cpp
+++ b/src/coordination/PromptReuse.cpp
@@ -9,20 +9,20 @@
 } // namespace
 
 void
-NoReuse::LookUp(std::string_view aPrompt, RouteRequest& aRequest)
+NoPromptReuse::LookUp(std::string_view aPrompt, RouteRequest& aRequest)
 {
   aRequest.promptTokens = TokenCount(aPrompt.size() / kBytesPerToken);
 }
 
 void
-NoReuse::Bring(const RouteRequest& /*aRequest*/, const RouteDecision& /*aDecision*/)
+NoPromptReuse::ImportBlocks(const RouteRequest& /*aRequest*/, const RouteDecision& /*aDecision*/)
 {
 }
 
 void
-NoReuse::Keep(const RouteRequest& /*aRequest*/,
-              const RouteDecision& /*aDecision*/,
-              const AnswerUsage& /*aUsage*/)
+NoPromptReuse::OnAnswered(const RouteRequest& /*aRequest*/,
+                          const RouteDecision& /*aDecision*/,
+                          const AnswerUsage& /*aUsage*/)
 {
 }
 
--- a/src/coordination/ReturnPredictor.cpp
+++ b/src/coordination/ReturnPredictor.cpp
@@ -65,16 +65,16 @@
   const std::uint64_t last = BlockHint(aBlocks.back());
   this->counts[aKind].answered += 1;
   if (this->awaited.insert_or_assign(last, aKind).second) {
-    this->order.push_back(last);
+    this->awaitedOrder.push_back(last);
   }
-  while (this->order.size() > this->options.mostAwaited) {
-    this->awaited.erase(this->order.front());
-    this->order.pop_front();
+  while (this->awaitedOrder.size() > this->options.maxAwaited) {
+    this->awaited.erase(this->awaitedOrder.front());
+    this->awaitedOrder.pop_front();
   }
 }
 
 double
-ReturnPredictor::Share(PromptKind aKind) const
+ReturnPredictor::ReturnProbability(PromptKind aKind) const
 {
   const Count& count = this->counts[aKind];
   const double prior = this->options.priorWeight;
--- a/src/coordination/StoreFeed.cpp
+++ b/src/coordination/StoreContentTracker.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StoreFeed.h"
+#include "damasklink/coordination/StoreContentTracker.h"
 
 #include <utility>
 
@@ -24,10 +24,10 @@
 }
 
 void
-StoreFeed::TakeEvents(const StoreEvents& aEvents)
+StoreContentTracker::ApplyEvents(const StoreEvents& aEvents)
 {
   if (!this->live || aEvents.epoch != this->epoch || aEvents.lost) {
-    this->Lose();
+    this->MarkUnreachable();
     return;
   }
   this->next = aEvents.next;
@@ -48,9 +48,9 @@
 }
 
 void
-StoreFeed::TakeList(const StoreList& aList, MonotonicTime aNow)
+StoreContentTracker::ApplyList(const StoreList& aList, MonotonicTime aNow)
 {
-  const bool sameLife = this->live && aList.epoch == this->epoch;
+  const bool sameEpoch = this->live && aList.epoch == this->epoch;
   std::map<PartKey, StoredPartEvent> listed;
   for (const StoredPartEvent& part : aList.parts) {
     listed[KeyOf(part)] = part;
@@ -59,24 +59,24 @@
   for (const UnfinishedPart& part : aList.unfinished) {
     const PartKey key = MakePartKey(part.name.scope, part.name.id);
     const auto before = this->unfinished.find(key);
-    const bool same = sameLife && before != this->unfinished.end() && before->second.part == part;
+    const bool same = sameEpoch && before != this->unfinished.end() && before->second.part == part;
     waiting[key] = Unfinished{ part, same ? before->second.since : aNow };
   }
   const TokenCount reservedBefore = this->Reserved();
   this->unfinished = std::move(waiting);
-  const bool news = !sameLife || listed != this->parts || this->Reserved() != reservedBefore;
+  const bool news = !sameEpoch || listed != this->parts || this->Reserved() != reservedBefore;
   this->live = true;
   this->epoch = aList.epoch;
   this->next = aList.next;
   this->parts = std::move(listed);
   if (news) {
-    this->changes = this->All();
+    this->changes = this->Snapshot();
     this->changed = true;
   }
 }
 
 void
-StoreFeed::Lose()
+StoreContentTracker::MarkUnreachable()
 {
   if (!this->live) {
     return;
@@ -84,12 +84,12 @@
   this->live = false;
   this->parts.clear();
   this->unfinished.clear();
-  this->changes = this->All();
+  this->changes = this->Snapshot();
   this->changed = true;
 }
 
 std::optional<StoreStatement>
-StoreFeed::TakeChanges()
+StoreContentTracker::TakeChanges()
 {
   if (!std::exchange(this->changed, false)) {
     return std::nullopt;
@@ -102,7 +102,7 @@
 }
 
 StoreStatement
-StoreFeed::All() const
+StoreContentTracker::Snapshot() const
 {
   StoreStatement all;
   all.store = this->store;
@@ -116,7 +116,7 @@
 }
 
 TokenCount
-StoreFeed::Reserved() const
+StoreContentTracker::Reserved() const
 {
   std::uint64_t tokens = 0;
   for (const auto& [key, waiting] : this->unfinished) {
@@ -126,11 +126,11 @@
 }
 
 std::vector<PartName>
-StoreFeed::BrokenOff(MonotonicTime aNow, std::size_t aMost) const
+StoreContentTracker::AbandonedParts(MonotonicTime aNow, std::size_t aMost) const
 {
   std::vector<PartName> broken;
   for (const auto& [key, waiting] : this->unfinished) {
-    if (broken.size() < aMost && aNow - waiting.since >= kBrokenOffAfter) {
+    if (broken.size() < aMost && aNow - waiting.since >= kAbandonedAfter) {
       broken.push_back(waiting.part.name);
     }
   }
@@ -138,11 +138,12 @@
 }
 
 std::vector<PartName>
-StoreFeed::MadeBefore(const std::map<ModelName, std::uint64_t>& aWeights, std::size_t aMost) const
+StoreContentTracker::PartsOfOlderWeights(const std::map<ModelName, std::uint64_t>& aWeights,
+                                         std::size_t aMost) const
 {
   std::vector<PartName> old;
   for (const auto& [key, part] : this->parts) {
-    const std::optional<ScopeFacts> facts = ParseScope(part.name.scope);
+    const std::optional<PartScope> facts = ParsePartScope(part.name.scope);
     const auto least = facts ? aWeights.find(facts->model) : aWeights.end();
     if (old.size() < aMost && least != aWeights.end() && facts->weights < least->second) {
       old.push_back(part.name);
--- a/src/coordination/StoreLeases.cpp
+++ b/src/coordination/StoreLeases.cpp
@@ -57,7 +57,7 @@
 };
 
 auto
-NotALease()
+MalformedLease()
 {
   return Fail(ErrorKind::Corrupt,
               "the bytes are no store lease",
@@ -103,7 +103,7 @@
   command.host = HostId(parser.Text());
   command.length = Duration(parser.Number());
   if (parser.Failed() || !parser.AtEnd() || command.store.Empty() || command.host.Empty()) {
-    return NotALease();
+    return MalformedLease();
   }
   return command;
 }
@@ -122,7 +122,7 @@
   FieldParser parser(aBytes);
   StoreLease lease = ReadLease(parser);
   if (parser.Failed() || !parser.AtEnd()) {
-    return NotALease();
+    return MalformedLease();
   }
   return lease;
 }
@@ -175,7 +175,7 @@
     loaded[store] = ReadLease(parser);
   }
   if (parser.Failed()) {
-    return NotALease();
+    return MalformedLease();
   }
   this->leases = std::move(loaded);
   return Success();
--- a/src/coordination/StoreOwner.cpp
+++ b/src/coordination/StoreManager.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StoreOwner.h"
+#include "damasklink/coordination/StoreManager.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 constexpr double kTokensPerRecomputeUnit = 1000;
 
 DirectoryOptions
-DirectoryOptionsOf(const StoreOwnerOptions& aOptions)
+DirectoryOptionsOf(const StoreManagerOptions& aOptions)
 {
   return {
     aOptions.declared.memory, aOptions.declared.disk, aOptions.pinLease, aOptions.writeLease
@@ -27,7 +27,9 @@
 
 } // namespace
 
-StoreOwner::StoreOwner(const Clock& aClock, FencingNumber aFencing, StoreOwnerOptions aOptions)
+StoreManager::StoreManager(const Clock& aClock,
+                           FencingNumber aFencing,
+                           StoreManagerOptions aOptions)
   : options(std::move(aOptions))
   , returns(this->options.returns)
   , directory(aClock, aFencing, DirectoryOptionsOf(this->options), this->returns)
@@ -36,10 +38,10 @@
 }
 
 StoredPrefix
-StoreOwner::LookUp(const BlockScope& aScope, const std::vector<Digest>& aBlocks)
+StoreManager::LookUp(const BlockScope& aScope, const std::vector<Digest>& aBlocks)
 {
   const bool returning = this->returns.OnPrompt(aBlocks);
-  const KeptPrefix kept = this->directory.LookUp(aBlocks, aScope);
+  const PrefixMatch kept = this->directory.LookUp(aBlocks, aScope);
   StoredPrefix stored;
   stored.store = this->options.store;
   stored.blocks = kept.blocks;
@@ -51,10 +53,10 @@
 }
 
 Result<ImportGrant>
-StoreOwner::GrantImport(const BlockScope& aScope,
-                        const std::vector<Digest>& aBlocks,
-                        std::uint64_t aFrom,
-                        std::uint64_t aTo)
+StoreManager::GrantImport(const BlockScope& aScope,
+                          const std::vector<Digest>& aBlocks,
+                          std::uint64_t aFrom,
+                          std::uint64_t aTo)
 {
   ImportGrant grant;
   const std::uint64_t end =
@@ -72,7 +74,7 @@
     return Fail(ErrorKind::NotFound, "the block is not kept", "compute the prompt");
   }
   grant.bytes = ByteCount(bytes);
-  if (!this->link.Take(Transfer::Import, grant.bytes)) {
+  if (!this->link.TryAcquire(Transfer::Import, grant.bytes)) {
     for (const PinnedBlock& block : grant.blocks) {
       this->directory.Unpin(block.pin);
     }
@@ -82,7 +84,7 @@
 }
 
 void
-StoreOwner::OnImported(const ImportGrant& aGrant, Duration aElapsed)
+StoreManager::OnImported(const ImportGrant& aGrant, Duration aElapsed)
 {
   for (const PinnedBlock& block : aGrant.blocks) {
     this->directory.Unpin(block.pin);
@@ -91,7 +93,7 @@
 }
 
 void
-StoreOwner::OnImportFailed(const ImportGrant& aGrant, const std::vector<Digest>& aWrong)
+StoreManager::OnImportFailed(const ImportGrant& aGrant, const std::vector<Digest>& aWrong)
 {
   for (const PinnedBlock& block : aGrant.blocks) {
     this->directory.Unpin(block.pin);
@@ -103,54 +105,56 @@
 }
 
 PromptKind
-StoreOwner::KindOf(const KeepOffer& aOffer)
+StoreManager::KindOf(const HashedPrompt& aPrompt)
 {
   return this->returns.KindOf(
-    aOffer.scope.workspace, TokenCount(aOffer.blocks.size() * kBlockTokens), aOffer.returning);
+    aPrompt.scope.workspace, TokenCount(aPrompt.blocks.size() * kBlockTokens), aPrompt.returning);
 }
 
 void
-StoreOwner::OnAnswered(const KeepOffer& aOffer)
+StoreManager::OnAnswered(const HashedPrompt& aPrompt)
 {
-  this->returns.OnAnswered(this->KindOf(aOffer), aOffer.blocks);
+  this->returns.OnAnswered(this->KindOf(aPrompt), aPrompt.blocks);
 }
 
 bool
-StoreOwner::IsWorthKeeping(const KeepOffer& aOffer, std::uint64_t aMissing, PromptKind aKind) const
+StoreManager::IsWorthExporting(const HashedPrompt& aPrompt,
+                               std::uint64_t aMissing,
+                               PromptKind aKind) const
 {
-  if (!this->options.choosy) {
+  if (!this->options.costBasedAdmission) {
     return true;
   }
-  const double share = this->returns.Share(aKind);
+  const double share = this->returns.ReturnProbability(aKind);
   const auto tokens = static_cast<double>(aMissing * kBlockTokens);
-  const double seconds = aOffer.prefillRate > 0 ? tokens / aOffer.prefillRate : 0;
-  const double saved = share * ((aOffer.objective.time * seconds) +
-                                (aOffer.objective.recompute * tokens / kTokensPerRecomputeUnit));
+  const double seconds = aPrompt.prefillRate > 0 ? tokens / aPrompt.prefillRate : 0;
+  const double saved = share * ((aPrompt.objective.time * seconds) +
+                                (aPrompt.objective.recompute * tokens / kTokensPerRecomputeUnit));
   const double mebibytes =
     static_cast<double>(aMissing * this->BlockBytes()) / static_cast<double>(kMebibyte);
   // Written once, and read again when it returns.
-  const double price = aOffer.objective.link * mebibytes * (1 + share);
+  const double price = aPrompt.objective.link * mebibytes * (1 + share);
   return saved > price;
 }
 
 Result<ExportGrant>
-StoreOwner::GrantExport(const KeepOffer& aOffer)
+StoreManager::GrantExport(const HashedPrompt& aPrompt)
 {
-  const PromptKind kind = this->KindOf(aOffer);
-  const std::uint64_t kept = this->directory.LookUp(aOffer.blocks, aOffer.scope).blocks;
-  const std::uint64_t missing = aOffer.blocks.size() - kept;
-  if (missing == 0 || !this->IsWorthKeeping(aOffer, missing, kind)) {
+  const PromptKind kind = this->KindOf(aPrompt);
+  const std::uint64_t kept = this->directory.LookUp(aPrompt.blocks, aPrompt.scope).blocks;
+  const std::uint64_t missing = aPrompt.blocks.size() - kept;
+  if (missing == 0 || !this->IsWorthExporting(aPrompt, missing, kind)) {
     return Fail(ErrorKind::NotFound, "nothing is worth exporting", "");
   }
   const std::uint64_t count = std::min(missing, this->BlocksPerGrant());
   const ByteCount length(this->BlockBytes());
   const ByteCount wanted(count * length.Value());
-  if (!this->link.Take(Transfer::Export, wanted)) {
+  if (!this->link.TryAcquire(Transfer::Export, wanted)) {
     return LinkBusy();
   }
   ExportGrant grant;
   for (std::uint64_t at = kept; at < kept + count; ++at) {
-    auto reserved = this->directory.Reserve(aOffer.blocks[at], aOffer.scope, length, kind);
+    auto reserved = this->directory.Reserve(aPrompt.blocks[at], aPrompt.scope, length, kind);
     if (reserved) {
       grant.blocks.push_back(reserved.value());
     } else if (reserved.error().kind == ErrorKind::Overloaded) {
@@ -169,9 +173,9 @@
 }
 
 void
-StoreOwner::OnExported(const ExportGrant& aGrant,
-                       const std::vector<ExportedBlock>& aExported,
-                       Duration aElapsed)
+StoreManager::OnExported(const ExportGrant& aGrant,
+                         const std::vector<ExportedBlock>& aExported,
+                         Duration aElapsed)
 {
   for (const ExportedBlock& block : aExported) {
     (void)this->directory.Seal(block.block, block.generation, block.length, block.checksum);
@@ -187,13 +191,13 @@
 }
 
 std::uint64_t
-StoreOwner::BlockBytes() const
+StoreManager::BlockBytes() const
 {
   return this->options.declared.bytesPerToken.Value() * kBlockTokens;
 }
 
 std::uint64_t
-StoreOwner::BlocksPerGrant() const
+StoreManager::BlocksPerGrant() const
 {
   const double seconds = std::chrono::duration<double>(this->options.chunk).count();
   const auto budget = static_cast<double>(this->options.declared.linkBytesPerSecond.Value());
--- a/src/coordination/StoredParts.cpp
+++ b/src/coordination/StoredPartIndex.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StoredParts.h"
+#include "damasklink/coordination/StoredPartIndex.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,7 +19,7 @@
 
 // Weighted rendezvous: the store with the highest value gets the part.
 double
-Attraction(std::uint64_t aKey, std::uint64_t aNumber, double aWeight)
+RendezvousScore(std::uint64_t aKey, std::uint64_t aNumber, double aWeight)
 {
   constexpr double kRange = 18'446'744'073'709'551'616.0;
   const double uniform = (static_cast<double>(Mix(aKey, aNumber)) + 1) / (kRange + 2);
@@ -29,7 +29,7 @@
 } // namespace
 
 void
-StoredParts::SetStores(const std::vector<ServingService>& aServices)
+StoredPartIndex::SetStores(const std::vector<ServingService>& aServices)
 {
   std::map<std::string, PromptStore> kept;
   for (const ServingService& service : aServices) {
@@ -52,7 +52,7 @@
 }
 
 std::vector<std::string>
-StoredParts::Names() const
+StoredPartIndex::StoreNames() const
 {
   std::vector<std::string> names;
   for (const auto& [name, store] : this->stores) {
@@ -62,14 +62,14 @@
 }
 
 std::size_t
-StoredParts::LiveStores() const
+StoredPartIndex::CountLiveStores() const
 {
   return static_cast<std::size_t>(std::count_if(
     this->stores.begin(), this->stores.end(), [](const auto& aItem) { return aItem.second.live; }));
 }
 
 void
-StoredParts::Take(const StoreStatement& aStatement)
+StoredPartIndex::Apply(const StoreStatement& aStatement)
 {
   const auto found = this->stores.find(FormatEndpoint(aStatement.store));
   if (found == this->stores.end()) {
@@ -97,9 +97,9 @@
 }
 
 const PromptStore*
-StoredParts::Find(const SizedPart& aPart,
-                  const ZoneId& aZone,
-                  const std::set<std::string>& aAvoided) const
+StoredPartIndex::Find(const SizedPart& aPart,
+                      const ZoneId& aZone,
+                      const std::set<std::string>& aAvoided) const
 {
   const PromptStore* best = nullptr;
   double least = 0;
@@ -111,7 +111,7 @@
     }
     // A transfer between zones takes twice as long.
     const double way = store.traits.zone == aZone ? 1 : 2;
-    const double time = way * this->ReadTime(store, aPart.tokens);
+    const double time = way * this->TransferTime(store, aPart.tokens);
     if (best == nullptr || time < least) {
       best = &store;
       least = time;
@@ -121,7 +121,7 @@
 }
 
 const PromptStore*
-StoredParts::HomeOf(const SizedPart& aPart) const
+StoredPartIndex::SelectStore(const SizedPart& aPart) const
 {
   const PromptStore* best = nullptr;
   double most = 0;
@@ -131,12 +131,12 @@
     const auto capacity = static_cast<double>(store.traits.cacheTokens.Value());
     const auto needed =
       static_cast<double>(store.storedTokens + store.reservedTokens + aPart.tokens.Value());
-    if (store.live && needed > capacity * kFullShare) {
+    if (store.live && needed > capacity * kMaxFillRatio) {
       continue;
     }
     // By the speed of their links, as these are what is short; a store that is full is left out.
     const double weight = std::max(store.traits.linkRate, 1.0);
-    const double attraction = Attraction(aPart.key.Value(), number, weight);
+    const double attraction = RendezvousScore(aPart.key.Value(), number, weight);
     if (best == nullptr || attraction > most) {
       best = &store;
       most = attraction;
@@ -146,7 +146,7 @@
 }
 
 double
-StoredParts::ReadTime(const PromptStore& aStore, TokenCount aTokens) const
+StoredPartIndex::TransferTime(const PromptStore& aStore, TokenCount aTokens) const
 {
   const double bytesPerMillisecond = aStore.traits.linkRate * 1e6 / 8 / 1e3;
   const std::chrono::duration<double, std::milli> first = aStore.traits.firstByte;
--- a/src/coordination/TargetPicker.cpp
+++ b/src/coordination/TargetPicker.cpp
@@ -144,13 +144,13 @@
 TargetPicker::HoldsAll(const PickQuestion& aQuestion, const TargetId& aTarget) const
 {
   const std::size_t count = aQuestion.parts.size();
-  return count > 0 && this->held.LeadingHeld(aTarget, aQuestion.parts) == count;
+  return count > 0 && this->held.LeadingCached(aTarget, aQuestion.parts) == count;
 }
 
 TokenCount
 TargetPicker::ToRead(const PickQuestion& aQuestion, const TargetId& aTarget) const
 {
-  std::size_t covered = this->held.LeadingHeld(aTarget, aQuestion.parts);
+  std::size_t covered = this->held.LeadingCached(aTarget, aQuestion.parts);
   while (covered < aQuestion.stored.size() && aQuestion.stored[covered]) {
     ++covered;
   }
@@ -248,7 +248,7 @@
     const auto own = static_cast<double>(all - std::min(all, shared));
     return cost + this->costs.olderWeights + perOwnToken * own;
   }
-  const std::size_t leading = this->held.LeadingHeld(aTarget.id, aQuestion.parts);
+  const std::size_t leading = this->held.LeadingCached(aTarget.id, aQuestion.parts);
   for (std::size_t index = leading; index < aQuestion.stored.size(); ++index) {
     const std::optional<PartSource>& source = aQuestion.stored[index];
     if (!source) {
@@ -276,7 +276,7 @@
     this->held.SetCapacity(aQuestion.cacheTokens);
   }
   if (!aQuestion.parts.empty()) {
-    this->held.OnRead(aTarget, aQuestion.parts);
+    this->held.OnSent(aTarget, aQuestion.parts);
     parts.insert(parts.end(), aQuestion.parts.begin(), aQuestion.parts.end());
   }
 }
@@ -314,7 +314,7 @@
   this->told.Take(aNews, aNow);
   for (const TargetSendsNow& sends : aNews.sends) {
     if (!sends.parts.empty()) {
-      this->held.OnRead(sends.target, sends.parts);
+      this->held.OnSent(sends.target, sends.parts);
     }
   }
 }
--- a/src/program/CompletionRun.cpp
+++ b/src/program/CompletionRun.cpp
@@ -59,7 +59,7 @@
 void
 CompletionRun::End()
 {
-  this->context.reuse.Keep(this->route, this->decision, this->stream->Assembled().Usage());
+  this->context.reuse.OnAnswered(this->route, this->decision, this->stream->Assembled().Usage());
   this->CloseBooks(AttemptLoad::Served, HealthSign::Good);
   this->outstanding = false;
   this->context.routing.Done(this->route, this->decision, true);
@@ -204,7 +204,7 @@
   this->outstanding = true;
   this->resumed = false;
   this->route.excluded.push_back(this->decision.target);
-  this->context.reuse.Bring(this->route, this->decision);
+  this->context.reuse.ImportBlocks(this->route, this->decision);
   const std::size_t number = this->record.Attempts().size() + 1;
   return this->StartAttempt(AttemptId(Concat(this->call.id.Value(), "-", number)));
 }
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -153,9 +153,9 @@
   ZoneReach reach;
   TargetPicker picker;
   TargetChannelPool pool;
-  StorePace pace;
+  SlowStoreDetector pace;
   ComeBack comeBack;
-  ReturnQueue returns;
+  RetryScheduler returns;
   TargetCheck checks;
   CrashWatch crashes;
   BrokenRuns broken;
@@ -394,7 +394,7 @@
   news.host = this->settings.host;
   news.urgent = this->picker.HasUrgentSends();
   news.sends = this->picker.TakeSends();
-  news.excesses = this->pace.TakeNotes();
+  news.excesses = this->pace.TakeObservations();
   news.findings = this->health.TakeFindings();
   news.crashes = this->crashes.TakeReports();
   news.sound = this->crashes.TakeSound();
@@ -480,7 +480,7 @@
       this->picker.TakeSum(*news, this->clock.MonotonicNow());
       this->TakeLimits(*news);
     }
-    this->pace.Take(news->excesses);
+    this->pace.Merge(news->excesses);
     this->health.Take(news->findings);
     return;
   }
--- a/src/program/EntryPicture.cpp
+++ b/src/program/EntryPicture.cpp
@@ -49,7 +49,7 @@
   }
   if (aFrom == this->hub) {
     for (const StoreStatement& statement : aPicture.stores) {
-      this->stored.Take(statement);
+      this->stored.Apply(statement);
     }
   }
   if (aPicture.entryHosts > 0) {
@@ -131,7 +131,7 @@
 EntryPicture::ListenForStores(const std::optional<HostId>& aHub)
 {
   this->hub = aHub;
-  this->stored = StoredParts();
+  this->stored = StoredPartIndex();
   if (this->routes != nullptr) {
     this->stored.SetStores(this->routes->Config().services);
   }
@@ -160,7 +160,7 @@
   return known;
 }
 
-const StoredParts*
+const StoredPartIndex*
 EntryPicture::Stored() const
 {
   return this->hub ? &this->stored : nullptr;
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -386,7 +386,7 @@
         .With("last_event", this->framer.LastEvent().value_or(0))
         .With("passed_on", this->plan->PassedOn())
         .With("error", piece.error());
-      this->framer.DropPart();
+      this->framer.DiscardPartialEvent();
       co_return AttemptEnd::Broken;
     }
     if (!piece.value()) {
@@ -395,13 +395,13 @@
     this->context.reach.OnBytes(aTarget.zone);
     this->context.checks.OnBytes(aTarget.id);
     this->NoteFirstEvent(aTarget);
-    const std::string events = this->framer.Take(*piece.value());
+    const std::string events = this->framer.Append(*piece.value());
     if (!events.empty() && !co_await this->PassEvents(aHead, events)) {
       co_return AttemptEnd::CallerLeft;
     }
   }
-  if (this->framer.HoldsPart()) {
-    this->framer.DropPart();
+  if (this->framer.HasPartialEvent()) {
+    this->framer.DiscardPartialEvent();
     co_return AttemptEnd::Broken;
   }
   if (!this->plan->PassedOn()) {
@@ -433,7 +433,7 @@
 Exchange::ComeBackAfter()
 {
   if (this->overloaded) {
-    return this->context.returns.Join();
+    return this->context.returns.NextRetryDelay();
   }
   if (this->question.limited.empty()) {
     return kComeBackAfter;
--- a/src/program/ExchangeChoice.cpp
+++ b/src/program/ExchangeChoice.cpp
@@ -67,14 +67,14 @@
   const bool walled = this->workspace != nullptr && this->workspace->isolated;
   const WorkspaceId wall = walled ? this->workspace->name : WorkspaceId();
   this->scope =
-    CacheScope(FormatScope(ScopeFacts{ this->call.model, aWeights, wall, this->homes.Text() }));
+    CacheScope(FormatPartScope(PartScope{ this->call.model, aWeights, wall, this->homes.Text() }));
   // The last part belongs to this call alone: nobody else could use it.
   for (std::size_t index = 0; index + 1 < this->call.parts.size(); ++index) {
     const PromptPart& part = this->call.parts[index];
     const PartKey key = MakePartKey(this->scope.Value(), part.id.Value());
     this->question.parts.push_back(SizedPart{ key, part.tokens });
   }
-  const StoredParts* stored = this->context.picture.Stored();
+  const StoredPartIndex* stored = this->context.picture.Stored();
   if (stored == nullptr) {
     return;
   }
@@ -84,8 +84,8 @@
     reading += this->context.picker.PaceOf(this->call.model).PerToken() *
                static_cast<double>(part.tokens.Value());
   }
-  for (const std::string& store : stored->Names()) {
-    if (!this->context.pace.MayFetch(store, reading)) {
+  for (const std::string& store : stored->StoreNames()) {
+    if (!this->context.pace.ShouldFetch(store, reading)) {
       this->avoided.insert(store);
     }
   }
@@ -94,7 +94,7 @@
     this->question.stored.push_back(
       from == nullptr
         ? std::nullopt
-        : std::optional(PartSource{ from->traits.zone, stored->ReadTime(*from, part.tokens) }));
+        : std::optional(PartSource{ from->traits.zone, stored->TransferTime(*from, part.tokens) }));
   }
 }
 
@@ -249,7 +249,7 @@
 Exchange::AddPartMoves(const TargetRecord& aTarget, TargetCall& aTo)
 {
   this->fetchedFrom.clear();
-  const StoredParts* stored = this->context.picture.Stored();
+  const StoredPartIndex* stored = this->context.picture.Stored();
   if (stored == nullptr || this->question.parts.empty()) {
     return;
   }
@@ -277,7 +277,7 @@
         aTo.fetches[index].peer = holder->endpoint;
       }
     }
-    const PromptStore* home = stored->HomeOf(part);
+    const PromptStore* home = stored->SelectStore(part);
     const bool mayKeep = home != nullptr && this->homes.Allows(home->traits.zone);
     if (mayKeep && !this->avoided.contains(home->name)) {
       aTo.saves[index].peer = home->traits.endpoint;
@@ -285,7 +285,8 @@
   }
 }
 
-// Tells what the first event took beyond reading what the target was to read, for StorePace.
+// Tells what the first event took beyond reading what the target was to read, for
+// SlowStoreDetector.
 void
 Exchange::NoteFirstEvent(const TargetRecord& aTarget)
 {
@@ -299,7 +300,7 @@
   const double expected = picker.PaceOf(this->question.model).Expected(this->work.toRead);
   if (picker.NotePace(
         aTarget.id, this->question, this->work, !this->fetchedFrom.empty(), sinceSend)) {
-    this->context.pace.Note(this->fetchedFrom, took.count() - expected);
+    this->context.pace.Observe(this->fetchedFrom, took.count() - expected);
   }
   const Duration sinceArrival = this->context.clock.MonotonicNow() - this->arrived;
   if (sinceArrival > this->route->latencyObjective) {
--- a/src/program/ReuseService.cpp
+++ b/src/program/ReuseService.cpp
@@ -175,7 +175,7 @@
 }
 
 void
-ReuseService::Bring(const RouteRequest& aRequest, const RouteDecision& aDecision)
+ReuseService::ImportBlocks(const RouteRequest& aRequest, const RouteDecision& aDecision)
 {
   const auto view = this->context.views.Get();
   const TargetRecord* store = FindTarget(*view, aDecision.importFrom.Value());
@@ -197,12 +197,12 @@
   const std::uint64_t blockBytes = kept->bytes.Value() / kept->blocks;
   const MonotonicTime begun = this->context.clock.MonotonicNow();
   std::uint64_t at = aDecision.heldBlocks;
-  ImportRest rest{ {}, {}, kept->freeBytesPerSecond, this->PrefillRate(aDecision.target) };
+  RemainingImport rest{ {}, {}, kept->freeBytesPerSecond, this->PrefillRate(aDecision.target) };
   while (at < aDecision.importBlocks) {
     move.question.from = at;
     rest.bytes = ByteCount((aDecision.importBlocks - at) * blockBytes);
     rest.tokens = TokenCount((aDecision.importBlocks - at) * kBlockTokens);
-    const Duration patience = ImportPatience(rest, aRequest.objective);
+    const Duration patience = ImportTimeLimit(rest, aRequest.objective);
     if (ShouldAbandonImport(rest, aRequest.objective)) {
       return;
     }
@@ -262,9 +262,9 @@
 }
 
 void
-ReuseService::Keep(const RouteRequest& aRequest,
-                   const RouteDecision& aDecision,
-                   const AnswerUsage& /*aUsage*/)
+ReuseService::OnAnswered(const RouteRequest& aRequest,
+                         const RouteDecision& aDecision,
+                         const AnswerUsage& /*aUsage*/)
 {
   // Names of another version than the one that ran mean nothing to the engine.
   if (aRequest.blocks.empty() || aDecision.version != aRequest.blocksVersion ||
--- a/src/program/ReuseService.h
+++ b/src/program/ReuseService.h
@@ -18,10 +18,10 @@
                WorkThread& aKeeper);
 
   void LookUp(std::string_view aPrompt, RouteRequest& aRequest) override;
-  void Bring(const RouteRequest& aRequest, const RouteDecision& aDecision) override;
-  void Keep(const RouteRequest& aRequest,
-            const RouteDecision& aDecision,
-            const AnswerUsage& aUsage) override;
+  void ImportBlocks(const RouteRequest& aRequest, const RouteDecision& aDecision) override;
+  void OnAnswered(const RouteRequest& aRequest,
+                  const RouteDecision& aDecision,
+                  const AnswerUsage& aUsage) override;
 
 private:
   // An import or export under way.
--- a/src/program/StoreWatcher.cpp
+++ b/src/program/StoreWatcher.cpp
@@ -52,7 +52,7 @@
   }
 
   Endpoint endpoint;
-  StoreFeed feed;
+  StoreContentTracker feed;
   std::unique_ptr<TargetChannel> channel;
   MonotonicTime nextList;
   bool reachable = true;
@@ -103,7 +103,7 @@
 {
   std::vector<StoreStatement> all;
   for (const auto& [address, store] : this->stores) {
-    all.push_back(store->feed.All());
+    all.push_back(store->feed.Snapshot());
   }
   return all;
 }
@@ -116,8 +116,8 @@
     if (store->freeing || store->feed.NeedsList()) {
       continue;
     }
-    std::vector<PartName> unused = store->feed.MadeBefore(aWeights, kMostFreedAtOnce);
-    const std::vector<PartName> broken = store->feed.BrokenOff(now, kMostFreedAtOnce);
+    std::vector<PartName> unused = store->feed.PartsOfOlderWeights(aWeights, kMostFreedAtOnce);
+    const std::vector<PartName> broken = store->feed.AbandonedParts(now, kMostFreedAtOnce);
     unused.insert(unused.end(), broken.begin(), broken.end());
     if (!unused.empty()) {
       store->freeing = true;
@@ -168,7 +168,7 @@
         .With("store", FormatEndpoint(aStore->endpoint));
     }
     if (!answered) {
-      aStore->feed.Lose();
+      aStore->feed.MarkUnreachable();
       aStore->channel.reset();
     }
     // What a lost store held must not be fetched any more: it may be back soon, and empty.
@@ -195,8 +195,8 @@
       co_return false;
     }
     LogUnreadableRows(aStore.endpoint, list.value().unreadable);
-    aStore.feed.TakeList(list.value(), now);
-    const StoreStatement all = aStore.feed.All();
+    aStore.feed.ApplyList(list.value(), now);
+    const StoreStatement all = aStore.feed.Snapshot();
     LogEvent(LogLevel::Info, "store_listed")
       .With("store", FormatEndpoint(aStore.endpoint))
       .With("epoch", list.value().epoch)
@@ -214,7 +214,7 @@
     co_return false;
   }
   LogUnreadableRows(aStore.endpoint, events.value().unreadable);
-  aStore.feed.TakeEvents(events.value());
+  aStore.feed.ApplyEvents(events.value());
   co_return true;
 }
 
--- a/src/program/StoreWatcher.h
+++ b/src/program/StoreWatcher.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "damasklink/coordination/ServingConfig.h"
-#include "damasklink/coordination/StoreFeed.h"
+#include "damasklink/coordination/StoreContentTracker.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/transport/EventLoop.h"
 
--- a/src/program/StoresModule.cpp
+++ b/src/program/StoresModule.cpp
@@ -214,7 +214,7 @@
 void
 StoresModule::CareForLeases(MonotonicTime aNow)
 {
-  std::erase_if(this->owned, [](const auto& aOwned) { return !aOwned.second->Holds(); });
+  std::erase_if(this->owned, [](const auto& aOwned) { return !aOwned.second->HoldsLease(); });
   for (const TargetRecord& target : this->context.publisher.Current().targets) {
     if (target.kind != TargetKind::Store || target.zone != this->context.settings.zone) {
       continue;
@@ -275,10 +275,10 @@
 StoresModule::Own(const TargetRecord& aStore, const StoreLease& aLease)
 {
   const StoreId store(aStore.id.Value());
-  StoreOwnerOptions options;
+  StoreManagerOptions options;
   options.store = store;
   options.declared = aStore.store;
-  this->owned[store] = std::make_unique<OwnedStore>(this->context.clock, aLease.fencing, options);
+  this->owned[store] = std::make_unique<LeasedStore>(this->context.clock, aLease.fencing, options);
   this->others.erase(store);
   LogEvent(LogLevel::Info, "store_owned").With("store", store).With("fencing", aLease.fencing);
   this->FetchInventory(store, aLease.fencing, aStore.endpoint);
@@ -311,7 +311,7 @@
 StoresModule::SendOrders(const StoreId& aStore,
                          const char* aPath,
                          FencingNumber aFencing,
-                         std::vector<BlockOrder> aBlocks)
+                         std::vector<BlockCommand> aBlocks)
 {
   const TargetRecord* store = aBlocks.empty() ? nullptr : this->FindStore(aStore);
   if (store == nullptr) {
@@ -328,7 +328,7 @@
 StoresModule::FetchSnapshots()
 {
   std::vector<TargetId> stale;
-  this->stores.routing.Run([&] { stale = this->stores.router.Caches().Stale(); });
+  this->stores.routing.Run([&] { stale = this->stores.router.Caches().StaleTargets(); });
   for (const TargetId& target : stale) {
     const TargetRecord* engine = this->FindTarget(target);
     if (engine == nullptr) {
--- a/src/program/StoresModule.h
+++ b/src/program/StoresModule.h
@@ -9,7 +9,7 @@
 #include "StoreAnswers.h"
 #include "WorkThread.h"
 #include "damasklink/coordination/CostRouter.h"
-#include "damasklink/coordination/OwnedStore.h"
+#include "damasklink/coordination/LeasedStore.h"
 #include "damasklink/coordination/StoreLeases.h"
 #include "damasklink/protocol/StoreApi.h"
 
@@ -68,7 +68,7 @@
   void SendOrders(const StoreId& aStore,
                   const char* aPath,
                   FencingNumber aFencing,
-                  std::vector<BlockOrder> aBlocks);
+                  std::vector<BlockCommand> aBlocks);
   void FetchSnapshots();
   void Broadcast(const StoresMessage& aMessage);
   void Send(const HostId& aTo, const StoresMessage& aMessage);
@@ -77,7 +77,7 @@
 
   const HostContext& context;
   StoresContext stores;
-  std::map<StoreId, std::unique_ptr<OwnedStore>> owned;
+  std::map<StoreId, std::unique_ptr<LeasedStore>> owned;
   std::map<StoreId, KnownOwner> others;
   MonotonicTime nextShare;
   MonotonicTime nextCare;
--- a/src/protocol/StoreApi.cpp
+++ b/src/protocol/StoreApi.cpp
@@ -234,7 +234,7 @@
 std::string
 FormatStoreOrder(const StoreOrder& aOrder)
 {
-  const auto block = [](const BlockOrder& aBlock) {
+  const auto block = [](const BlockCommand& aBlock) {
     return Json{ { "block", aBlock.block.Value() }, { "generation", aBlock.generation.Value() } };
   };
   return Dump(
@@ -246,8 +246,8 @@
 {
   return ParseObject<StoreOrder>(aBody, [](FieldReader& aFields, StoreOrder& aOrder) {
     aOrder.fencing = FencingNumber(aFields.Count("fencing"));
-    aOrder.blocks = ReadList<BlockOrder>(aFields, "blocks", [](FieldReader& aBlock) {
-      return BlockOrder{ Digest(aBlock.Text("block")), Generation(aBlock.Count("generation")) };
+    aOrder.blocks = ReadList<BlockCommand>(aFields, "blocks", [](FieldReader& aBlock) {
+      return BlockCommand{ Digest(aBlock.Text("block")), Generation(aBlock.Count("generation")) };
     });
   });
 }
--- a/src/protocol/StoresCodec.cpp
+++ b/src/protocol/StoresCodec.cpp
@@ -71,7 +71,7 @@
 
   wire::StoresBodyUnion operator()(const StoreQuestion& aQuestion) const
   {
-    const KeepOffer& prompt = aQuestion.prompt;
+    const HashedPrompt& prompt = aQuestion.prompt;
     wire::StoreQuestionT packed;
     packed.number = aQuestion.number.Value();
     packed.kind = static_cast<wire::QuestionKind>(aQuestion.kind);
--- a/standin/Store.cpp
+++ b/standin/Store.cpp
@@ -156,7 +156,7 @@
     return Status(kConflict);
   }
   absl::MutexLock lock(&this->mutex);
-  for (const BlockOrder& block : order.value().blocks) {
+  for (const BlockCommand& block : order.value().blocks) {
     const auto kept = this->blocks.find(block.block);
     if (kept != this->blocks.end() && kept->second.header.generation == block.generation) {
       this->used -= kept->second.content.size();
--- a/test/coordination/BlockDirectoryTest.cpp
+++ b/test/coordination/BlockDirectoryTest.cpp
@@ -58,7 +58,7 @@
   BlockDirectory directory{ this->clock, FencingNumber(1), Room(2, 0), this->returns };
 };
 
-TEST_F(BlockDirectoryTest, OnlySealedBlocksAreRead)
+TEST_F(BlockDirectoryTest, PinsOnlySealedBlocks)
 {
   const auto reserved = this->directory.Reserve(Block(1), kScope, kLength, 0).value();
   EXPECT_FALSE(this->directory.Pin(Block(1), kScope));
@@ -69,7 +69,7 @@
   EXPECT_TRUE(this->directory.Pin(Block(1), kScope));
 }
 
-TEST_F(BlockDirectoryTest, SealNeedsTheReservedLengthAndGeneration)
+TEST_F(BlockDirectoryTest, SealRejectsOtherLengthOrGeneration)
 {
   const auto reserved = this->directory.Reserve(Block(1), kScope, kLength, 0).value();
   ASSERT_TRUE(this->directory.BeginWriting(Block(1), reserved.generation));
@@ -78,7 +78,7 @@
   EXPECT_FALSE(this->directory.Pin(Block(1), kScope));
 }
 
-TEST_F(BlockDirectoryTest, ExportThatNeverEndsGivesItsRoomBack)
+TEST_F(BlockDirectoryTest, FreesReservationWhenWriteLeaseExpires)
 {
   ASSERT_TRUE(this->directory.Reserve(Block(1), kScope, kLength, 0));
   this->clock.Advance(seconds(31));
@@ -87,7 +87,7 @@
   EXPECT_EQ(this->directory.Used(StoreTier::Memory), ByteCount(0));
 }
 
-TEST_F(BlockDirectoryTest, FreeingWaitsForPins)
+TEST_F(BlockDirectoryTest, FreesDrainedBlockAfterLastUnpin)
 {
   const Generation generation = this->Keep(this->directory, 1);
   const auto pinned = this->directory.Pin(Block(1), kScope).value();
@@ -100,7 +100,7 @@
   EXPECT_EQ(this->directory.TakeFreed().size(), 1U);
 }
 
-TEST_F(BlockDirectoryTest, PinOfADeadReaderRunsOut)
+TEST_F(BlockDirectoryTest, PinExpiresWithItsLease)
 {
   const Generation generation = this->Keep(this->directory, 1);
   ASSERT_TRUE(this->directory.Pin(Block(1), kScope));
@@ -110,7 +110,7 @@
   EXPECT_EQ(this->directory.TakeFreed().size(), 1U);
 }
 
-TEST_F(BlockDirectoryTest, OtherScopesDoNotReadEvenAKnownName)
+TEST_F(BlockDirectoryTest, RejectsReadsFromAnotherScope)
 {
   this->Keep(this->directory, 1);
   for (const char* field : { "workspace", "version" }) {
@@ -125,7 +125,7 @@
   }
 }
 
-TEST_F(BlockDirectoryTest, WithdrawnVersionIsDrainedAndFreed)
+TEST_F(BlockDirectoryTest, DrainsAndFreesBlocksOfWithdrawnVersion)
 {
   this->Keep(this->directory, 1);
   const auto running = this->directory.Pin(Block(1), kScope).value();
@@ -137,7 +137,7 @@
   EXPECT_EQ(this->directory.TakeFreed().size(), 1U);
 }
 
-TEST_F(BlockDirectoryTest, NewOwnerFreesNothingUntilOldPinsRanOut)
+TEST_F(BlockDirectoryTest, NewOwnerFreesNothingBeforeEarlierPinsExpire)
 {
   BlockHeader header{ Block(1), kScope, Generation(5), kLength, Checksum(1) };
   BlockDirectory next(this->clock, FencingNumber(2), Room(1, 0), this->returns);
@@ -158,7 +158,7 @@
   EXPECT_NE(this->Keep(this->directory, 1), this->Keep(next, 1));
 }
 
-TEST_F(BlockDirectoryTest, MemoryOverflowsToDiskThenTheLeastWantedGoes)
+TEST_F(BlockDirectoryTest, DemotesToDiskThenFreesLowestRanked)
 {
   BlockDirectory tiers(this->clock, FencingNumber(1), Room(1, 1), this->returns);
   for (int number = 1; number <= 3; ++number) {
@@ -172,7 +172,7 @@
   EXPECT_TRUE(tiers.Pin(Block(3), kScope));
 }
 
-TEST_F(BlockDirectoryTest, KindsThatReturnStayLonger)
+TEST_F(BlockDirectoryTest, EvictsKindThatRarelyReturnsFirst)
 {
   const PromptKind never = this->returns.KindOf(WorkspaceId("b"), TokenCount(64), false);
   for (int number = 0; number < 100; ++number) {
@@ -219,7 +219,7 @@
   }
 
   // The content stays until the slot is used again, as on a real disk.
-  void Free(const BlockOrder& aOrder)
+  void Free(const BlockCommand& aOrder)
   {
     for (FakeSlot& slot : this->slots) {
       const BlockHeader& header = slot.header;
@@ -259,10 +259,10 @@
 
 // Two owners, one store, readers and writers in any order. The first owner may go on as if it still
 // held the lease. Every read is checked as the engine checks it.
-class DirectoryWorld
+class DirectorySimulation
 {
 public:
-  DirectoryWorld()
+  DirectorySimulation()
   {
     for (const std::uint64_t fencing : { 1, 2 }) {
       this->owners.push_back(std::make_unique<BlockDirectory>(
@@ -375,7 +375,7 @@
 
   void FreeAtStore(BlockDirectory& aOwner)
   {
-    for (const BlockOrder& order : aOwner.TakeFreed()) {
+    for (const BlockCommand& order : aOwner.TakeFreed()) {
       this->store.Free(order);
     }
   }
@@ -400,18 +400,18 @@
                                                                   rc::gen::inRange(0, kBlocks))));
 }
 
-RC_GTEST_PROP(BlockDirectoryProperty, ReadUnderALivePinIsWhole, ())
+RC_GTEST_PROP(BlockDirectoryProperty, ReadsUnderLivePinAreIntact, ())
 {
-  DirectoryWorld world;
+  DirectorySimulation world;
   for (const auto& [action, block] : AnySteps(6)) {
     world.Step(action, block, 0);
   }
 }
 
 // The second owner takes over while readers of the first are still at it.
-RC_GTEST_PROP(BlockDirectoryProperty, TakeoverSpoilsNoReadUnderAnOldPin, ())
+RC_GTEST_PROP(BlockDirectoryProperty, TakeoverKeepsReadsUnderEarlierPinsIntact, ())
 {
-  DirectoryWorld world;
+  DirectorySimulation world;
   for (const auto& [action, block] : AnySteps(6)) {
     world.Step(action, block, 0);
   }
@@ -424,9 +424,9 @@
 }
 
 // Exports die, the store restarts empty or with old content, both owners act, inventories lie.
-RC_GTEST_PROP(BlockDirectoryProperty, NoFaultMakesAFreedOrPartBlockPassTheCheck, ())
+RC_GTEST_PROP(BlockDirectoryProperty, CheckRejectsFreedOrPartialBlocksUnderFaults, ())
 {
-  DirectoryWorld world;
+  DirectorySimulation world;
   world.honest = false;
   FakeStore old = world.store;
   for (const auto& [action, block] : AnySteps(12)) {
--- a/test/coordination/BlockHeaderTest.cpp
+++ b/test/coordination/BlockHeaderTest.cpp
@@ -9,7 +9,7 @@
 namespace damasklink {
 namespace {
 
-TEST(CheckBlockTest, EveryFieldMustBeAsOrdered)
+TEST(CheckBlockTest, RejectsMismatchInAnyField)
 {
   const BlockScope scope{
     WorkspaceId("water"), ModelName("m"), WeightVersion("v1"), AdapterName()
--- a/test/coordination/BlockNamesTest.cpp
+++ b/test/coordination/BlockNamesTest.cpp
@@ -27,7 +27,7 @@
   EXPECT_TRUE(NameBlocks(kScope, Tokens(3), 4).empty());
 }
 
-TEST(BlockNamesTest, FieldsDoNotRunTogether)
+TEST(BlockNamesTest, ShiftedScopeFieldsGiveOtherNames)
 {
   BlockScope shifted = kScope;
   shifted.workspace = WorkspaceId("waterm");
@@ -35,7 +35,7 @@
   EXPECT_NE(NameBlocks(kScope, Tokens(4), 4), NameBlocks(shifted, Tokens(4), 4));
 }
 
-RC_GTEST_PROP(BlockNamesTest, SharedNamesMeanSharedPrefix, ())
+RC_GTEST_PROP(BlockNamesTest, NamesAreEqualExactlyForEqualPrefixes, ())
 {
   const auto left = *rc::gen::container<std::vector<Token>>(rc::gen::inRange<Token>(0, 2));
   const auto right = *rc::gen::container<std::vector<Token>>(rc::gen::inRange<Token>(0, 2));
@@ -49,7 +49,7 @@
 }
 
 // A block of another workspace, model, version or adapter can't be asked for by name.
-RC_GTEST_PROP(BlockNamesTest, ScopesShareNoName, (std::uint8_t aField))
+RC_GTEST_PROP(BlockNamesTest, ScopesNeverShareNames, (std::uint8_t aField))
 {
   BlockScope other = kScope;
   switch (aField % 4) {
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(FourByteTokenizerTest, TellsPromptsApartByTheirLastByte)
+TEST(FourByteTokenizerTest, DistinguishesPromptsByLastByte)
 {
   const FourByteTokenizer tokenizer;
   EXPECT_EQ(tokenizer.Tokenize("abcdefg").size(), 2U);
--- a/test/coordination/EventFramerTest.cpp
+++ b/test/coordination/EventFramerTest.cpp
@@ -6,50 +6,50 @@
 namespace damasklink {
 namespace {
 
-TEST(EventFramerTest, PassesWholeEventsAndKeepsTheRest)
+TEST(EventFramerTest, ReturnsCompleteEventsAndBuffersRest)
 {
   EventFramer framer;
-  EXPECT_EQ(framer.Take("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
+  EXPECT_EQ(framer.Append("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
   EXPECT_EQ(framer.LastEvent(), 1U);
-  EXPECT_TRUE(framer.HoldsPart());
-  EXPECT_EQ(framer.Take("ta: b\n\n"), "id: 2\ndata: b\n\n");
+  EXPECT_TRUE(framer.HasPartialEvent());
+  EXPECT_EQ(framer.Append("ta: b\n\n"), "id: 2\ndata: b\n\n");
   EXPECT_EQ(framer.LastEvent(), 2U);
-  EXPECT_FALSE(framer.HoldsPart());
+  EXPECT_FALSE(framer.HasPartialEvent());
 }
 
-TEST(EventFramerTest, EventThatStopsInTheMiddleIsDropped)
+TEST(EventFramerTest, DiscardsPartialEvent)
 {
   EventFramer framer;
-  framer.Take("id: 7\ndata: a\n\nid: 8\ndata: hal");
-  framer.DropPart();
-  EXPECT_EQ(framer.Take("id: 8\ndata: whole\n\n"), "id: 8\ndata: whole\n\n");
+  framer.Append("id: 7\ndata: a\n\nid: 8\ndata: hal");
+  framer.DiscardPartialEvent();
+  EXPECT_EQ(framer.Append("id: 8\ndata: whole\n\n"), "id: 8\ndata: whole\n\n");
   EXPECT_EQ(framer.LastEvent(), 8U);
 }
 
-TEST(EventFramerTest, IdInTheDataIsNoId)
+TEST(EventFramerTest, IgnoresIdInsideData)
 {
   EventFramer framer;
-  framer.Take("id: 3\ndata: paid: 99\n\n");
+  framer.Append("id: 3\ndata: paid: 99\n\n");
   EXPECT_EQ(framer.LastEvent(), 3U);
 }
 
-TEST(EventFramerTest, EventsWithoutIdLeaveTheLastOne)
+TEST(EventFramerTest, EventWithoutIdKeepsLastId)
 {
   EventFramer framer;
-  framer.Take("id: 3\ndata: a\n\n");
-  framer.Take(": comment\n\n");
+  framer.Append("id: 3\ndata: a\n\n");
+  framer.Append(": comment\n\n");
   EXPECT_EQ(framer.LastEvent(), 3U);
 }
 
-TEST(EventFramerTest, LinesMayEndWithCarriageReturns)
+TEST(EventFramerTest, AcceptsCrLfLineEndings)
 {
   EventFramer framer;
-  EXPECT_EQ(framer.Take("id: 1\r\ndata: a\r\n\r\nid"), "id: 1\r\ndata: a\r\n\r\n");
+  EXPECT_EQ(framer.Append("id: 1\r\ndata: a\r\n\r\nid"), "id: 1\r\ndata: a\r\n\r\n");
   EXPECT_EQ(framer.LastEvent(), 1U);
 }
 
 // However the bytes are cut, what is passed on is a prefix of the stream that ends with an event.
-RC_GTEST_PROP(EventFramerTest, CutsOfTheBytesChangeNothing, ())
+RC_GTEST_PROP(EventFramerTest, OutputDoesNotDependOnChunking, ())
 {
   std::string stream;
   const auto count = *rc::gen::inRange(0, 6);
@@ -61,7 +61,7 @@
   std::size_t at = 0;
   while (at < stream.size()) {
     const auto length = *rc::gen::inRange<std::size_t>(1, 9);
-    passed += framer.Take(std::string_view(stream).substr(at, length));
+    passed += framer.Append(std::string_view(stream).substr(at, length));
     RC_ASSERT(stream.substr(0, passed.size()) == passed);
     if (!passed.empty()) {
       RC_ASSERT(passed.substr(passed.size() - 2) == "\n\n");
--- a/test/coordination/OwnedStoreTest.cpp
+++ b/test/coordination/LeasedStoreTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/OwnedStore.h"
+#include "damasklink/coordination/LeasedStore.h"
 
 #include <gtest/gtest.h>
 
@@ -13,18 +13,18 @@
 const ModelName kModel("m");
 const WeightVersion kVersion("v1");
 
-class OwnedStoreTest : public testing::Test
+class LeasedStoreTest : public testing::Test
 {
 protected:
-  OwnedStoreTest()
+  LeasedStoreTest()
   {
     this->owned.Renew(this->clock.MonotonicNow() + std::chrono::hours(1));
     this->owned.Rebuild({});
   }
 
-  static StoreOwnerOptions Options()
+  static StoreManagerOptions Options()
   {
-    StoreOwnerOptions options;
+    StoreManagerOptions options;
     options.store = StoreId("store-1");
     options.declared = { ByteCount(1'000'000), ByteCount(0), ByteCount(1'000'000), ByteCount(64) };
     return options;
@@ -61,10 +61,10 @@
   }
 
   ManualClock clock;
-  OwnedStore owned{ this->clock, FencingNumber(3), Options() };
+  LeasedStore owned{ this->clock, FencingNumber(3), Options() };
 };
 
-TEST_F(OwnedStoreTest, ExportedPromptIsFoundAndImported)
+TEST_F(LeasedStoreTest, GrantsImportOfExportedPrompt)
 {
   this->Export();
   EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 4U);
@@ -74,7 +74,7 @@
   EXPECT_LT(grant.valid, seconds(10));
 }
 
-TEST_F(OwnedStoreTest, AnswersNothingOnceTheLeaseHasRunOut)
+TEST_F(LeasedStoreTest, AnswersNotOwnerAfterLeaseExpires)
 {
   this->Export();
   this->owned.Renew(this->clock.MonotonicNow() + seconds(5));
@@ -83,14 +83,14 @@
   EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
 }
 
-TEST_F(OwnedStoreTest, KnowsNothingBeforeItsInventory)
+TEST_F(LeasedStoreTest, AnswersNotOwnerBeforeRebuild)
 {
-  OwnedStore fresh(this->clock, FencingNumber(4), Options());
+  LeasedStore fresh(this->clock, FencingNumber(4), Options());
   fresh.Renew(this->clock.MonotonicNow() + seconds(5));
   EXPECT_EQ(fresh.Answer(Question(QuestionKind::Export)).status, AnswerStatus::NotOwner);
 }
 
-TEST_F(OwnedStoreTest, ExportThatDiedIsNeverRead)
+TEST_F(LeasedStoreTest, ExpiredExportIsNeverServed)
 {
   const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Export));
   EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
@@ -101,7 +101,7 @@
   EXPECT_EQ(this->owned.TakeFreed().size(), 4U);
 }
 
-TEST_F(OwnedStoreTest, OutcomeOfAnotherOwnerIsIgnored)
+TEST_F(LeasedStoreTest, IgnoresOutcomeWithOtherFencingNumber)
 {
   const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Export));
   StoreOutcome stale = Outcome(grant, grant.blocks);
@@ -110,7 +110,7 @@
   EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
 }
 
-TEST_F(OwnedStoreTest, BlockThatAReaderFoundWrongIsDrained)
+TEST_F(LeasedStoreTest, DrainsBlockReportedCorrupt)
 {
   this->Export();
   const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Import));
@@ -123,7 +123,7 @@
   EXPECT_EQ(this->owned.TakeFreed().size(), 1U);
 }
 
-TEST_F(OwnedStoreTest, LostOutcomeEndsWithThePin)
+TEST_F(LeasedStoreTest, ImportWithoutOutcomeEndsWithPinLease)
 {
   this->Export();
   const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Import));
@@ -134,7 +134,7 @@
   EXPECT_EQ(this->owned.TakeFreed().size(), grant.blocks.size());
 }
 
-TEST_F(OwnedStoreTest, VersionThatIsStillServedStays)
+TEST_F(LeasedStoreTest, KeepsBlocksOfServedVersion)
 {
   this->Export();
   this->owned.OnServed({ { kModel, kVersion } });
@@ -143,7 +143,7 @@
   EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 4U);
 }
 
-TEST_F(OwnedStoreTest, AShortWhileWithoutAnEngineWithdrawsNothing)
+TEST_F(LeasedStoreTest, KeepsVersionUnservedForLessThanTimeout)
 {
   this->Export();
   this->owned.OnServed({});
@@ -154,7 +154,7 @@
   EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 4U);
 }
 
-TEST_F(OwnedStoreTest, WithdrawnVersionIsDrainedAndFreed)
+TEST_F(LeasedStoreTest, DrainsAndFreesBlocksOfWithdrawnVersion)
 {
   this->Export();
   this->owned.OnServed({});
@@ -164,7 +164,7 @@
   EXPECT_EQ(this->owned.TakeFreed().size(), 4U);
 }
 
-TEST_F(OwnedStoreTest, ExportsStopAtTheLinksBudget)
+TEST_F(LeasedStoreTest, ExportsStayWithinLinkBudget)
 {
   // Each grant is an eighth of the link's second: 30 blocks of 4 KiB.
   int granted = 0;
@@ -178,7 +178,7 @@
   EXPECT_EQ(granted, 8);
 }
 
-TEST_F(OwnedStoreTest, LeavesOutWhatRarelyReturns)
+TEST_F(LeasedStoreTest, RefusesExportOfPromptsThatRarelyReturn)
 {
   for (int number = 0; number < 100; ++number) {
     StoreQuestion other = Question(QuestionKind::Answered, 0);
--- a/test/coordination/LinkBudgetTest.cpp
+++ b/test/coordination/LinkBudgetTest.cpp
@@ -12,53 +12,53 @@
 
 constexpr ByteCount kBudget(1000);
 
-TEST(LinkBudgetTest, RefusesMoreThanASecondsWorth)
+TEST(LinkBudgetTest, RefusesMoreThanOneSecondOfBudget)
 {
   ManualClock clock;
   LinkBudget link(clock, kBudget);
-  EXPECT_FALSE(link.Take(Transfer::Import, ByteCount(1001)));
-  EXPECT_TRUE(link.Take(Transfer::Import, kBudget));
+  EXPECT_FALSE(link.TryAcquire(Transfer::Import, ByteCount(1001)));
+  EXPECT_TRUE(link.TryAcquire(Transfer::Import, kBudget));
   clock.Advance(milliseconds(999));
-  EXPECT_FALSE(link.Take(Transfer::Import, ByteCount(1)));
+  EXPECT_FALSE(link.TryAcquire(Transfer::Import, ByteCount(1)));
   clock.Advance(milliseconds(1));
-  EXPECT_TRUE(link.Take(Transfer::Import, kBudget));
+  EXPECT_TRUE(link.TryAcquire(Transfer::Import, kBudget));
 }
 
-TEST(LinkBudgetTest, ExportsYieldToAWaitingImport)
+TEST(LinkBudgetTest, ExportsYieldToWaitingImport)
 {
   ManualClock clock;
   LinkBudget link(clock, kBudget);
-  EXPECT_TRUE(link.Take(Transfer::Export, ByteCount(900)));
-  EXPECT_FALSE(link.Take(Transfer::Import, ByteCount(500)));
-  EXPECT_FALSE(link.Take(Transfer::Export, ByteCount(50)));
+  EXPECT_TRUE(link.TryAcquire(Transfer::Export, ByteCount(900)));
+  EXPECT_FALSE(link.TryAcquire(Transfer::Import, ByteCount(500)));
+  EXPECT_FALSE(link.TryAcquire(Transfer::Export, ByteCount(50)));
   clock.Advance(std::chrono::seconds(1));
-  EXPECT_TRUE(link.Take(Transfer::Import, ByteCount(500)));
+  EXPECT_TRUE(link.TryAcquire(Transfer::Import, ByteCount(500)));
 }
 
-TEST(LinkBudgetTest, ExpectsLessOfALinkThatSlowedDown)
+TEST(LinkBudgetTest, LowersRateWhenLinkSlowsDown)
 {
   ManualClock clock;
   LinkBudget link(clock, kBudget);
   for (int number = 0; number < 20; ++number) {
-    ASSERT_TRUE(link.Take(Transfer::Import, ByteCount(100)));
+    ASSERT_TRUE(link.TryAcquire(Transfer::Import, ByteCount(100)));
     clock.Advance(std::chrono::seconds(10));
     link.OnMoved(ByteCount(100), std::chrono::seconds(10));
   }
   EXPECT_NEAR(link.RateFor(ByteCount(100)), 10, 2);
 }
 
-TEST(LinkBudgetTest, SharesTheRateWithWhatIsUnderWay)
+TEST(LinkBudgetTest, SharesRateWithTransfersInFlight)
 {
   ManualClock clock;
   LinkBudget link(clock, kBudget);
   EXPECT_EQ(link.RateFor(ByteCount(100)), 1000);
-  ASSERT_TRUE(link.Take(Transfer::Import, ByteCount(300)));
+  ASSERT_TRUE(link.TryAcquire(Transfer::Import, ByteCount(300)));
   EXPECT_EQ(link.RateFor(ByteCount(100)), 250);
   link.OnMoved(ByteCount(300), milliseconds(300));
   EXPECT_EQ(link.RateFor(ByteCount(100)), 1000);
 }
 
-RC_GTEST_PROP(LinkBudgetTest, NoSecondExceedsTheBudget, ())
+RC_GTEST_PROP(LinkBudgetTest, GrantsStayWithinBudgetInAnySecond, ())
 {
   ManualClock clock;
   LinkBudget link(clock, kBudget);
@@ -68,7 +68,7 @@
   for (const auto& [isImport, bytes, wait] : steps) {
     clock.Advance(milliseconds(wait));
     const ByteCount wanted(static_cast<std::uint64_t>(bytes));
-    if (link.Take(isImport ? Transfer::Import : Transfer::Export, wanted)) {
+    if (link.TryAcquire(isImport ? Transfer::Import : Transfer::Export, wanted)) {
       granted.emplace_back(clock.MonotonicNow(), wanted.Value());
     }
     std::uint64_t lastSecond = 0;
@@ -79,23 +79,23 @@
   }
 }
 
-TEST(ImportPatienceTest, EndsWhenComputingIsCheaper)
+TEST(ImportTimeLimitTest, AbandonsImportSlowerThanRecomputing)
 {
   // A second to compute, by time alone.
-  const ImportRest rest{ ByteCount(1000), TokenCount(1000), 999, 1000 };
+  const RemainingImport rest{ ByteCount(1000), TokenCount(1000), 999, 1000 };
   const ObjectiveWeights time{ 1.0, 0.0, 0.0 };
-  EXPECT_EQ(ImportPatience(rest, time), std::chrono::seconds(1));
+  EXPECT_EQ(ImportTimeLimit(rest, time), std::chrono::seconds(1));
   EXPECT_TRUE(ShouldAbandonImport(rest, time));
-  ImportRest faster = rest;
+  RemainingImport faster = rest;
   faster.bytesPerSecond = 1001;
   EXPECT_FALSE(ShouldAbandonImport(faster, time));
 }
 
-TEST(ImportPatienceTest, IsLongerWhereRecomputingIsWeighed)
+TEST(ImportTimeLimitTest, GrowsWithRecomputeWeight)
 {
-  const ImportRest rest{ ByteCount(1000), TokenCount(1000), 500, 1000 };
+  const RemainingImport rest{ ByteCount(1000), TokenCount(1000), 500, 1000 };
   EXPECT_FALSE(ShouldAbandonImport(rest, { 1.0, 2.0, 0.0 }));
-  ImportRest stuck = rest;
+  RemainingImport stuck = rest;
   stuck.bytesPerSecond = 0;
   EXPECT_TRUE(ShouldAbandonImport(stuck, { 1.0, 2.0, 0.0 }));
 }
--- a/test/coordination/PrefixViewTest.cpp
+++ b/test/coordination/PrefixCacheIndexTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/PrefixView.h"
+#include "damasklink/coordination/PrefixCacheIndex.h"
 
 #include <algorithm>
 #include <set>
@@ -32,61 +32,61 @@
 }
 
 std::uint64_t
-DepthAt(PrefixView& aView, const TargetId& aTarget, const std::vector<Digest>& aPrompt)
+DepthAt(PrefixCacheIndex& aView, const TargetId& aTarget, const std::vector<Digest>& aPrompt)
 {
   aView.Match(aPrompt);
-  return aView.Depth(aView.IndexOf(aTarget));
+  return aView.Depth(aView.NumberOf(aTarget));
 }
 
-TEST(PrefixViewTest, ExpectsWhatWasSent)
+TEST(PrefixCacheIndexTest, MatchesBlocksThatWereSent)
 {
-  PrefixView view(100);
+  PrefixCacheIndex view(100);
   view.OnSent(kTarget, Blocks(0, 4));
   EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 6)), 4U);
   EXPECT_EQ(DepthAt(view, kOther, Blocks(0, 6)), 0U);
 }
 
-TEST(PrefixViewTest, CountsLeadingBlocksOnly)
+TEST(PrefixCacheIndexTest, CountsLeadingBlocksOnly)
 {
-  PrefixView view(100);
+  PrefixCacheIndex view(100);
   view.OnSent(kTarget, Blocks(0, 4));
   view.OnEvent(Event(1, {}, Blocks(1, 2)));
   EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 4)), 1U);
 }
 
-TEST(PrefixViewTest, IgnoresAnEventThatComesTwice)
+TEST(PrefixCacheIndexTest, IgnoresDuplicateEvents)
 {
-  PrefixView view(100);
+  PrefixCacheIndex view(100);
   view.OnEvent(Event(1, Blocks(0, 2)));
   view.OnEvent(Event(2, {}, Blocks(0, 2)));
   view.OnEvent(Event(1, Blocks(0, 2)));
   EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 2)), 0U);
 }
 
-TEST(PrefixViewTest, GapMarksStaleUntilSnapshot)
+TEST(PrefixCacheIndexTest, GapMarksStaleUntilSnapshot)
 {
-  PrefixView view(100);
+  PrefixCacheIndex view(100);
   view.OnEvent(Event(1, Blocks(0, 2)));
   view.OnEvent(Event(3, Blocks(2, 3)));
-  EXPECT_EQ(view.Stale(), std::vector<TargetId>{ kTarget });
+  EXPECT_EQ(view.StaleTargets(), std::vector<TargetId>{ kTarget });
   view.OnSnapshot({ kTarget, Incarnation(1), Sequence(3), Blocks(5, 6) });
-  EXPECT_TRUE(view.Stale().empty());
+  EXPECT_TRUE(view.StaleTargets().empty());
   EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 3)), 0U);
   EXPECT_EQ(DepthAt(view, kTarget, Blocks(5, 6)), 1U);
 }
 
-TEST(PrefixViewTest, SnapshotOlderThanEventsIsIgnored)
+TEST(PrefixCacheIndexTest, IgnoresSnapshotOlderThanEvents)
 {
-  PrefixView view(100);
+  PrefixCacheIndex view(100);
   view.OnEvent(Event(1, Blocks(0, 1)));
   view.OnEvent(Event(2, Blocks(1, 2)));
   view.OnSnapshot({ kTarget, Incarnation(1), Sequence(1), Blocks(0, 1) });
   EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 2)), 2U);
 }
 
-TEST(PrefixViewTest, RestartedTargetHoldsNothing)
+TEST(PrefixCacheIndexTest, ClearsBlocksOfRestartedTarget)
 {
-  PrefixView view(100);
+  PrefixCacheIndex view(100);
   view.OnEvent(Event(1, Blocks(0, 2)));
   CacheEvent reborn = Event(1, {});
   reborn.incarnation = Incarnation(2);
@@ -94,9 +94,9 @@
   EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 2)), 0U);
 }
 
-TEST(PrefixViewTest, ForgottenTargetLeavesNothingToTheNext)
+TEST(PrefixCacheIndexTest, ReusedTargetNumberStartsEmpty)
 {
-  PrefixView view(100);
+  PrefixCacheIndex view(100);
   view.OnSent(kTarget, Blocks(0, 2));
   view.Forget(kTarget);
   EXPECT_EQ(view.Size(), 0U);
@@ -104,10 +104,10 @@
 }
 
 // Whatever is lost, late, doubled or out of order: after a snapshot the view is the engine's cache.
-RC_GTEST_PROP(PrefixViewTest, AnyEventsThenSnapshotGiveTheEnginesCache, ())
+RC_GTEST_PROP(PrefixCacheIndexTest, EqualsEngineCacheAfterSnapshot, ())
 {
   constexpr int kBlocks = 8;
-  PrefixView view(100);
+  PrefixCacheIndex view(100);
   std::set<int> truth;
   std::vector<CacheEvent> sent;
   const auto changes = *rc::gen::container<std::vector<std::pair<bool, int>>>(
@@ -144,10 +144,10 @@
   }
 }
 
-RC_GTEST_PROP(PrefixViewTest, StaysWithinItsBound, ())
+RC_GTEST_PROP(PrefixCacheIndexTest, StaysWithinCapacity, ())
 {
   constexpr std::uint64_t kMost = 10;
-  PrefixView view(kMost);
+  PrefixCacheIndex view(kMost);
   const auto starts = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
   for (const int start : starts) {
     view.OnSent(kTarget, Blocks(start, start + 4));
--- a/test/coordination/PromptPartsTest.cpp
+++ b/test/coordination/PromptPartsTest.cpp
@@ -5,30 +5,30 @@
 namespace damasklink {
 namespace {
 
-TEST(PromptPartsTest, ScopeComesBack)
+TEST(PromptPartsTest, ScopeRoundTrips)
 {
-  const ScopeFacts open{ ModelName("vendor/model"), 12, WorkspaceId() };
-  EXPECT_EQ(ParseScope(FormatScope(open)), open);
-  const ScopeFacts walled{ ModelName("m"), 0, WorkspaceId("w") };
-  EXPECT_EQ(ParseScope(FormatScope(walled)), walled);
+  const PartScope open{ ModelName("vendor/model"), 12, WorkspaceId() };
+  EXPECT_EQ(ParsePartScope(FormatPartScope(open)), open);
+  const PartScope walled{ ModelName("m"), 0, WorkspaceId("w") };
+  EXPECT_EQ(ParsePartScope(FormatPartScope(walled)), walled);
 }
 
-TEST(PromptPartsTest, ForeignTextIsNoScope)
+TEST(PromptPartsTest, ParsePartScopeRejectsMalformedText)
 {
-  EXPECT_FALSE(ParseScope(""));
-  EXPECT_FALSE(ParseScope("s1"));
-  EXPECT_FALSE(ParseScope("m/x/"));
-  EXPECT_FALSE(ParseScope("/"));
+  EXPECT_FALSE(ParsePartScope(""));
+  EXPECT_FALSE(ParsePartScope("s1"));
+  EXPECT_FALSE(ParsePartScope("m/x/"));
+  EXPECT_FALSE(ParsePartScope("/"));
 }
 
-TEST(PromptPartsTest, ScopesOfOtherHomesAreOthers)
+TEST(PromptPartsTest, ScopesDifferByHomeRegions)
 {
-  const ScopeFacts open{ ModelName("m"), 3, WorkspaceId() };
-  const ScopeFacts bound{ ModelName("m"), 3, WorkspaceId(), "north,south" };
-  EXPECT_NE(FormatScope(open), FormatScope(bound));
-  EXPECT_EQ(ParseScope(FormatScope(bound)), bound);
-  const ScopeFacts walled{ ModelName("m"), 3, WorkspaceId("w"), "north" };
-  EXPECT_EQ(ParseScope(FormatScope(walled)), walled);
+  const PartScope open{ ModelName("m"), 3, WorkspaceId() };
+  const PartScope bound{ ModelName("m"), 3, WorkspaceId(), "north,south" };
+  EXPECT_NE(FormatPartScope(open), FormatPartScope(bound));
+  EXPECT_EQ(ParsePartScope(FormatPartScope(bound)), bound);
+  const PartScope walled{ ModelName("m"), 3, WorkspaceId("w"), "north" };
+  EXPECT_EQ(ParsePartScope(FormatPartScope(walled)), walled);
 }
 
 } // namespace
--- a/test/coordination/ReturnQueueTest.cpp
+++ b/test/coordination/RetrySchedulerTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ReturnQueue.h"
+#include "damasklink/coordination/RetryScheduler.h"
 
 #include <algorithm>
 #include <functional>
@@ -10,7 +10,7 @@
 namespace {
 
 // Targets of a fixed rate behind one host, under callers that come back once.
-class ReturnQueueTest : public ::testing::Test
+class RetrySchedulerTest : public ::testing::Test
 {
 protected:
   static constexpr Duration kStep = std::chrono::milliseconds(10);
@@ -53,39 +53,41 @@
   }
 
   ManualClock clock;
-  ReturnQueue queue{ this->clock, 1 };
+  RetryScheduler queue{ this->clock, 1 };
 };
 
 // The load: all hosts were dark for some seconds, and for 0.8 s as many callers ask as in two
 // seconds; then the usual 80 in 100 of what targets can take.
-TEST_F(ReturnQueueTest, CallersThatWaitedOutAnOutageAreNotRefusedTwice)
+TEST_F(RetrySchedulerTest, SpreadsRetriesAfterOutage)
 {
   const auto surge = [](Duration aNow) {
     return aNow < std::chrono::milliseconds(800) ? 0.25 : 0.08;
   };
   constexpr Duration kTime = std::chrono::seconds(6);
-  const int together = this->CountLost(surge, kTime, 0.1, [] { return ReturnQueue::kSoonest; });
-  const int inTurn = this->CountLost(surge, kTime, 0.1, [this] { return this->queue.Join(); });
+  const int together =
+    this->CountLost(surge, kTime, 0.1, [] { return RetryScheduler::kMinRetryDelay; });
+  const int inTurn =
+    this->CountLost(surge, kTime, 0.1, [this] { return this->queue.NextRetryDelay(); });
   EXPECT_GT(together, 4);
   EXPECT_LE(inTurn * 2, together);
 }
 
-TEST_F(ReturnQueueTest, OneThatIsRefusedAloneReturnsSoon)
+TEST_F(RetrySchedulerTest, SingleRefusedCallerGetsMinDelay)
 {
   for (int call = 0; call < 20; ++call) {
     this->queue.OnAdmitted();
   }
-  EXPECT_EQ(this->queue.Join(), ReturnQueue::kSoonest);
+  EXPECT_EQ(this->queue.NextRetryDelay(), RetryScheduler::kMinRetryDelay);
   this->clock.Advance(std::chrono::seconds(2));
-  EXPECT_EQ(this->queue.Join(), ReturnQueue::kSoonest);
+  EXPECT_EQ(this->queue.NextRetryDelay(), RetryScheduler::kMinRetryDelay);
 }
 
-TEST_F(ReturnQueueTest, NobodyIsToldALaterTimeThanCallersWait)
+TEST_F(RetrySchedulerTest, DelayStaysWithinBounds)
 {
   for (int caller = 0; caller < 1'000; ++caller) {
-    const Duration after = this->queue.Join();
-    EXPECT_GE(after, ReturnQueue::kSoonest);
-    EXPECT_LE(after, ReturnQueue::kLatest);
+    const Duration after = this->queue.NextRetryDelay();
+    EXPECT_GE(after, RetryScheduler::kMinRetryDelay);
+    EXPECT_LE(after, RetryScheduler::kMaxRetryDelay);
   }
 }
 
--- a/test/coordination/ReturnPredictorTest.cpp
+++ b/test/coordination/ReturnPredictorTest.cpp
@@ -18,13 +18,14 @@
   return blocks;
 }
 
-TEST(ReturnPredictorTest, StartsFromTheDeclaredShare)
+TEST(ReturnPredictorTest, StartsFromPriorShare)
 {
   ReturnPredictor returns(ReturnPredictorOptions{ 0.4, 10, 100 });
-  EXPECT_DOUBLE_EQ(returns.Share(returns.KindOf(WorkspaceId("a"), TokenCount(100), false)), 0.4);
+  EXPECT_DOUBLE_EQ(
+    returns.ReturnProbability(returns.KindOf(WorkspaceId("a"), TokenCount(100), false)), 0.4);
 }
 
-TEST(ReturnPredictorTest, LearnsEachKindByItself)
+TEST(ReturnPredictorTest, LearnsEachKindSeparately)
 {
   ReturnPredictor returns(ReturnPredictorOptions{});
   const PromptKind often = returns.KindOf(WorkspaceId("a"), TokenCount(100), false);
@@ -34,28 +35,28 @@
     returns.OnPrompt(Prompt(number, 3));
     returns.OnAnswered(never, Prompt(1000 + number, 2));
   }
-  EXPECT_GT(returns.Share(often), 0.9);
-  EXPECT_LT(returns.Share(never), 0.1);
+  EXPECT_GT(returns.ReturnProbability(often), 0.9);
+  EXPECT_LT(returns.ReturnProbability(never), 0.1);
 }
 
-TEST(ReturnPredictorTest, CountsOneReturnOnce)
+TEST(ReturnPredictorTest, CountsEachReturnOnce)
 {
   ReturnPredictor returns(ReturnPredictorOptions{ 0.0, 1, 100 });
   const PromptKind kind = returns.KindOf(WorkspaceId("a"), TokenCount(100), false);
   returns.OnAnswered(kind, Prompt(1, 2));
   returns.OnPrompt(Prompt(1, 3));
   returns.OnPrompt(Prompt(1, 3));
-  EXPECT_DOUBLE_EQ(returns.Share(kind), 0.5);
+  EXPECT_DOUBLE_EQ(returns.ReturnProbability(kind), 0.5);
 }
 
-TEST(ReturnPredictorTest, ForgetsTheOldestBeyondItsBound)
+TEST(ReturnPredictorTest, DropsOldestPromptBeyondCapacity)
 {
   ReturnPredictor returns(ReturnPredictorOptions{ 0.0, 1, 1 });
   const PromptKind kind = returns.KindOf(WorkspaceId("a"), TokenCount(100), false);
   returns.OnAnswered(kind, Prompt(1, 2));
   returns.OnAnswered(kind, Prompt(2, 2));
   returns.OnPrompt(Prompt(1, 3));
-  EXPECT_DOUBLE_EQ(returns.Share(kind), 0);
+  EXPECT_DOUBLE_EQ(returns.ReturnProbability(kind), 0);
 }
 
 } // namespace
--- a/test/coordination/StoreFeedTest.cpp
+++ b/test/coordination/StoreContentTrackerTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StoreFeed.h"
+#include "damasklink/coordination/StoreContentTracker.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -28,26 +28,26 @@
   return { SizedPart{ Key(aNumber), TokenCount(100) } };
 }
 
-class StoreFeedTest : public ::testing::Test
+class StoreContentTrackerTest : public ::testing::Test
 {
 protected:
   void List(std::uint64_t aEpoch, std::uint64_t aNext, std::vector<StoredPartEvent> aParts)
   {
-    this->feed.TakeList(StoreList{ StoreEpoch(aEpoch), Sequence(aNext), std::move(aParts), 0, {} },
-                        this->clock.MonotonicNow());
+    this->feed.ApplyList(StoreList{ StoreEpoch(aEpoch), Sequence(aNext), std::move(aParts), 0, {} },
+                         this->clock.MonotonicNow());
   }
 
   void Events(std::uint64_t aEpoch, std::uint64_t aNext, std::vector<StoredPartEvent> aEvents)
   {
-    this->feed.TakeEvents(
+    this->feed.ApplyEvents(
       StoreEvents{ StoreEpoch(aEpoch), Sequence(aNext), false, std::move(aEvents) });
   }
 
   ManualClock clock;
-  StoreFeed feed{ Endpoint{ "172.20.0.2", 8006 } };
+  StoreContentTracker feed{ Endpoint{ "172.20.0.2", 8006 } };
 };
 
-TEST_F(StoreFeedTest, ListIsStatedWholeAndOnce)
+TEST_F(StoreContentTrackerTest, ReportsListOnceAsSnapshot)
 {
   EXPECT_TRUE(this->feed.NeedsList());
   this->List(1, 5, { Part(1) });
@@ -61,7 +61,7 @@
   EXPECT_FALSE(this->feed.TakeChanges());
 }
 
-TEST_F(StoreFeedTest, EventsAreStatedAsChanges)
+TEST_F(StoreContentTrackerTest, ReportsEventsAsChanges)
 {
   this->List(1, 5, { Part(1) });
   this->feed.TakeChanges();
@@ -74,7 +74,7 @@
   EXPECT_EQ(this->feed.Next(), Sequence(7));
 }
 
-TEST_F(StoreFeedTest, RestartedStoreHoldsNothingUntilItIsListed)
+TEST_F(StoreContentTrackerTest, RestartedStoreIsEmptyUntilListed)
 {
   this->List(1, 5, { Part(1) });
   this->feed.TakeChanges();
@@ -83,17 +83,17 @@
   ASSERT_TRUE(stated);
   EXPECT_FALSE(stated->live);
   EXPECT_TRUE(this->feed.NeedsList());
-  EXPECT_TRUE(this->feed.All().added.empty());
+  EXPECT_TRUE(this->feed.Snapshot().added.empty());
 }
 
-TEST_F(StoreFeedTest, GapInTheEventsAsksForAList)
+TEST_F(StoreContentTrackerTest, NeedsListAfterGapInEvents)
 {
   this->List(1, 5, { Part(1) });
-  this->feed.TakeEvents(StoreEvents{ StoreEpoch(1), Sequence(900), true, {} });
+  this->feed.ApplyEvents(StoreEvents{ StoreEpoch(1), Sequence(900), true, {} });
   EXPECT_TRUE(this->feed.NeedsList());
 }
 
-TEST_F(StoreFeedTest, PartThatLeftAndCameBackInOneBatchIsHeld)
+TEST_F(StoreContentTrackerTest, KeepsPartRemovedAndAddedInOneBatch)
 {
   this->List(1, 5, { Part(1) });
   this->feed.TakeChanges();
@@ -101,67 +101,67 @@
   const auto stated = this->feed.TakeChanges();
   ASSERT_TRUE(stated);
   EXPECT_EQ(stated->added, Stated(1));
-  EXPECT_EQ(this->feed.All().added, Stated(1));
+  EXPECT_EQ(this->feed.Snapshot().added, Stated(1));
 }
 
-TEST_F(StoreFeedTest, PartsOfOlderWeightsAreNamed)
+TEST_F(StoreContentTrackerTest, ReturnsPartsOfOlderWeights)
 {
   this->List(1, 5, { Part(1), Part(2), Part(3) });
-  const auto old = this->feed.MadeBefore({ { ModelName("m"), 3 } }, 10);
+  const auto old = this->feed.PartsOfOlderWeights({ { ModelName("m"), 3 } }, 10);
   EXPECT_THAT(old, ::testing::UnorderedElementsAre(Part(1).name, Part(2).name));
-  EXPECT_EQ(this->feed.MadeBefore({ { ModelName("m"), 3 } }, 1).size(), 1U);
-  EXPECT_TRUE(this->feed.MadeBefore({ { ModelName("other"), 3 } }, 10).empty());
+  EXPECT_EQ(this->feed.PartsOfOlderWeights({ { ModelName("m"), 3 } }, 1).size(), 1U);
+  EXPECT_TRUE(this->feed.PartsOfOlderWeights({ { ModelName("other"), 3 } }, 10).empty());
 }
 
-TEST_F(StoreFeedTest, LostStoreIsStatedOnce)
+TEST_F(StoreContentTrackerTest, ReportsUnreachableStoreOnce)
 {
   this->List(1, 5, { Part(1) });
   this->feed.TakeChanges();
-  this->feed.Lose();
+  this->feed.MarkUnreachable();
   ASSERT_TRUE(this->feed.TakeChanges());
-  this->feed.Lose();
+  this->feed.MarkUnreachable();
   EXPECT_FALSE(this->feed.TakeChanges());
 }
 
 // An engine that crashes while it saves leaves a part that is never whole and keeps its space.
-TEST_F(StoreFeedTest, PartOfAWriterThatBrokeOffIsFoundAndItsSpaceCounts)
+TEST_F(StoreContentTrackerTest, ReturnsAbandonedPartsAndCountsTheirSpace)
 {
   StoreList list{ StoreEpoch(1), Sequence(1), {}, 0, {} };
   list.unfinished = { UnfinishedPart{ Part(1).name, TokenCount(40), TokenCount(30'000) },
                       UnfinishedPart{ Part(2).name, TokenCount(10), TokenCount(500) } };
-  this->feed.TakeList(list, this->clock.MonotonicNow());
+  this->feed.ApplyList(list, this->clock.MonotonicNow());
   EXPECT_EQ(this->feed.TakeChanges()->reserved, TokenCount(30'500));
-  this->clock.Advance(StoreFeed::kBrokenOffAfter);
+  this->clock.Advance(StoreContentTracker::kAbandonedAfter);
   // The other one is still being written.
   list.unfinished.back().written = TokenCount(20);
-  this->feed.TakeList(list, this->clock.MonotonicNow());
-  const std::vector<PartName> broken = this->feed.BrokenOff(this->clock.MonotonicNow(), 9);
+  this->feed.ApplyList(list, this->clock.MonotonicNow());
+  const std::vector<PartName> broken = this->feed.AbandonedParts(this->clock.MonotonicNow(), 9);
   EXPECT_EQ(broken, std::vector<PartName>{ Part(1).name });
 }
 
-TEST_F(StoreFeedTest, PartThatBecameWholeIsNotBrokenOff)
+TEST_F(StoreContentTrackerTest, CompletedPartIsNotAbandoned)
 {
   StoreList list{ StoreEpoch(1), Sequence(1), {}, 0, {} };
   list.unfinished = { UnfinishedPart{ Part(1).name, TokenCount(40), TokenCount(100) } };
-  this->feed.TakeList(list, this->clock.MonotonicNow());
+  this->feed.ApplyList(list, this->clock.MonotonicNow());
   this->Events(1, 2, { Part(1) });
-  this->clock.Advance(StoreFeed::kBrokenOffAfter);
-  EXPECT_TRUE(this->feed.BrokenOff(this->clock.MonotonicNow(), 9).empty());
-  EXPECT_EQ(this->feed.All().reserved, TokenCount());
+  this->clock.Advance(StoreContentTracker::kAbandonedAfter);
+  EXPECT_TRUE(this->feed.AbandonedParts(this->clock.MonotonicNow(), 9).empty());
+  EXPECT_EQ(this->feed.Snapshot().reserved, TokenCount());
 }
 
-TEST_F(StoreFeedTest, RestartOfAStoreEndsTheWaitForUnfinishedParts)
+TEST_F(StoreContentTrackerTest, RestartResetsAgeOfUnfinishedParts)
 {
   StoreList list{ StoreEpoch(1), Sequence(1), {}, 0, {} };
   list.unfinished = { UnfinishedPart{ Part(1).name, TokenCount(40), TokenCount(100) } };
-  this->feed.TakeList(list, this->clock.MonotonicNow());
-  this->clock.Advance(StoreFeed::kBrokenOffAfter);
+  this->feed.ApplyList(list, this->clock.MonotonicNow());
+  this->clock.Advance(StoreContentTracker::kAbandonedAfter);
   list.epoch = StoreEpoch(2);
-  this->feed.TakeList(list, this->clock.MonotonicNow());
-  EXPECT_TRUE(this->feed.BrokenOff(this->clock.MonotonicNow(), 9).empty());
+  this->feed.ApplyList(list, this->clock.MonotonicNow());
+  EXPECT_TRUE(this->feed.AbandonedParts(this->clock.MonotonicNow(), 9).empty());
 }
 
-TEST_F(StoreFeedTest, EventsOfSeveralAnswersAreStatedTogetherAsTheyEnded)
+TEST_F(StoreContentTrackerTest, MergesChangesOfSeveralEventBatches)
 {
   this->List(1, 5, { Part(1) });
   this->feed.TakeChanges();
--- a/test/coordination/StoreLeasesTest.cpp
+++ b/test/coordination/StoreLeasesTest.cpp
@@ -27,14 +27,14 @@
   StoreLeases leases;
 };
 
-TEST_F(StoreLeasesTest, OneOwnerUntilTheLeaseIsOver)
+TEST_F(StoreLeasesTest, GrantsOneOwnerUntilLeaseExpires)
 {
   EXPECT_EQ(this->Ask(kFirst, 100).owner, kFirst);
   EXPECT_EQ(this->Ask(kSecond, 104).owner, kFirst);
   EXPECT_EQ(this->Ask(kSecond, 105).owner, kSecond);
 }
 
-TEST_F(StoreLeasesTest, RenewalKeepsTheFencingNumber)
+TEST_F(StoreLeasesTest, RenewalKeepsFencingNumber)
 {
   const StoreLease first = this->Ask(kFirst, 100);
   const StoreLease renewed = this->Ask(kFirst, 103);
@@ -42,7 +42,7 @@
   EXPECT_EQ(renewed.until, WallTime(seconds(108)));
 }
 
-TEST_F(StoreLeasesTest, EachNewOwnerHasAHigherFencingNumber)
+TEST_F(StoreLeasesTest, ChangeOfOwnerRaisesFencingNumber)
 {
   const StoreLease first = this->Ask(kFirst, 100);
   const StoreLease second = this->Ask(kSecond, 110);
@@ -51,27 +51,27 @@
   EXPECT_LT(second.fencing, again.fencing);
 }
 
-TEST_F(StoreLeasesTest, LapsedOwnerStartsAnew)
+TEST_F(StoreLeasesTest, GrantAfterExpiryRaisesFencingNumber)
 {
   const StoreLease first = this->Ask(kFirst, 100);
   EXPECT_LT(first.fencing, this->Ask(kFirst, 106).fencing);
 }
 
-TEST_F(StoreLeasesTest, GivenBackLeaseIsFreeAtOnce)
+TEST_F(StoreLeasesTest, ReleasedLeaseIsAvailableAtOnce)
 {
   this->Ask(kFirst, 100);
   this->Ask(kFirst, 101, Duration(0));
   EXPECT_EQ(this->Ask(kSecond, 101).owner, kSecond);
 }
 
-TEST_F(StoreLeasesTest, OthersCannotGiveItBack)
+TEST_F(StoreLeasesTest, OnlyOwnerCanRelease)
 {
   this->Ask(kFirst, 100);
   this->Ask(kSecond, 101, Duration(0));
   EXPECT_EQ(this->Ask(kSecond, 102).owner, kFirst);
 }
 
-TEST_F(StoreLeasesTest, SnapshotBringsEverythingBack)
+TEST_F(StoreLeasesTest, SnapshotRestoresLeases)
 {
   const StoreLease lease = this->Ask(kFirst, 100);
   StoreLeases other;
@@ -79,7 +79,7 @@
   EXPECT_EQ(other.Find(kStore), lease);
 }
 
-RC_GTEST_PROP(StoreLeasesProperty, TornSnapshotLeavesTheStateAlone, ())
+RC_GTEST_PROP(StoreLeasesProperty, TruncatedSnapshotLeavesLeasesUnchanged, ())
 {
   StoreLeases leases;
   const ApplyContext context{ GroupId("g"), LogIndex(1), Term(1), WallTime(seconds(9)) };
--- a/test/coordination/StoredPartsTest.cpp
+++ b/test/coordination/StoredPartIndexTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StoredParts.h"
+#include "damasklink/coordination/StoredPartIndex.h"
 
 #include <gtest/gtest.h>
 
@@ -13,10 +13,10 @@
   return SizedPart{ PartKey(aKey), TokenCount(aTokens) };
 }
 
-class StoredPartsTest : public ::testing::Test
+class StoredPartIndexTest : public ::testing::Test
 {
 protected:
-  StoredPartsTest()
+  StoredPartIndexTest()
   {
     this->services = { Store("10.0.0.1", "z", 100'000), Store("10.0.0.2", "y", 300'000) };
     this->stored.SetStores(this->services);
@@ -41,7 +41,7 @@
 
   void State(const std::string& aAddress, std::vector<SizedPart> aParts, bool aLive = true)
   {
-    this->stored.Take(StoreStatement{
+    this->stored.Apply(StoreStatement{
       Endpoint{ aAddress, 8006 }, aLive, true, std::move(aParts), {}, TokenCount() });
   }
 
@@ -52,23 +52,23 @@
   }
 
   std::vector<ServingService> services;
-  StoredParts stored;
+  StoredPartIndex stored;
 };
 
-TEST_F(StoredPartsTest, OnlyStatedPartsAreFound)
+TEST_F(StoredPartIndexTest, FindsOnlyReportedParts)
 {
   this->State("10.0.0.2", { Part(1) });
   EXPECT_EQ(this->Found(Part(1)), "10.0.0.2");
   EXPECT_EQ(this->Found(Part(2)), "");
 }
 
-TEST_F(StoredPartsTest, PartThatIsNotWholeIsNotFound)
+TEST_F(StoredPartIndexTest, DoesNotFindIncompletePart)
 {
   this->State("10.0.0.2", { Part(1, 400) });
   EXPECT_EQ(this->Found(Part(1, 1000)), "");
 }
 
-TEST_F(StoredPartsTest, OwnZoneIsReadFrom)
+TEST_F(StoredPartIndexTest, PrefersStoreInOwnZone)
 {
   this->State("10.0.0.1", { Part(1) });
   this->State("10.0.0.2", { Part(1) });
@@ -76,7 +76,7 @@
   EXPECT_EQ(this->Found(Part(1), { "10.0.0.1:8006" }), "10.0.0.2");
 }
 
-TEST_F(StoredPartsTest, StoreThatIsLostHoldsNothing)
+TEST_F(StoredPartIndexTest, FindsNothingInLostStore)
 {
   this->State("10.0.0.2", { Part(1) });
   this->State("10.0.0.2", {}, false);
@@ -85,7 +85,7 @@
   EXPECT_EQ(this->Found(Part(1)), "");
 }
 
-TEST_F(StoredPartsTest, HomesFollowTheSpeedOfLinksWhateverTheCapacities)
+TEST_F(StoredPartIndexTest, PlacesPartsInProportionToLinkRate)
 {
   this->services[0].store->linkRate = 100'000;
   this->services[1].store->linkRate = 300'000;
@@ -93,30 +93,30 @@
   this->stored.SetStores(this->services);
   int faster = 0;
   for (std::uint64_t key = 0; key < 1000; ++key) {
-    faster += this->stored.HomeOf(Part(key))->traits.endpoint.address == "10.0.0.2" ? 1 : 0;
+    faster += this->stored.SelectStore(Part(key))->traits.endpoint.address == "10.0.0.2" ? 1 : 0;
   }
   EXPECT_NEAR(faster, 750, 60);
 }
 
-TEST_F(StoredPartsTest, FullStoreIsNoHome)
+TEST_F(StoredPartIndexTest, PlacesNothingInFullStore)
 {
   this->State("10.0.0.2", { Part(9999, 299'000) });
   for (std::uint64_t key = 0; key < 100; ++key) {
-    EXPECT_EQ(this->stored.HomeOf(Part(key))->traits.endpoint.address, "10.0.0.1");
+    EXPECT_EQ(this->stored.SelectStore(Part(key))->traits.endpoint.address, "10.0.0.1");
   }
 }
 
-TEST_F(StoredPartsTest, PartsOfALostStoreWaitForItToComeBack)
+TEST_F(StoredPartIndexTest, DoesNotMovePartsOfLostStore)
 {
   std::uint64_t key = 0;
-  while (this->stored.HomeOf(Part(key))->traits.endpoint.address != "10.0.0.2") {
+  while (this->stored.SelectStore(Part(key))->traits.endpoint.address != "10.0.0.2") {
     ++key;
   }
   this->State("10.0.0.2", {}, false);
-  EXPECT_EQ(this->stored.HomeOf(Part(key)), nullptr);
+  EXPECT_EQ(this->stored.SelectStore(Part(key)), nullptr);
 }
 
-TEST_F(StoredPartsTest, StoreThatIsNotDeclaredAnyMoreIsForgotten)
+TEST_F(StoredPartIndexTest, ForgetsStoreRemovedFromConfiguration)
 {
   this->State("10.0.0.2", { Part(1) });
   this->services.pop_back();
@@ -124,15 +124,15 @@
   EXPECT_EQ(this->Found(Part(1)), "");
 }
 
-TEST_F(StoredPartsTest, StoreWhoseSpaceIsReservedTakesNoMore)
+TEST_F(StoredPartIndexTest, CountsReservedSpaceAsUsed)
 {
   StoreStatement statement;
   statement.store = Endpoint{ "10.0.0.1", 8006 };
   statement.live = true;
   statement.reserved = TokenCount(99'500);
-  this->stored.Take(statement);
+  this->stored.Apply(statement);
   for (std::uint64_t key = 1; key <= 100; ++key) {
-    EXPECT_EQ(this->stored.HomeOf(Part(key))->name, "10.0.0.2:8006");
+    EXPECT_EQ(this->stored.SelectStore(Part(key))->name, "10.0.0.2:8006");
   }
 }
 
--- a/test/coordination/StreamAssemblerTest.cpp
+++ b/test/coordination/StreamAssemblerTest.cpp
@@ -25,7 +25,7 @@
   EXPECT_EQ(assembler.Accept(MakeFrame(0, false, "a-2")).value(), "0,");
 }
 
-TEST(StreamAssemblerTest, ReportsAGap)
+TEST(StreamAssemblerTest, ReportsGapAsInterrupted)
 {
   StreamAssembler assembler(AttemptId("a-1"), 0);
   const auto accepted = assembler.Accept(MakeFrame(1));
@@ -34,7 +34,7 @@
   EXPECT_EQ(assembler.NextOffset(), 0U);
 }
 
-TEST(StreamAssemblerTest, EndMarkAfterAGapDoesNotComplete)
+TEST(StreamAssemblerTest, EndFrameAfterGapDoesNotComplete)
 {
   StreamAssembler assembler(AttemptId("a-1"), 0);
   EXPECT_FALSE(assembler.Accept(MakeFrame(3, true)));
@@ -43,7 +43,7 @@
 
 // Whatever is doubled, crossed or out of order, what goes out is a prefix of the true answer, and
 // Complete() means all of it.
-RC_GTEST_PROP(StreamAssemblerProperty, PassesOnAPrefixOfTheTrueAnswer, ())
+RC_GTEST_PROP(StreamAssemblerProperty, OutputIsPrefixOfAnswer, ())
 {
   constexpr std::uint64_t kLength = 5;
   StreamAssembler assembler(AttemptId("a-1"), 0);
--- a/test/coordination/TargetPickerTest.cpp
+++ b/test/coordination/TargetPickerTest.cpp
@@ -109,7 +109,7 @@
 {
   this->question.promptTokens = TokenCount(9000);
   this->question.parts = { SizedPart{ PartKey(1), TokenCount(8000) } };
-  this->picker.Held().OnRead(TargetId("c"), this->question.parts);
+  this->picker.Held().OnSent(TargetId("c"), this->question.parts);
   EXPECT_EQ(this->Choose(), "c");
   EXPECT_EQ(this->picker.ToRead(this->question, TargetId("c")), TokenCount(1000));
   EXPECT_EQ(this->picker.ToRead(this->question, TargetId("a")), TokenCount(9000));
@@ -210,7 +210,7 @@
   this->question.promptTokens = TokenCount(10'000);
   this->question.cacheTokens = TokenCount(100'000);
   this->question.parts = { SizedPart{ PartKey(1), TokenCount(8000) } };
-  this->picker.Held().OnRead(TargetId("a"), this->question.parts);
+  this->picker.Held().OnSent(TargetId("a"), this->question.parts);
   EXPECT_EQ(this->Choose(), "a");
   PickedWork large;
   large.memory = TokenCount(95'000);
@@ -223,10 +223,10 @@
   this->targets = { Target("a", "far"), Target("b", "near"), Target("c", "near") };
   const SizedPart part{ PartKey(1), TokenCount(800) };
   EXPECT_EQ(this->picker.HolderOf(part, this->targets, this->targets[2]), nullptr);
-  this->picker.Held().OnRead(TargetId("a"), { part });
-  this->picker.Held().OnRead(TargetId("c"), { part });
+  this->picker.Held().OnSent(TargetId("a"), { part });
+  this->picker.Held().OnSent(TargetId("c"), { part });
   EXPECT_EQ(this->picker.HolderOf(part, this->targets, this->targets[2])->id, TargetId("a"));
-  this->picker.Held().OnRead(TargetId("b"), { part });
+  this->picker.Held().OnSent(TargetId("b"), { part });
   EXPECT_EQ(this->picker.HolderOf(part, this->targets, this->targets[2])->id, TargetId("b"));
 }
 
--- a/test/program/EntryPictureTest.cpp
+++ b/test/program/EntryPictureTest.cpp
@@ -122,11 +122,12 @@
   store.store = Endpoint{ "172.20.0.2", 8006 };
   store.live = true;
   this->picture.Take(kSecond, told);
-  EXPECT_EQ(this->picture.Stored()->LiveStores(), 0U);
+  EXPECT_EQ(this->picture.Stored()->CountLiveStores(), 0U);
   this->picture.Take(kFirst, told);
-  EXPECT_EQ(this->picture.Stored()->LiveStores(), 1U);
+  EXPECT_EQ(this->picture.Stored()->CountLiveStores(), 1U);
   this->picture.ListenForStores(kSecond);
-  EXPECT_EQ(this->picture.Stored()->LiveStores(), 0U) << "what another one told counts no more";
+  EXPECT_EQ(this->picture.Stored()->CountLiveStores(), 0U)
+    << "what another one told counts no more";
 }
 
 TEST_F(EntryPictureTest, ControlHostWithoutALeaderIsNotGood)
--- a/test/program/ReusePartTest.cpp
+++ b/test/program/ReusePartTest.cpp
@@ -135,7 +135,7 @@
   void Keep(const RouteRequest& aRequest)
   {
     ASSERT_TRUE(this->reuse.Routing().ChooseAndSend(aRequest, this->views.Get()->targets));
-    this->reuse.Reuse().Keep(aRequest, this->Decision(), AnswerUsage());
+    this->reuse.Reuse().OnAnswered(aRequest, this->Decision(), AnswerUsage());
   }
 
   // Brings until the engine got an order: on a loaded machine the owner's grant may come later than
@@ -145,7 +145,7 @@
   {
     aRequest.objective.recompute = kDearRecompute;
     while (this->engine.Imports().empty()) {
-      this->reuse.Reuse().Bring(aRequest, aDecision);
+      this->reuse.Reuse().ImportBlocks(aRequest, aDecision);
     }
   }
 
@@ -212,7 +212,7 @@
   this->Keep(this->LookUpUntilKept(0));
   RouteRequest request = this->LookUpUntilKept(kPromptBlocks);
   request.stored.front().freeBytesPerSecond = 1;
-  this->reuse.Reuse().Bring(request, this->Decision());
+  this->reuse.Reuse().ImportBlocks(request, this->Decision());
   EXPECT_TRUE(this->engine.Imports().empty());
 }
 
