--- a/include/damasklink/coordination/BlockDirectory.h
+++ b/include/damasklink/coordination/BlockDirectory.h
@@ -1,4 +1,4 @@
-// Which blocks one store keeps, and who may read, write or free them.
+// Directory of the blocks in one store: their state, their readers and their eviction.
 #pragma once
 
 #include <array>
@@ -17,16 +17,16 @@
 
 namespace damasklink {
 
-// One permission to read a block.
+// Identifies one read permission (pin) for a block.
 using PinId = NumberId<struct PinIdTag>;
 
-// Where a block is in its life. Only Sealed ones are read.
+// Life cycle of a block. Only sealed blocks can be read.
 enum class BlockState : std::uint8_t
 {
-  Reserved, // Room is set aside; an export was ordered.
+  Reserved, // Space is allocated for an export that has not begun.
   Writing,  // The export has begun.
-  Sealed,   // Whole: length and checksum are known.
-  Draining, // No new reader; freed once no pin is left.
+  Sealed,   // Complete; length and checksum are known.
+  Draining, // Accepts no new reader; freed after the last unpin.
 };
 
 enum class StoreTier : std::uint8_t
@@ -35,7 +35,7 @@
   Disk,
 };
 
-// Permission to read one block until a time.
+// Permission to read one block, which expires at `until`.
 struct PinnedBlock
 {
   PinId pin;
@@ -43,7 +43,7 @@
   MonotonicTime until;
 };
 
-// Room for one block that an engine is to export.
+// Space allocated for one block that an engine will export.
 struct ReservedBlock
 {
   Digest block;
@@ -51,7 +51,7 @@
   ByteCount length;
 };
 
-// Tells a store to forget a block, or to move it to its disk.
+// Command to a store to free a block or to move it from memory to disk.
 struct BlockCommand
 {
   Digest block;
@@ -60,22 +60,24 @@
 
 struct DirectoryOptions
 {
+  // Capacities of the two tiers.
   ByteCount memory;
   ByteCount disk;
-  // How long a pin holds unless it is given back.
+  // Lifetime of a pin that is not released.
   Duration pinLease = std::chrono::seconds(10);
-  // How long an export may take from its reservation to its seal.
+  // Time allowed for an export, from Reserve() to Seal().
   Duration writeLease = std::chrono::seconds(30);
 };
 
-// How much of a prompt a store keeps.
+// The leading part of a prompt that a store holds.
 struct PrefixMatch
 {
   std::uint64_t blocks = 0;
   ByteCount bytes;
 };
 
-// The one authority over a store's blocks while its owner holds the lease.
+// Decides which blocks a store holds and who may read or write them. Only the owner of the store's
+// lease has a directory of it.
 //
 //   BlockDirectory directory(clock, fencing, options, returns);
 //   auto reserved = directory.Reserve(block, scope, length, kind);
@@ -83,12 +85,14 @@
 //   directory.Seal(block, generation, length, checksum);
 //   auto pinned = directory.Pin(block, scope);                  // An engine imports.
 //   directory.Unpin(pinned.value().pin);
-//   for (const BlockCommand& order : directory.TakeFreed()) ...   // The store may reuse the room.
+//   for (const BlockCommand& command : directory.TakeFreed()) ... // The store may reuse the space.
 //
-// Generations grow with the fencing number, so that two owners never give the same one. When room
-// is short, what is least expected to return soon goes first: return share of its kind by time
-// since last use, the order for gaps spread evenly over orders of magnitude. From memory it goes
-// to disk, from disk it is drained. Not thread-safe.
+// Generations contain the fencing number, so that no two owners issue the same one.
+//
+// Eviction: when a tier is full, the block with the lowest rank is evicted first. The rank is the
+// return probability of the block's kind divided by the time since its last use, which is the right
+// order when the gaps between uses are spread evenly over orders of magnitude. Blocks evicted from
+// memory are moved to disk; blocks evicted from disk are drained. Not thread-safe.
 class BlockDirectory
 {
 public:
@@ -97,58 +101,60 @@
                  DirectoryOptions aOptions,
                  const ReturnPredictor& aReturns);
 
-  // Takes over what the store says it holds, as a new owner. Nothing is freed until every pin
-  // that an earlier owner may have given has run out. Requires an empty directory.
+  // Loads the inventory that the store reports to a new owner. Nothing is freed until every pin
+  // that an earlier owner may have granted has expired. Requires an empty directory.
   void Rebuild(const std::vector<BlockHeader>& aInventory);
 
-  // Sets room aside for an export. Fails with Conflict when the block is there already in any
-  // state, and with Overloaded when there is no room for it now.
+  // Allocates space for an export. Fails with Conflict when the block is present in any state, and
+  // with Overloaded when there is no space for it now.
   Result<ReservedBlock> Reserve(const Digest& aBlock,
                                 const BlockScope& aScope,
                                 ByteCount aLength,
                                 PromptKind aKind);
 
-  // Fails with Conflict when the block is not reserved in this generation.
+  // Marks a reserved block as being written. Fails with Conflict when the block is not reserved in
+  // this generation.
   Result<void> BeginWriting(const Digest& aBlock, Generation aGeneration);
 
-  // Makes the block readable. Fails with Conflict when it is not being written in this
-  // generation, or has another length than was reserved.
+  // Makes the block readable. Fails with Conflict when the block is not being written in this
+  // generation; also, and then abandons it, when its length differs from the reserved one.
   Result<void> Seal(const Digest& aBlock,
                     Generation aGeneration,
                     ByteCount aLength,
                     Checksum aChecksum);
 
-  // Gives a reserved or half-written block up. Does nothing for other generations.
+  // Frees a reserved or partly written block. Ignores other generations and sealed blocks.
   void Abandon(const Digest& aBlock, Generation aGeneration);
 
-  // Permits one reader. Fails with NotFound unless the block is sealed and of this scope.
+  // Admits one reader. Fails with NotFound unless the block is sealed and of this scope.
   Result<PinnedBlock> Pin(const Digest& aBlock, const BlockScope& aScope);
 
+  // Releases a pin. Ignores unknown and expired pins.
   void Unpin(PinId aPin);
 
-  // Frees a block once its readers are done; a reader found it wrong, or the store lost it.
+  // Frees a block after its last unpin, because a reader found it corrupt or the store lost it.
   void Drain(const Digest& aBlock, Generation aGeneration);
 
   // Drains every block of a weight version.
   void DrainVersion(const ModelName& aModel, const WeightVersion& aVersion);
 
-  // Returns the models and weight versions that it has ever held blocks of.
+  // Returns every model and weight version of which blocks were ever stored here.
   std::set<std::pair<ModelName, WeightVersion>> Versions() const;
 
-  // Returns how many leading blocks of a prompt are sealed here, and marks them as used now.
+  // Returns how much of the start of a prompt is sealed here, and marks these blocks as used now.
   PrefixMatch LookUp(const std::vector<Digest>& aBlocks, const BlockScope& aScope);
 
-  // Lets leases run out. Requires to be called now and then.
+  // Ends expired pins and reservations, and frees drained blocks. Call it periodically.
   void Expire();
 
-  // Returns the blocks that were freed since the last call. The store may forget them.
+  // Returns the blocks that were freed since the last call; the store may reuse their space.
   std::vector<BlockCommand> TakeFreed();
 
   // Returns the blocks that were moved from memory to disk since the last call.
   std::vector<BlockCommand> TakeDemoted();
 
-  // Returns the kind's rank among what is kept: the higher, the longer it stays. aAge is the time
-  // since its last use.
+  // Returns the eviction rank of a block of this kind that was last used aAge ago. Blocks of a low
+  // rank are evicted first.
   double RankOf(PromptKind aKind, Duration aAge) const;
 
   std::uint64_t Size() const { return this->slots.size(); }
@@ -166,9 +172,9 @@
     std::uint64_t length = 0;
     Checksum checksum;
     MonotonicTime lastUsed;
-    // Of a reserved or writing block: when it is given up.
+    // When a reserved or writing block is abandoned.
     MonotonicTime writeDeadline;
-    // Neighbours of the same kind and tier, by last use.
+    // Neighbours in the LRU list.
     Slot older = kNoSlot;
     Slot newer = kNoSlot;
     std::uint32_t pins = 0;
@@ -178,7 +184,7 @@
     StoreTier tier = StoreTier::Memory;
   };
 
-  // Blocks of one kind in one tier, by last use.
+  // Sealed blocks of one kind in one tier, by last use.
   struct LruList
   {
     Slot oldest = kNoSlot;
@@ -194,16 +200,17 @@
   static Name NameOf(const Digest& aBlock);
   static Digest DigestOfName(const Name& aName);
   Record* Find(const Digest& aBlock, Generation aGeneration);
-  // Returns the block's slot when it is sealed and of the scope, else kNoSlot.
+  // Returns the block's slot if it is sealed and of the scope, else kNoSlot.
   Slot FindSealed(const Digest& aBlock, std::uint32_t aScope) const;
-  // Returns the number of the scope, which is new where no block of it was ever kept.
+  // Returns the number of the scope, a new one for a scope that was not seen before.
   std::uint32_t ScopeIndex(const BlockScope& aScope);
-  // Returns the number of the scope, kNoSlot where no block of it was ever kept.
+  // Returns the number of the scope, kNoSlot for a scope that was not seen before.
   std::uint32_t KnownScope(const BlockScope& aScope) const;
   Slot AddRecord(const Digest& aBlock, const BlockScope& aScope, PromptKind aKind);
   void Link(Slot aSlot);
   void Unlink(Slot aSlot);
   LruList& LruListOf(const Record& aRecord);
+  // Evicts blocks ranked below aRank until aBytes fit. Returns false if that is not enough.
   bool MakeRoom(StoreTier aTier, std::uint64_t aBytes, double aRank);
   Slot FindLowestRanked(StoreTier aTier, double& aRank) const;
   void StartDraining(Slot aSlot);
@@ -213,7 +220,7 @@
   const Clock& clock;
   DirectoryOptions options;
   const ReturnPredictor& returns;
-  // No block is freed earlier.
+  // Pins of an earlier owner may last until then, so no block is freed before it.
   MonotonicTime earliestFree;
   std::uint64_t nextGeneration;
   std::uint64_t nextPin;
@@ -222,11 +229,12 @@
   std::vector<Slot> unusedRecords;
   std::vector<BlockScope> scopes;
   absl::flat_hash_map<std::string, std::uint32_t> scopeIndexes;
-  // By kind, then tier.
+  // Indexed by kind, then tier.
   std::vector<std::array<LruList, 2>> lists;
   absl::flat_hash_map<PinId, Pinned> pins;
-  // Blocks that wait for their pins, or for earliestFree.
+  // Blocks that are freed after their last unpin and after earliestFree.
   std::vector<Slot> draining;
+  // Reserved blocks and blocks being written.
   std::vector<Slot> unsealed;
   std::uint64_t memoryUsed = 0;
   std::uint64_t diskUsed = 0;
--- a/include/damasklink/coordination/BlockHeader.h
+++ b/include/damasklink/coordination/BlockHeader.h
@@ -1,4 +1,4 @@
-// What a kept block says of itself, and the check that every reader makes.
+// Header of a stored block, and the check that every reader makes.
 #pragma once
 
 #include <string_view>
@@ -8,13 +8,14 @@
 
 namespace damasklink {
 
-// Guards the content of a block; see ChecksumOf().
+// Checksum of a block's content; see ChecksumOf().
 using Checksum = NumberId<struct ChecksumTag>;
-// Returns the checksum of a block's content: the first bytes of its SHA-256.
+
+// Returns the checksum of a block's content: the first 8 bytes of its SHA-256.
 Checksum
 ChecksumOf(std::string_view aContent);
 
-// What the header of a block in a store says; checked by whoever reads the block.
+// Identity and checksum of a block, stored with it and checked by every reader.
 struct BlockHeader
 {
   Digest block;
@@ -26,9 +27,10 @@
   bool operator==(const BlockHeader&) const = default;
 };
 
-// Returns why the header or content is not what an order says, or success. Workspace, model,
-// weight version, adapter, generation, length and checksum must all be equal. Fails with Corrupt.
+// Checks a block that was read against the header that was expected. Block name, workspace, model,
+// weight version, adapter, generation, length and checksum must all be equal, and the content must
+// match length and checksum. Fails with Corrupt.
 Result<void>
-CheckBlock(const BlockHeader& aOrdered, const BlockHeader& aFound, std::string_view aContent);
+CheckBlock(const BlockHeader& aExpected, const BlockHeader& aFound, std::string_view aContent);
 
 } // namespace damasklink
--- a/include/damasklink/coordination/BlockNames.h
+++ b/include/damasklink/coordination/BlockNames.h
@@ -1,4 +1,4 @@
-// Names of the blocks of a prompt: a hash chain that no other workspace or version can share.
+// Names of the blocks of a prompt: a hash chain seeded with workspace, model and version.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,8 @@
 
 namespace damasklink {
 
-// What a block may be reused for. Every field is part of each name.
+// Scope within which a block may be reused. Every field is hashed into each block name, so names of
+// different scopes never match.
 struct BlockScope
 {
   WorkspaceId workspace;
@@ -20,10 +21,10 @@
   bool operator==(const BlockScope&) const = default;
 };
 
-// Number of a token in a model's vocabulary.
+// Index of a token in a model's vocabulary.
 using Token = std::uint32_t;
 
-// Cuts a prompt into tokens as the model does.
+// Splits a prompt into tokens as the model does.
 class Tokenizer
 {
 public:
@@ -32,20 +33,20 @@
   virtual std::vector<Token> Tokenize(std::string_view aPrompt) const = 0;
 };
 
-// Takes every four bytes as one token; a shorter rest is one more. Stands in for the tokenizer of
-// a model where none is at hand: names then still differ whenever prompts do.
+// Makes a token of every four bytes, the last one zero-padded. Fallback for models whose tokenizer
+// is not available: prompts that differ, other than in trailing zero bytes, have different tokens.
 class FourByteTokenizer final : public Tokenizer
 {
 public:
   std::vector<Token> Tokenize(std::string_view aPrompt) const override;
 };
 
-// Tokens of one block, the same for all hosts, engines and stores of a system.
+// Tokens per block, the same for all hosts, engines and stores of a system.
 constexpr std::uint64_t kBlockTokens = 64;
 
-// Returns the names of the prompt's whole blocks, from its start. Each name is the SHA-256 of the
-// name before it and the block's tokens; the first follows the digest of the scope. Tokens behind
-// the last whole block have no name. Requires that aBlockTokens is not zero.
+// Returns the names of the prompt's complete blocks in order. Each name is the SHA-256 of the
+// previous name and the block's tokens; the chain starts with the digest of the scope. Tokens after
+// the last complete block get no name. Requires that aBlockTokens is not zero.
 //
 //   NameBlocks({ workspace, model, version, adapter }, tokenizer.Tokenize(prompt));
 std::vector<Digest>
@@ -53,7 +54,7 @@
            const std::vector<Token>& aTokens,
            std::uint64_t aBlockTokens = kBlockTokens);
 
-// Returns the start of a block's name as a number, for tables that only hold hints.
+// Returns a 64-bit hash of a block's name, for tables where a collision does no harm.
 std::uint64_t
 BlockHint(const Digest& aBlock);
 
--- a/include/damasklink/coordination/EngineCacheModel.h
+++ b/include/damasklink/coordination/EngineCacheModel.h
@@ -1,11 +1,11 @@
-// Which parts of prompts each engine is believed to hold in its own cache.
+// LRU model of the prompt parts that each engine has in its own cache.
 //
-// A guess from what was sent there: engines drop the least recently used parts when their memory is
-// full, and so does this view. A wrong guess costs time, never a wrong answer.
+// The model follows the prompts that were sent to an engine and evicts the least recently used
+// parts beyond its capacity, as engines do. A wrong prediction costs time, never a wrong answer.
 //
-//   EngineCacheModel held;
-//   held.OnSent(target, parts);
-//   held.LeadingCached(target, parts);     // Parts from the start of the prompt.
+//   EngineCacheModel cached;
+//   cached.OnSent(target, parts);
+//   cached.LeadingCached(target, parts);     // Number of parts from the start of the prompt.
 //
 // Not thread-safe.
 #pragma once
@@ -23,34 +23,36 @@
 class EngineCacheModel
 {
 public:
-  // Tokens of parts that one engine is believed to keep where its memory is not declared.
+  // Tokens per engine where the configuration does not declare its memory.
   static constexpr std::uint64_t kDefaultCapacity = 100'000;
 
-  // Parts beyond the capacity are forgotten, the least recently used first.
+  // The capacity is in tokens per engine.
   explicit EngineCacheModel(TokenCount aCapacity = TokenCount(kDefaultCapacity))
     : capacity(aCapacity.Value())
   {
   }
 
-  // Takes how many tokens one engine's memory holds, as declared. Running requests take a share of
-  // it, but only what is in use cannot be dropped for parts.
+  // Sets the capacity of an engine's memory in tokens, as declared. Running requests take a share
+  // of it, but only memory in use by them is unavailable for parts.
   void SetCapacity(TokenCount aCapacity) { this->capacity = aCapacity.Value(); }
 
-  // Tells that the target reads the parts.
+  // Records that a prompt with these parts was sent to the target, which caches them all.
   void OnSent(const TargetId& aTarget, const std::vector<SizedPart>& aParts);
 
-  // Returns how many parts from the first on the target holds, without a gap.
+  // Returns how many leading parts the target has cached, up to the first missing one.
   std::size_t LeadingCached(const TargetId& aTarget, const std::vector<SizedPart>& aParts) const;
 
-  // Returns whether the target holds the part, whatever stands before it.
+  // Returns whether the target has cached the part, regardless of the parts before it.
   bool Holds(const TargetId& aTarget, PartKey aPart) const;
 
+  // Removes a target and its parts.
   void Forget(const TargetId& aTarget) { this->targets.erase(aTarget); }
 
 private:
-  struct Held
+  struct CachedPart
   {
     std::uint64_t tokens = 0;
+    // Stamp of the last use.
     std::uint64_t stamp = 0;
   };
 
@@ -62,14 +64,14 @@
 
   struct Cache
   {
-    absl::flat_hash_map<PartKey, Held> parts;
-    // Uses in order; one that was used again later stands here more than once.
+    absl::flat_hash_map<PartKey, CachedPart> parts;
+    // Uses in order; a part that was used several times has several entries.
     std::deque<Use> uses;
     std::uint64_t tokens = 0;
     std::uint64_t lastStamp = 0;
   };
 
-  void Trim(Cache& aCache) const;
+  void Evict(Cache& aCache) const;
 
   std::uint64_t capacity;
   absl::flat_hash_map<TargetId, Cache> targets;
--- a/include/damasklink/coordination/EventFramer.h
+++ b/include/damasklink/coordination/EventFramer.h
@@ -1,11 +1,11 @@
-// Cuts the bytes of an event stream (text/event-stream) into whole events.
+// Splits the bytes of an event stream (text/event-stream) into complete events.
 //
 //   EventFramer framer;
-//   std::string whole = framer.Append(piece);   // Whole events only; the rest is kept.
-//   framer.LastEvent();                       // Id of the last event taken out.
+//   std::string events = framer.Append(bytes);   // Complete events only; the rest is buffered.
+//   framer.LastEvent();                          // Id of the last event returned.
 //
-// A target may stop in the middle of an event; what was passed on then ends with a whole one, so
-// another target can go on behind it. Not thread-safe.
+// If a target stops in the middle of an event, the output still ends with a complete event, so that
+// another target can continue the stream. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -18,22 +18,23 @@
 class EventFramer
 {
 public:
-  // Returns all events that are whole with these bytes, as they came.
+  // Adds bytes to the buffer and returns all events that are complete now, unchanged.
   std::string Append(std::string_view aBytes);
 
-  // Returns the id of the last event that was taken out, nothing while there was none.
+  // Returns the last id among the events returned, or nothing if none had an id.
   std::optional<std::uint64_t> LastEvent() const { return this->lastEvent; }
 
-  // Whether bytes of an event that is not whole are kept.
-  bool HasPartialEvent() const { return !this->rest.empty(); }
+  // Returns whether the buffer has bytes of an incomplete event.
+  bool HasPartialEvent() const { return !this->buffer.empty(); }
 
-  // Returns the bytes of the event that is not whole, and forgets them: another target goes on.
+  // Removes the bytes of the incomplete event from the buffer and returns them. Call it before
+  // another target continues the stream.
   std::string DiscardPartialEvent();
 
 private:
   void UpdateLastId(std::string_view aEvents);
 
-  std::string rest;
+  std::string buffer;
   std::optional<std::uint64_t> lastEvent;
 };
 
--- a/include/damasklink/coordination/LeasedStore.h
+++ b/include/damasklink/coordination/LeasedStore.h
@@ -1,4 +1,4 @@
-// One store as its owner serves it to all hosts: questions, grants and their outcomes.
+// A store whose lease this host holds: answers the questions of all hosts and tracks its grants.
 #pragma once
 
 #include <map>
@@ -11,48 +11,53 @@
 // A model in one weight version.
 using ModelVersion = std::pair<ModelName, WeightVersion>;
 
-// Answers questions about a store while the lease holds.
+// Answers questions about a store while this host holds its lease.
 //
-//   LeasedStore owned(clock, lease, options);
-//   owned.Rebuild(inventory);                  // Until then it knows of nothing.
-//   StoreAnswer answer = owned.Answer(question);
-//   owned.OnOutcome(outcome);
-//   owned.Expire();                            // Every tick.
+//   LeasedStore store(clock, fencing, options);
+//   store.Renew(leaseEnd);
+//   store.Rebuild(inventory);                  // Before that, every answer is NotOwner.
+//   StoreAnswer answer = store.Answer(question);
+//   store.OnOutcome(outcome);
+//   store.Expire();                            // Call periodically.
 //
-// Grants whose outcome never comes end with their lease. An outcome that is late, doubled or of an
-// earlier owner is ignored. Not thread-safe.
+// A grant without an outcome ends when its pin or write lease expires. Outcomes that are late,
+// duplicated or meant for an earlier owner are ignored. Not thread-safe.
 class LeasedStore
 {
 public:
   LeasedStore(const Clock& aClock, FencingNumber aFencing, StoreManagerOptions aOptions);
 
-  // Moves the end of this owner's lease, on this host's clock.
+  // Sets the end of this owner's lease, on this host's clock.
   void Renew(MonotonicTime aUntil) { this->until = aUntil; }
 
-  // Takes over what the store holds.
+  // Loads the inventory that the store reports; see BlockDirectory::Rebuild().
   void Rebuild(const std::vector<BlockHeader>& aInventory);
 
-  // Answers with NotOwner once the lease has run out.
+  // Answers a question; with NotOwner before Rebuild() and after the lease has expired.
   StoreAnswer Answer(const StoreQuestion& aQuestion);
 
+  // Ends a grant by the result of its transfer.
   void OnOutcome(const StoreOutcome& aOutcome);
 
-  // Tells which versions engines serve now. One that none has served for a while is drained.
+  // Takes the weight versions that engines serve now. A version that no engine has served for 60
+  // seconds is drained.
   void OnServed(const std::set<ModelVersion>& aServed);
 
-  // Lets grants and leases run out.
+  // Ends expired grants, pins and reservations.
   void Expire();
 
-  // Orders for the store since the last call; none once the lease has run out.
+  // Return the commands for the store since the last call; none after the lease has expired.
   std::vector<BlockCommand> TakeFreed();
   std::vector<BlockCommand> TakeDemoted();
 
   bool HoldsLease() const;
+  // Returns whether Rebuild() was called.
   bool IsReady() const { return this->ready; }
   FencingNumber Fencing() const { return this->fencing; }
-  const BlockDirectory& Directory() const { return this->owner.Directory(); }
+  const BlockDirectory& Directory() const { return this->manager.Directory(); }
 
 private:
+  // Exactly one of the two grants has blocks.
   struct OpenGrant
   {
     ImportGrant importGrant;
@@ -69,7 +74,8 @@
   const Clock& clock;
   FencingNumber fencing;
   StoreManagerOptions options;
-  StoreManager owner;
+  StoreManager manager;
+  // End of the lease.
   MonotonicTime until;
   bool ready = false;
   GrantId lastGrant;
--- a/include/damasklink/coordination/LinkBudget.h
+++ b/include/damasklink/coordination/LinkBudget.h
@@ -1,4 +1,4 @@
-// The use of one store's link: what may be moved now, and what an import may expect.
+// Bandwidth budget of one store's link, and the decision between importing and recomputing.
 #pragma once
 
 #include <deque>
@@ -9,46 +9,48 @@
 
 namespace damasklink {
 
-// Which way bytes move: from the store to an engine, or from an engine to the store.
+// Direction of a transfer: from the store to an engine (import) or the other way (export).
 enum class Transfer
 {
   Import,
   Export,
 };
 
-// Grants the bytes of a link. Over any one second the sum of what was granted stays within the
-// budget; exports get nothing while an import waits.
+// Rate limiter for a link. The bytes granted within any one second never exceed the budget. Exports
+// are refused while an import waits.
 //
 //   LinkBudget budget(clock, ByteCount(125'000'000));
 //   if (budget.TryAcquire(Transfer::Import, bytes)) { ... budget.OnMoved(bytes, elapsed); }
-//   budget.RateFor(bytes);   // What an import begun now may expect, in bytes a second.
+//   budget.RateFor(bytes);   // Expected rate of an import that begins now, in bytes per second.
 //
-// A link that turns out slower than its budget is noticed through OnMoved(). Not thread-safe.
+// A link that is slower than its budget is measured through OnMoved(). Not thread-safe.
 class LinkBudget
 {
 public:
   LinkBudget(const Clock& aClock, ByteCount aBytesPerSecond);
 
-  // Grants a transfer, or returns false and then counts an import as waiting for a short while.
-  // More than a second's budget at once is never granted.
+  // Grants a transfer, or returns false; a refused import then counts as waiting for a short time.
+  // More than one second's budget is never granted at once.
   bool TryAcquire(Transfer aKind, ByteCount aBytes);
 
-  // Tells that granted bytes have arrived, aElapsed after the grant.
+  // Records that granted bytes have arrived, aElapsed after the grant.
   void OnMoved(ByteCount aBytes, Duration aElapsed);
 
-  // Tells that granted bytes did not arrive, because the link or an end of it failed.
+  // Records that granted bytes did not arrive, because the link or one end of it failed. Lowers the
+  // measured rate.
   void OnFailed(ByteCount aBytes);
 
-  // Tells that granted bytes were not needed. They stay counted as granted for their second.
+  // Records that granted bytes were not needed. They still count against the budget of their
+  // second.
   void OnUnused(ByteCount aBytes) { this->RemoveInFlight(aBytes); }
 
-  // Returns the bytes a second that an import of so many bytes may expect, behind what is granted
-  // and still under way.
+  // Returns the rate in bytes per second that an import of aBytes can expect, given the transfers
+  // in flight.
   double RateFor(ByteCount aBytes) const;
 
   ByteCount Budget() const { return this->budget; }
 
-  // Returns the bytes granted and not yet moved.
+  // Returns the bytes that are granted and have not arrived yet.
   ByteCount InFlight() const { return this->inFlight; }
 
 private:
@@ -63,7 +65,7 @@
 
   const Clock& clock;
   ByteCount budget;
-  // Measured while it is lower than the budget.
+  // Measured bytes per second, at most the budget.
   double rate;
   std::deque<Grant> grants;
   std::uint64_t grantedBytes = 0;
@@ -71,23 +73,25 @@
   MonotonicTime importWaitsUntil;
 };
 
-// What is left of an import, and what computing it would take instead.
+// The remaining part of an import, and the alternative of computing it.
 struct RemainingImport
 {
   ByteCount bytes;
   TokenCount tokens;
-  // What the link is expected to move, in bytes a second.
+  // Expected rate of the link.
   double bytesPerSecond = 0;
-  // What the target is expected to compute, in tokens a second.
+  // Expected prefill rate of the target.
   double tokensPerSecond = 0;
 };
 
-// Returns how long the rest of an import may take before computing it is cheaper by the weights of
-// the request's subtree. Zero when nothing moves or nothing is gained.
+// Returns how long the remaining import may take before computing it is cheaper by the weights of
+// the request's subtree: between zero, when importing gains nothing, and ten seconds. Returns ten
+// seconds when the prefill rate is unknown or time has no weight.
 Duration
 ImportTimeLimit(const RemainingImport& aImport, const ObjectiveWeights& aWeights);
 
-// Returns whether computing is by now expected to be cheaper than importing the rest.
+// Returns whether computing is expected to be cheaper than importing what remains. A link that
+// moves nothing is always abandoned.
 bool
 ShouldAbandonImport(const RemainingImport& aImport, const ObjectiveWeights& aWeights);
 
--- a/include/damasklink/coordination/PrefixCacheIndex.h
+++ b/include/damasklink/coordination/PrefixCacheIndex.h
@@ -1,4 +1,4 @@
-// What each target's own prefix cache is believed to hold.
+// Index of the blocks that each target's own prefix cache is expected to hold.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,13 @@
 
 namespace damasklink {
 
-// Changes of one engine's cache, as it publishes them: late, with gaps, maybe twice.
+// Changes of one engine's cache, as the engine publishes them. Events may be late, lost or
+// duplicated.
 struct CacheEvent
 {
   TargetId target;
   Incarnation incarnation;
-  // Counts the events of one incarnation from 1.
+  // Number of the event within its incarnation, from 1.
   Sequence sequence;
   std::vector<Digest> added;
   std::vector<Digest> removed;
@@ -25,66 +26,70 @@
   bool operator==(const CacheEvent&) const = default;
 };
 
-// The whole content of one engine's cache, as of an event.
+// The complete content of one engine's cache after an event.
 struct CacheSnapshot
 {
   TargetId target;
   Incarnation incarnation;
-  // The last event that is contained.
+  // The last event that the snapshot includes.
   Sequence sequence;
   std::vector<Digest> blocks;
 };
 
-// Guesses which blocks each target holds, from what was sent there and from cache events. A wrong
-// guess costs time, never a wrong answer: the engine itself decides what it reuses.
+// Predicts which blocks each target has cached, from the prompts sent to it and from its cache
+// events. A wrong prediction costs time, never a wrong answer: the engine decides what it reuses.
 //
-//   PrefixCacheIndex view(100'000);
-//   view.OnSent(target, blocks);
-//   view.Match(blocks);
-//   view.Depth(view.NumberOf(target));   // Leading blocks that the target should hold.
+//   PrefixCacheIndex caches(100'000);
+//   caches.OnSent(target, blocks);
+//   caches.Match(blocks);
+//   caches.Depth(caches.NumberOf(target));   // Leading blocks that the target should have.
 //
-// A gap in the sequence marks a target's view stale until a snapshot rebuilds it; meanwhile events
-// are still taken as hints. Holds at most the given number of blocks for each target, the least
-// recently used ones go first. Not thread-safe.
+// A gap in the sequence of events marks a target stale until OnSnapshot(); events are still applied
+// meanwhile. Has at most the given number of blocks for each target and evicts the least recently
+// used ones. Not thread-safe.
 class PrefixCacheIndex
 {
 public:
+  // Dense number of a target; see NumberOf().
   using TargetNumber = std::uint32_t;
 
   explicit PrefixCacheIndex(std::uint64_t aMaxBlocksPerTarget);
 
-  // Returns a small number for the target, the same until Forget().
+  // Returns the number of a target, which stays the same until Forget(). Adds an unknown target.
   TargetNumber NumberOf(const TargetId& aTarget);
 
-  // Drops all that is known of a target. Its number may go to another one.
+  // Removes a target and its blocks. Its number may be assigned to another target.
   void Forget(const TargetId& aTarget);
 
-  // Expects that the target will hold the blocks of a prompt that was sent to it.
+  // Adds the blocks of a prompt that was sent to the target.
   void OnSent(const TargetId& aTarget, const std::vector<Digest>& aBlocks);
 
-  // Takes a cache event. One that was seen before is ignored.
+  // Applies a cache event. Ignores duplicates and events of earlier incarnations. The first event
+  // of a later incarnation clears the blocks of the one before it.
   void OnEvent(const CacheEvent& aEvent);
 
-  // Replaces what is believed of a target and ends its being stale. A snapshot older than the
-  // events taken is ignored.
+  // Replaces the blocks of a target, which is then no longer stale. Ignores a snapshot older than
+  // the last event.
   void OnSnapshot(const CacheSnapshot& aSnapshot);
 
-  // Returns the targets whose views are stale and need a snapshot.
+  // Returns the targets that need a snapshot.
   std::vector<TargetId> StaleTargets() const;
   bool IsStale(const TargetId& aTarget) const;
 
-  // Finds how many leading blocks each target holds; read with Depth() until the next call.
+  // Counts the leading blocks of a prompt that each target has; Depth() returns the result until
+  // the next call.
   void Match(const std::vector<Digest>& aBlocks);
 
-  // Returns the leading blocks of the last Match() that the target is believed to hold.
+  // Returns how many leading blocks of the last Match() the target should have.
   std::uint64_t Depth(TargetNumber aTarget) const;
 
-  // Returns how many (block, target) pairs are blockCount.
+  // Returns the number of (block, target) pairs.
   std::uint64_t Size() const;
 
 private:
   using Hint = std::uint64_t;
 
+  // A target that has a block, and the stamp of its last use there.
   struct Holder
   {
     TargetNumber target = 0;
@@ -105,14 +110,14 @@
     bool stale = false;
     std::uint32_t nextStamp = 1;
     std::uint64_t blockCount = 0;
-    // Uses in order; a block used again later stands here more than once.
+    // Uses in order; a block that was used several times may have several entries.
     std::deque<Use> uses;
   };
 
   void Add(TargetNumber aTarget, Hint aBlock);
   void Remove(TargetNumber aTarget, Hint aBlock);
   void Clear(TargetNumber aTarget);
-  void Trim(TargetNumber aTarget);
+  void Evict(TargetNumber aTarget);
   Holder* Find(TargetNumber aTarget, Hint aBlock);
   bool IsLastUse(TargetNumber aTarget, const Use& aUse);
 
@@ -120,7 +125,7 @@
   absl::flat_hash_map<TargetId, TargetNumber> numbers;
   std::vector<TargetNumber> unused;
   std::vector<TargetState> targets;
-  // Most blocks have one holder, so that it stands in the table itself.
+  // Most blocks have a single holder, which is stored inline.
   absl::flat_hash_map<Hint, absl::InlinedVector<Holder, 1>> holders;
   std::vector<std::uint32_t> depths;
   std::vector<TargetNumber> matched;
--- a/include/damasklink/coordination/PromptParts.h
+++ b/include/damasklink/coordination/PromptParts.h
@@ -1,4 +1,4 @@
-// Names of the parts of prompts that targets and stores cache.
+// Scopes, names and keys of the prompt parts that targets and stores cache.
 #pragma once
 
 #include <optional>
@@ -9,31 +9,31 @@
 
 namespace damasklink {
 
-// Names a part under one scope (workspace wall, model, weights): equal keys, equal cache.
+// Hash of a part's scope and id. Parts with equal keys have the same cache content.
 using PartKey = NumberId<struct PartKeyTag>;
 
-// What keeps the cached parts of a prompt apart.
+// Scope of a cached part. Parts of different scopes are never shared.
 struct PartScope
 {
   ModelName model;
   std::uint64_t weights = 0;
-  // Set for an isolated workspace only.
+  // Set only for a workspace that is isolated from the others.
   WorkspaceId isolatedWorkspace;
-  // The home regions of the call as one text; empty where it may go anywhere.
-  std::string homeRegions;
+  // The regions that the call may not leave, as one text; empty if it is unrestricted.
+  std::string allowedRegions;
 
   bool operator==(const PartScope&) const = default;
 };
 
-// Returns the text of a scope, as targets and stores are told it.
+// Returns a scope in the text form that is sent to targets and stores.
 std::string
 FormatPartScope(const PartScope& aScope);
 
-// Returns what a scope's text says, nothing for a text that FormatPartScope() did not make.
+// Parses the text form of a scope. Returns nothing if FormatPartScope() cannot have written it.
 std::optional<PartScope>
 ParsePartScope(std::string_view aText);
 
-// A part as a store lists it.
+// Scope and id of a part, as a store lists it.
 struct PartName
 {
   std::string scope;
@@ -42,11 +42,11 @@
   bool operator==(const PartName&) const = default;
 };
 
-// Returns the key of a part; the same in all builds.
+// Returns the key of a part. It is the same in all builds, since hosts exchange it.
 PartKey
 MakePartKey(std::string_view aScope, std::string_view aPart);
 
-// A part as look-ups need it.
+// Key and length of a part.
 struct SizedPart
 {
   PartKey key;
--- a/include/damasklink/coordination/PromptReuse.h
+++ b/include/damasklink/coordination/PromptReuse.h
@@ -1,4 +1,4 @@
-// The seam between a request's life and the reuse of kept prompt state.
+// Interface through which requests reuse stored prompt blocks.
 #pragma once
 
 #include "damasklink/coordination/Router.h"
@@ -6,27 +6,29 @@
 
 namespace damasklink {
 
-// Looks kept blocks up, brings them to the chosen target and keeps what may return. Safe from any
-// traffic thread. A failure costs time, never the request.
+// Looks up the stored blocks of a prompt, imports them into the chosen target and exports blocks of
+// prompts that may return. May be called from any traffic thread. A failure costs time, but never
+// fails the request.
 class PromptReuse
 {
 public:
   virtual ~PromptReuse() = default;
 
-  // Fills in the prompt's tokens, block names and where they are kept. Waits a few milliseconds
-  // at most; what is not known by then counts as not kept.
+  // Fills in the prompt's tokens, its block names and the stores that have them. Waits at most a
+  // few milliseconds; a store that has not answered by then counts as having none.
   virtual void LookUp(std::string_view aPrompt, RouteRequest& aRequest) = 0;
 
-  // Imports what the decision says, waiting while that is expected to be faster than to compute.
+  // Imports the blocks that the decision names. Waits as long as importing is expected to be
+  // cheaper than computing.
   virtual void ImportBlocks(const RouteRequest& aRequest, const RouteDecision& aDecision) = 0;
 
-  // Takes note of a whole answer; may order an export, without waiting for it.
+  // Called after a complete answer; may start an export, without waiting for it.
   virtual void OnAnswered(const RouteRequest& aRequest,
                           const RouteDecision& aDecision,
                           const AnswerUsage& aUsage) = 0;
 };
 
-// Reuses nothing but what the engines' own caches hold.
+// Implementation without stores: only the engines' own caches are reused.
 class NoPromptReuse final : public PromptReuse
 {
 public:
--- a/include/damasklink/coordination/RetryScheduler.h
+++ b/include/damasklink/coordination/RetryScheduler.h
@@ -1,15 +1,15 @@
-// When callers that are refused because all targets are full should come again: one after the
-// other, as places that the others leave are given to them.
+// Spreads the retries of callers that were refused because all targets are full.
 //
-//   RetryScheduler queue(clock, seed);
-//   queue.OnAdmitted();                       // A call was sent to a target.
-//   Duration after = queue.NextRetryDelay();            // One was refused: what to tell its
-//   caller.
+//   RetryScheduler scheduler(clock, seed);
+//   scheduler.OnAdmitted();                            // A call was sent to a target.
+//   Duration delay = scheduler.NextRetryDelay();       // A call was refused: for its Retry-After.
+//
+// After an outage all waiting callers call at once, several times what the targets can take. If all
+// were given the same short delay, they would return together and be refused for good. Instead,
+// retries are scheduled one after the other at a fraction of the rate of admitted calls: each
+// caller returns when there is capacity, and the rest of it is left to new calls. Under a lasting
+// overload few callers are scheduled at a time, and each gets a short delay.
 //
-// After an outage all who waited ask at once, several times what targets can take. Told one short
-// time, all come back together and are refused for good. A queue that gives them a share of what is
-// admitted brings each back when it has room, and leaves the rest to those that come for the first
-// time. Under a lasting overload few are in the queue at a time, and each comes back soon.
 // Not thread-safe.
 #pragma once
 
@@ -22,12 +22,11 @@
 class RetryScheduler
 {
 public:
-  // Share of the calls that are admitted which may be returning ones.
+  // Scheduled retries per admitted call.
   static constexpr double kRetryRatio = 0.25;
-  // Nobody returns sooner: queues at targets that are full empty in about this time.
+  // Queues at full targets drain in about this time.
   static constexpr Duration kMinRetryDelay = std::chrono::milliseconds(300);
-  // Nor later: callers do not wait for longer, and an overload that lasts for longer is none of
-  // those that a queue helps over.
+  // Callers do not wait longer, and scheduling retries does not help with a longer overload.
   static constexpr Duration kMaxRetryDelay = std::chrono::seconds(2);
 
   RetryScheduler(const Clock& aClock, std::uint64_t aSeed)
@@ -36,10 +35,11 @@
   {
   }
 
-  // A call was admitted, whether it was refused before or not.
+  // Called when a call is admitted, whether it was refused before or not.
   void OnAdmitted();
 
-  // A caller is refused. Returns after how long it should come back.
+  // Called when a call is refused. Returns the delay after which its caller should retry, between
+  // kMinRetryDelay and kMaxRetryDelay.
   Duration NextRetryDelay();
 
 private:
@@ -47,10 +47,10 @@
 
   const Clock& clock;
   std::minstd_rand random;
-  // Calls admitted a second, of the last second or two.
+  // Calls admitted per second, averaged over the last second or two.
   double admitted = 0;
   MonotonicTime decayedAt;
-  // The turn of the last caller that joined.
+  // Time of the last scheduled retry.
   MonotonicTime lastRetry;
 };
 
--- a/include/damasklink/coordination/ReturnPredictor.h
+++ b/include/damasklink/coordination/ReturnPredictor.h
@@ -1,4 +1,4 @@
-// How likely prompts of one kind are to come back, learnt while serving.
+// Predicts how likely a prompt is to return, that is, to be extended by a later prompt.
 #pragma once
 
 #include <cstdint>
@@ -14,44 +14,44 @@
 
 struct ReturnPredictorOptions
 {
-  // Share of prompts that is expected to return before any was seen.
+  // Return probability before the first observation.
   double priorShare = 0.5;
-  // How many observations the prior weighs.
+  // Number of observations that the prior counts as.
   double priorWeight = 10;
-  // Prompts whose return is waited for, over all kinds.
+  // Maximum number of answered prompts that are tracked, over all kinds.
   std::uint64_t maxAwaited = 100'000;
 };
 
-// A kind of prompt: those of one workspace, of about the same length, that go on with an earlier
-// prompt or do not.
+// Class of prompts with a common statistic: same workspace, same length within a factor of two, and
+// either all or none of them returning.
 using PromptKind = std::uint16_t;
 
-// Counts, per kind, how many of the prompts that were answered were extended by a later one.
+// Counts for each kind how many of the answered prompts were extended by a later one.
 //
 //   ReturnPredictor returns(ReturnPredictorOptions{});
-//   const PromptKind kind = returns.KindOf(workspace, tokens, returning);
 //   const bool returning = returns.OnPrompt(blocks);
-//   returns.OnAnswered(kind, blocks);   // From now on it may return.
+//   const PromptKind kind = returns.KindOf(workspace, tokens, returning);
+//   returns.OnAnswered(kind, blocks);   // The prompt may return from now on.
 //   returns.ReturnProbability(kind);
 //
-// The declared prior counts like a few observations, so that it fades as real ones come in.
-// Bounded; not thread-safe.
+// The prior counts like a few observations, so that its influence fades as real ones arrive. Memory
+// is bounded. Not thread-safe.
 class ReturnPredictor
 {
 public:
   explicit ReturnPredictor(ReturnPredictorOptions aOptions);
 
-  // Returns the kind of a prompt.
+  // Returns the kind of a prompt. When the numbers of kinds are exhausted, new kinds share kind 0.
   PromptKind KindOf(const WorkspaceId& aWorkspace, TokenCount aTokens, bool aReturning);
 
-  // Takes note of an arriving prompt by the names of its blocks. Returns whether it goes on with an
-  // earlier one, which is then counted as returned.
+  // Called for an arriving prompt. Returns whether it extends an answered prompt, which is then
+  // counted as returned, once.
   bool OnPrompt(const std::vector<Digest>& aBlocks);
 
-  // Takes note of a prompt that was answered.
+  // Called for an answered prompt. Ignores prompts without a complete block.
   void OnAnswered(PromptKind aKind, const std::vector<Digest>& aBlocks);
 
-  // Returns the expected share of prompts of this kind that return, between 0 and 1.
+  // Returns the probability, between 0 and 1, that a prompt of this kind returns.
   double ReturnProbability(PromptKind aKind) const;
 
 private:
@@ -64,8 +64,9 @@
   ReturnPredictorOptions options;
   absl::flat_hash_map<std::tuple<WorkspaceId, int, bool>, PromptKind> kinds;
   std::vector<Count> counts;
-  // The last block of each prompt that may return, and its kind.
+  // Last block of each tracked prompt, and its kind.
   absl::flat_hash_map<std::uint64_t, PromptKind> awaited;
+  // Keys of `awaited` from oldest to newest; those of returned prompts may remain.
   std::deque<std::uint64_t> awaitedOrder;
 };
 
--- a/include/damasklink/coordination/SlowStoreDetector.h
+++ b/include/damasklink/coordination/SlowStoreDetector.h
@@ -1,12 +1,12 @@
-// Which stores of prompt parts are slower than the others just now, as first events show it.
+// Detects stores of prompt parts that are slower than the others, from the delays of first events.
 //
-//   SlowStoreDetector pace(seed);
-//   pace.Observe(store, excess);       // What a first event took beyond the engine's own work.
-//   if (pace.ShouldFetch(store)) ...   // Fetch the part; else read it.
+//   SlowStoreDetector detector(seed);
+//   detector.Observe(store, delay);        // Time to the first event beyond the engine's own work.
+//   if (detector.ShouldFetch(store)) ...   // Fetch the part; else prefill it.
 //
-// A store whose link is slowed holds up every prompt that fetches from it, and the transfers behind
-// them. Compared with the other stores, not with a fixed time: when everything is slow, the stores
-// are not the cause, and reading parts instead would make it worse. Not thread-safe.
+// A store with a slow link delays every prompt that fetches from it, and the transfers queued
+// behind them. Stores are compared with each other, not with a fixed limit: when all are slow, the
+// stores are not the cause, and prefilling the parts instead would make it worse. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -21,17 +21,18 @@
 class SlowStoreDetector
 {
 public:
-  // Weight of a new first event in the mean of its store: some five of them count.
+  // Weight of a new observation in the moving average of its store, which covers about five of
+  // them.
   static constexpr double kSmoothing = 0.2;
-  // First events before a store's mean counts.
+  // Observations before the average of a store is used.
   static constexpr std::uint64_t kMinObservations = 4;
-  // A store is too slow for a call when its mean is above the best other one's, doubled, by more
-  // than it costs to read the call's parts instead, and at least by this many milliseconds.
+  // A store is too slow for a call when its average exceeds twice that of the best other store by
+  // more than the cost of prefilling the call's parts, and by more than this, in milliseconds.
   static constexpr double kMinSlowMargin = 100;
-  // What reading costs all in all, in multiples of its own time: the engine reads for one call at a
-  // time, so those that come meanwhile wait too, while a fetch holds up other fetches only.
+  // Cost of prefilling in multiples of its time: an engine prefills one prompt at a time, so that
+  // other calls wait for it, while a fetch delays other fetches only.
   static constexpr double kPrefillCostFactor = 2;
-  // One in so many is fetched from a slow store all the same, to see whether it still is.
+  // One in this many calls still fetches from a slow store, to detect that it has recovered.
   static constexpr unsigned kProbeInterval = 8;
 
   explicit SlowStoreDetector(std::uint64_t aSeed)
@@ -39,28 +40,29 @@
   {
   }
 
-  // Takes what a first event took beyond the engine's own work, in milliseconds. An empty name
-  // stands for prompts that fetched nothing.
-  void Observe(const std::string& aStore, double aExcess);
+  // Records by how many milliseconds the time to the first event exceeded the engine's own work. An
+  // empty name stands for prompts that fetched nothing.
+  void Observe(const std::string& aStore, double aDelay);
 
-  // Returns what was noted since the last call, for the other hosts: one of many hosts sees a store
-  // less than once a second, too seldom to notice that it has become slow.
+  // Returns the observations since the last call, for the other hosts. A single one of many hosts
+  // uses a store less than once a second, too rarely to detect that it has become slow.
   std::vector<StoreExcess> TakeObservations();
 
-  // Takes what other hosts noted.
-  void Merge(const std::vector<StoreExcess>& aNotes);
+  // Adds observations of other hosts.
+  void Merge(const std::vector<StoreExcess>& aObservations);
 
-  // Returns whether the store is too slow for parts that are read in aPrefillTime milliseconds.
+  // Returns whether the store is too slow for parts that take aPrefillTime milliseconds to prefill.
   bool IsSlow(const std::string& aStore, double aPrefillTime = 0) const;
 
-  // Returns whether to fetch from the store: always from one that is not slow, now and then from
-  // one that is.
+  // Returns whether to fetch from the store: always if it is not slow, else for one in
+  // kProbeInterval calls.
   bool ShouldFetch(const std::string& aStore, double aPrefillTime = 0);
 
 private:
-  struct Mean
+  struct Average
   {
-    double excess = 0;
+    double delay = 0;
+    // Stops counting at kMinObservations.
     std::uint64_t observations = 0;
   };
 
@@ -68,7 +70,7 @@
 
   std::minstd_rand random;
   std::map<std::string, StoreExcess> unreported;
-  std::map<std::string, Mean> means;
+  std::map<std::string, Average> averages;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/StoreContentTracker.h
+++ b/include/damasklink/coordination/StoreContentTracker.h
@@ -1,12 +1,13 @@
-// What one store of prompt parts holds, as its events and lists tell.
+// Tracks the content of one store of prompt parts from its events and lists.
 //
-//   StoreContentTracker feed;
-//   if (feed.NeedsList()) feed.ApplyList(list);
-//   else feed.ApplyEvents(events);
-//   StoreStatement changes = feed.TakeChanges();    // For entry hosts.
+//   StoreContentTracker tracker(endpoint);
+//   if (tracker.NeedsList()) tracker.ApplyList(list, now);
+//   else tracker.ApplyEvents(events);
+//   auto changes = tracker.TakeChanges();    // For entry hosts.
 //
-// A restarted store has another epoch and nothing in it; a gap in the events, or another epoch,
-// asks for a list. Between a loss and the next list nothing is known. Not thread-safe.
+// A restarted store has a new epoch and is empty. After a gap in the events or a new epoch a list
+// is needed; until it arrives, the store counts as unreachable and its content as unknown. Not
+// thread-safe.
 #pragma once
 
 #include <map>
@@ -18,10 +19,10 @@
 
 namespace damasklink {
 
-// Which start of a store something was said in.
+// Identifies one start of a store.
 using StoreEpoch = NumberId<struct StoreEpochTag>;
 
-// One change, or one entry of a list. A part is named only once it is whole.
+// One change, or one entry of a list. Only complete parts are reported.
 struct StoredPartEvent
 {
   PartName name;
@@ -34,16 +35,17 @@
 struct StoreEvents
 {
   StoreEpoch epoch;
-  // Where the next question goes on.
+  // Sequence to request next.
   Sequence next;
-  // Older events than the oldest one here were dropped.
+  // Set if events between the requested sequence and the first one here were dropped.
   bool lost = false;
   std::vector<StoredPartEvent> events;
-  // Rows that no store writes; they name no part, and the others hold.
+  // Number of malformed rows. They are skipped; the other rows are valid.
   std::size_t unreadable = 0;
 };
 
-// A part that is being written, or whose writer broke off: it keeps its space until it is freed.
+// A part that is being written, or that its writer has abandoned. It occupies its reserved space
+// until it is freed.
 struct UnfinishedPart
 {
   PartName name;
@@ -53,14 +55,15 @@
   bool operator==(const UnfinishedPart&) const = default;
 };
 
-// All that is held.
+// The complete content of a store.
 struct StoreList
 {
   StoreEpoch epoch;
+  // Sequence of the first event after the list.
   Sequence next;
-  // Parts that are whole.
+  // Complete parts.
   std::vector<StoredPartEvent> parts;
-  // As above.
+  // Number of malformed rows, which are skipped.
   std::size_t unreadable = 0;
   std::vector<UnfinishedPart> unfinished;
 };
@@ -68,9 +71,9 @@
 class StoreContentTracker
 {
 public:
-  // A part of which nothing was written for so long is not being written any more: transfers that
-  // would wait two seconds are not begun, and the longest takes some seconds on a slow link. After
-  // a third of the engines crashed three times, one store of five had no room left without this.
+  // A part that has not grown for this long counts as abandoned. Transfers that would wait two
+  // seconds are not begun, and the longest takes some seconds on a slow link. Without this limit
+  // one store of five was full after a third of the engines had crashed three times.
   static constexpr Duration kAbandonedAfter = std::chrono::seconds(9);
 
   explicit StoreContentTracker(Endpoint aStore)
@@ -80,28 +83,31 @@
 
   bool NeedsList() const { return !this->live; }
 
-  // Where the next question for events goes on.
+  // Returns the sequence to request the next events from.
   Sequence Next() const { return this->next; }
 
+  // Applies events. A gap or another epoch marks the store unreachable instead.
   void ApplyEvents(const StoreEvents& aEvents);
+
+  // Replaces the content.
   void ApplyList(const StoreList& aList, MonotonicTime aNow);
 
-  // The store does not answer: nothing that is known of it counts.
+  // Clears the content of a store that does not answer. A list is needed afterwards.
   void MarkUnreachable();
 
-  // Returns what has changed since the last call; nothing when nothing has.
+  // Returns the changes since the last call, or nothing if there are none.
   std::optional<StoreStatement> TakeChanges();
 
-  // Returns the whole of what is known.
+  // Returns the complete content.
   StoreStatement Snapshot() const;
 
-  // Returns the parts that were made by weights older than those given, by model, at most aMost.
+  // Returns at most aMax parts that were computed with older weights than the given ones, by model.
   std::vector<PartName> PartsOfOlderWeights(const std::map<ModelName, std::uint64_t>& aWeights,
-                                            std::size_t aMost) const;
+                                            std::size_t aMax) const;
 
-  // Returns parts whose writers broke off, at most aMost. They were never whole, so nobody reads
-  // them; an engine that crashes while it saves leaves one, and space for a tenth of a small store.
-  std::vector<PartName> AbandonedParts(MonotonicTime aNow, std::size_t aMost) const;
+  // Returns at most aMax parts whose writers stopped before completing them. Nobody reads such
+  // parts. An engine that crashes while saving leaves one, which may take a tenth of a small store.
+  std::vector<PartName> AbandonedParts(MonotonicTime aNow, std::size_t aMax) const;
 
   StoreEpoch Epoch() const { return this->epoch; }
 
@@ -119,7 +125,7 @@
   StoreEpoch epoch;
   Sequence next;
   std::map<PartKey, StoredPartEvent> parts;
-  // Parts that are not whole, as the last list had them, and since when it has been so.
+  // Incomplete parts of the last list, and since when they have not grown.
   std::map<PartKey, Unfinished> unfinished;
   // What the next TakeChanges() returns.
   StoreStatement changes;
--- a/include/damasklink/coordination/StoreLeases.h
+++ b/include/damasklink/coordination/StoreLeases.h
@@ -1,4 +1,4 @@
-// Who owns which store: leases with fencing numbers, replicated in a zone's claims group.
+// Leases on stores with fencing numbers, replicated in the claims group of a zone.
 #pragma once
 
 #include <map>
@@ -8,18 +8,18 @@
 
 namespace damasklink {
 
-// A host's wish to own a store, or to stop owning it.
+// Requests, renews or releases the lease on a store.
 struct LeaseCommand
 {
   StoreId store;
   HostId host;
-  // Zero gives the lease back.
+  // Duration of the lease; zero releases it.
   Duration length{ 0 };
 
   bool operator==(const LeaseCommand&) const = default;
 };
 
-// Who owns a store, and until when by the group's clock.
+// The lease on a store. It expires at `until`, by the wall clock of the group's leader.
 struct StoreLease
 {
   HostId owner;
@@ -29,7 +29,7 @@
   bool operator==(const StoreLease&) const = default;
 };
 
-// Returns the command, or an answer, as the group's log holds it.
+// Encode and decode commands and answers for the group's log. Decoding fails with Corrupt.
 std::string
 EncodeLeaseCommand(const LeaseCommand& aCommand);
 Result<LeaseCommand>
@@ -39,15 +39,17 @@
 Result<StoreLease>
 DecodeLease(std::string_view aBytes);
 
-// Grants each store to one host at a time. Time is that of the group's leader when it proposed; an
-// owner must count its lease from before it asked, on its own monotonic clock, and stop earlier.
+// Grants each store to one host at a time. A command is evaluated at the time of its proposal on
+// the group's leader. An owner must measure its lease on its own monotonic clock from before it
+// sent the request, and stop earlier than the lease expires.
 //
 //   StoreLeases leases;
 //   replicator.AddMachine(ClaimsGroupId(zone), MachinePart::Leases, leases);
 //   replicator.Propose(..., EncodeLeaseCommand({ store, host, seconds(5) }), ..., done);
 //
-// The answer is the lease as it now stands; the asking host owns it when it is named there. Each
-// change of owner, and each grant after a lapse, has a higher fencing number.
+// The answer is the resulting lease; the requesting host owns the store if it is named as the
+// owner. The fencing number rises with each change of owner and each grant after the lease has
+// expired.
 class StoreLeases final : public ReplicatedMachine
 {
 public:
@@ -55,7 +57,7 @@
   std::string Save() const override;
   Result<void> Load(std::string_view aSnapshot) override;
 
-  // Returns the lease, or nothing when nobody ever held the store.
+  // Returns the lease, expired or not, or nothing if the store was never leased.
   std::optional<StoreLease> Find(const StoreId& aStore) const;
 
 private:
--- a/include/damasklink/coordination/StoreManager.h
+++ b/include/damasklink/coordination/StoreManager.h
@@ -1,4 +1,4 @@
-// What the owner of one store decides: what is kept there, who reads it and when its link is used.
+// Decides for the owner of a store which blocks are stored, who reads them and who uses its link.
 #pragma once
 
 #include <vector>
@@ -14,42 +14,44 @@
 {
   StoreId store;
   StoreDeclaration declared;
-  // Each grant moves at most the link's budget for this long.
+  // A grant covers at most the bytes that the link's budget allows in this time, but at least one
+  // block.
   Duration chunk = std::chrono::milliseconds(125);
   ReturnPredictorOptions returns;
   Duration pinLease = std::chrono::seconds(10);
   Duration writeLease = std::chrono::seconds(30);
-  // Whether what is unlikely to pay for its link bytes is left out; off in the bench's ablation.
+  // Whether to refuse exports whose expected savings are below the cost of their link bytes. The
+  // bench turns this off to measure its effect.
   bool costBasedAdmission = true;
 };
 
-// An answered prompt whose blocks an engine could export.
+// A prompt by the names of its blocks, with the figures that decide whether to export it.
 struct HashedPrompt
 {
   BlockScope scope;
   std::vector<Digest> blocks;
-  // As the look-up said; see StoredPrefix.
+  // Whether the prompt extends an earlier one; from StoredPrefix.
   bool returning = false;
   ObjectiveWeights objective;
-  // Rate at which the prompt would be computed again, in tokens a second.
+  // Prefill rate at which the prompt would be recomputed, in tokens per second.
   double prefillRate = 0;
 };
 
-// Permission to read some blocks now; the next ones need another.
+// Permission to read some blocks now. Further blocks need another grant.
 struct ImportGrant
 {
   std::vector<PinnedBlock> blocks;
   ByteCount bytes;
 };
 
-// Permission to write some blocks now; the next ones need another.
+// Permission to write some blocks now. Further blocks need another grant.
 struct ExportGrant
 {
   std::vector<ReservedBlock> blocks;
   ByteCount bytes;
 };
 
-// The sealed form of one exported block, as the engine reported it.
+// A block that an engine exported, as the engine reports it.
 struct ExportedBlock
 {
   Digest block;
@@ -58,16 +60,16 @@
   Checksum checksum;
 };
 
-// The decisions of a store's owner while its lease holds. Joins the directory, the link's budget
-// and the prediction of returns.
+// Grants imports and exports for a store while this host holds its lease. Combines the block
+// directory, the link's budget and the prediction of returns.
 //
-//   StoreManager owner(clock, fencing, options);
-//   owner.Rebuild(inventory);
-//   StoredPrefix kept = owner.LookUp(scope, blocks);
-//   auto grant = owner.GrantImport(scope, blocks, 0, kept.blocks);    // Overloaded: ask again.
-//   owner.OnImported(grant.value(), elapsed);
-//   auto room = owner.GrantExport(offer);
-//   owner.OnExported(room.value(), exported, elapsed);
+//   StoreManager manager(clock, fencing, options);
+//   manager.Rebuild(inventory);
+//   StoredPrefix stored = manager.LookUp(scope, blocks);
+//   auto read = manager.GrantImport(scope, blocks, 0, stored.blocks);    // Overloaded: ask again.
+//   manager.OnImported(read.value(), elapsed);
+//   auto write = manager.GrantExport(prompt);
+//   manager.OnExported(write.value(), exported, elapsed);
 //
 // Not thread-safe.
 class StoreManager
@@ -77,54 +79,54 @@
   StoreManager(const StoreManager&) = delete;
   StoreManager& operator=(const StoreManager&) = delete;
 
-  // Takes over what the store holds; see BlockDirectory::Rebuild().
+  // Loads the inventory that the store reports; see BlockDirectory::Rebuild().
   void Rebuild(const std::vector<BlockHeader>& aInventory) { this->directory.Rebuild(aInventory); }
 
-  // Returns what is kept of an arriving prompt; blocks is 0 where that is nothing.
+  // Returns the stored start of an arriving prompt, with zero blocks if there is none.
   StoredPrefix LookUp(const BlockScope& aScope, const std::vector<Digest>& aBlocks);
 
-  // Returns how many leading blocks of an answered prompt are kept.
+  // Returns how many leading blocks of an answered prompt are stored, and marks them as used now.
   std::uint64_t CountStoredBlocks(const HashedPrompt& aPrompt)
   {
     return this->directory.LookUp(aPrompt.blocks, aPrompt.scope).blocks;
   }
 
-  // Permits the import of some of the blocks [aFrom, aTo), from aFrom on. Fails with Overloaded
-  // when the link has nothing left now, and with NotFound when block aFrom is not kept.
+  // Grants the import of the first blocks of the range [aFrom, aTo). Fails with Overloaded when the
+  // link's budget is used up, and with NotFound when block aFrom is not stored.
   Result<ImportGrant> GrantImport(const BlockScope& aScope,
                                   const std::vector<Digest>& aBlocks,
                                   std::uint64_t aFrom,
                                   std::uint64_t aTo);
 
-  // Tells that an import arrived and its blocks need no pin any more.
+  // Ends an import that has arrived, and releases its pins.
   void OnImported(const ImportGrant& aGrant, Duration aElapsed);
 
-  // Tells that an import failed. Blocks that the reader found wrong are drained.
-  void OnImportFailed(const ImportGrant& aGrant, const std::vector<Digest>& aWrong);
+  // Ends an import that has failed. Blocks that the reader found corrupt are drained.
+  void OnImportFailed(const ImportGrant& aGrant, const std::vector<Digest>& aCorrupt);
 
-  // Permits the export of some of the blocks that are missing here. Fails with NotFound when
-  // nothing is worth exporting, and with Overloaded when the link or the store has nothing left
-  // now.
+  // Grants the export of the first missing blocks. Fails with NotFound when no block is missing or
+  // worth exporting or the store has no space, and with Overloaded when the link's budget is used
+  // up.
   Result<ExportGrant> GrantExport(const HashedPrompt& aPrompt);
 
-  // Counts a prompt as answered once; see ReturnPredictor.
+  // Counts a prompt as answered; see ReturnPredictor.
   void OnAnswered(const HashedPrompt& aPrompt);
 
-  // Seals what arrived and gives up the rest of the grant.
+  // Ends an export: seals the blocks that arrived and abandons the others.
   void OnExported(const ExportGrant& aGrant,
                   const std::vector<ExportedBlock>& aExported,
                   Duration aElapsed);
 
-  // Drops what the settings no longer allow.
+  // Drains the blocks of a withdrawn weight version.
   void DrainVersion(const ModelName& aModel, const WeightVersion& aVersion)
   {
     this->directory.DrainVersion(aModel, aVersion);
   }
 
-  // Lets leases run out. Requires to be called now and then.
+  // Ends expired pins and reservations. Call it periodically.
   void Expire() { this->directory.Expire(); }
 
-  // Orders for the store since the last call.
+  // Return the commands for the store since the last call.
   std::vector<BlockCommand> TakeFreed() { return this->directory.TakeFreed(); }
   std::vector<BlockCommand> TakeDemoted() { return this->directory.TakeDemoted(); }
 
--- a/include/damasklink/coordination/StoreMessages.h
+++ b/include/damasklink/coordination/StoreMessages.h
@@ -1,4 +1,4 @@
-// What hosts and owners of stores tell each other, as typed messages.
+// Messages between hosts and the owners of stores.
 #pragma once
 
 #include <variant>
@@ -10,12 +10,12 @@
 
 namespace damasklink {
 
-// Pairs an answer with its question; counted by the asking host.
+// Matches an answer to its question; assigned by the asking host.
 using QuestionNumber = NumberId<struct QuestionNumberTag>;
-// A grant of an owner that waits for its outcome.
+// Identifies a grant of an owner until its outcome is reported.
 using GrantId = NumberId<struct GrantIdTag>;
 
-// Tells who owns a store.
+// Announces the owner of a store.
 struct OwnerNotice
 {
   StoreId store;
@@ -30,17 +30,18 @@
   LookUp = 1,
   Import = 2,
   Export = 3,
-  Answered = 4, // Needs no answer.
+  Answered = 4, // Reports that the prompt was answered; needs no reply.
 };
 
+// A question to the owner of a store.
 struct StoreQuestion
 {
   QuestionNumber number;
   QuestionKind kind = QuestionKind::LookUp;
   StoreId store;
-  // The prompt's blocks and what is known of it; the weights and rate matter to exports only.
+  // The prompt. Its objective and prefill rate are used for exports only.
   HashedPrompt prompt;
-  // Blocks to import.
+  // Import: the range [from, to) of the prompt's blocks.
   std::uint64_t from = 0;
   std::uint64_t to = 0;
 };
@@ -48,26 +49,27 @@
 enum class AnswerStatus : std::uint8_t
 {
   Granted = 1,
-  Busy = 2,    // Ask again in a moment.
-  Nothing = 3, // Nothing is kept, or worth keeping.
-  NotOwner = 4,
+  Busy = 2,     // The budget of the store's link is used up; ask again in a moment.
+  Nothing = 3,  // Nothing is stored, or nothing is worth exporting or fits.
+  NotOwner = 4, // This host does not own the store.
 };
 
+// The owner's answer to a StoreQuestion.
 struct StoreAnswer
 {
   QuestionNumber number;
   AnswerStatus status = AnswerStatus::Nothing;
-  // What a look-up found.
+  // Look-up: the stored start of the prompt.
   StoredPrefix kept;
   FencingNumber fencing;
   GrantId grant;
-  // How long the grant holds from when it was given.
+  // How long the grant is valid after it was issued.
   Duration valid{ 0 };
-  // Of an import: the blocks to read. Of an export: name, generation and length to write.
+  // Import: the blocks to read. Export: the blocks to write, without checksums.
   std::vector<ExportedBlock> blocks;
 };
 
-// What came of a grant.
+// Result of a granted transfer.
 struct StoreOutcome
 {
   StoreId store;
@@ -76,7 +78,7 @@
   Duration elapsed{ 0 };
   // Whether the bytes arrived.
   bool moved = false;
-  // Of an export: what was written. Of an import: what was found wrong.
+  // Export: the blocks that were written. Import: the blocks that the reader found corrupt.
   std::vector<ExportedBlock> blocks;
 };
 
--- a/include/damasklink/coordination/StoredPartIndex.h
+++ b/include/damasklink/coordination/StoredPartIndex.h
@@ -1,13 +1,13 @@
-// Where the parts of prompts are stored, as one control host states it.
+// Index of which store has which prompt parts, as one control host reports it.
 //
 //   StoredPartIndex stored;
 //   stored.SetStores(config.services);
-//   stored.Apply(statement);
-//   const PromptStore* from = stored.Find(key);        // Whole there, and readable.
-//   const PromptStore* to = stored.SelectStore(part);       // Where it is to be saved.
+//   stored.Apply(update);
+//   const PromptStore* from = stored.Find(part, zone, {});  // A store to fetch the part from.
+//   const PromptStore* to = stored.SelectStore(part);       // The store to save the part to.
 //
-// The words of two control hosts about one store cannot be put in order, so each has an object of
-// its own. A part that is not certainly whole is never read. Not thread-safe.
+// Updates of different control hosts about one store have no common order, so each control host
+// needs an index of its own. A part is found only if it is known to be complete. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -21,15 +21,16 @@
 
 namespace damasklink {
 
-// A store as the configuration declares it, and what is known of it.
+// A store from the configuration, and its content.
 struct PromptStore
 {
-  // Its address as text.
+  // Address and port.
   std::string name;
   PromptStoreTraits traits;
+  // Whether the control host can reach the store.
   bool live = false;
   std::uint64_t storedTokens = 0;
-  // Of parts that are not whole; they take up space all the same.
+  // Space taken by incomplete parts.
   std::uint64_t reservedTokens = 0;
   absl::flat_hash_map<PartKey, TokenCount> parts;
 };
@@ -37,36 +38,33 @@
 class StoredPartIndex
 {
 public:
-  // Share of a store up to which parts are sent to it: what is on its way has no place in the
-  // figures yet.
+  // Stores are filled up to this ratio only, since parts in transfer are not counted yet.
   static constexpr double kMaxFillRatio = 0.95;
 
-  // Takes the stores of a configuration; what is known of those that stay is kept.
+  // Sets the stores of a configuration. Stores that were present before keep their content.
   void SetStores(const std::vector<ServingService>& aServices);
 
-  // Takes what the control host states. A store that the configuration does not name is ignored.
-  void Apply(const StoreStatement& aStatement);
+  // Applies an update from the control host. Ignores stores that are not in the configuration.
+  void Apply(const StoreStatement& aUpdate);
 
   // Returns the names of all stores.
   std::vector<std::string> StoreNames() const;
 
-  // How many stores the control host hears.
+  // Returns the number of stores that the control host can reach.
   std::size_t CountLiveStores() const;
 
-  // Returns the store from which a target in the zone reads the part soonest, or null when none
-  // surely holds it whole.
-  // Stores whose names are in aAvoided are passed over.
+  // Returns the store from which a target in the zone gets the part fastest, or null if no store is
+  // known to have all of it. Stores whose names are in aAvoided are skipped.
   const PromptStore* Find(const SizedPart& aPart,
                           const ZoneId& aZone,
                           const std::set<std::string>& aAvoided) const;
 
-  // Returns the store that a part belongs into, the same on all hosts: a weighted choice by the
-  // part's key among stores with room. Null while that store is not live: it comes back within
-  // seconds, and all its parts at once would overrun the others.
+  // Returns the store that a part is to be saved to, the same on all hosts: weighted rendezvous
+  // hashing by the part's key among the stores with space. Returns null while the selected store is
+  // not live, since it usually returns within seconds and its parts would overload the others.
   const PromptStore* SelectStore(const SizedPart& aPart) const;
 
-  // Returns how long reading so many tokens from the store takes within its zone, without waiting,
-  // in milliseconds.
+  // Returns the time in milliseconds to transfer aTokens from an idle store within its zone.
   double TransferTime(const PromptStore& aStore, TokenCount aTokens) const;
 
 private:
--- a/src/coordination/BlockDirectory.cpp
+++ b/src/coordination/BlockDirectory.cpp
@@ -11,9 +11,9 @@
 
 constexpr std::size_t kHexDigitsPerWord = 16;
 constexpr int kHexBase = 16;
-// Generations that one owner can give before it would reach those of the next one.
+// The low bits of a generation count within one owner's lease; the fencing number stands above.
 constexpr unsigned kGenerationBits = 32;
-// Blocks used within this time rank alike.
+// Blocks used within this time have the same age for ranking.
 constexpr Duration kMinRankAge = std::chrono::seconds(60);
 
 auto
@@ -21,7 +21,7 @@
 {
   return Fail(ErrorKind::Conflict,
               Concat("the block is not ", aWhat, " in this generation"),
-              "give the export up; the prompt is computed again when it returns");
+              "abort the export; the prompt is computed again when it returns");
 }
 
 std::string
@@ -56,7 +56,7 @@
 {
   this->earliestFree = this->clock.MonotonicNow() + this->options.pinLease;
   for (const BlockHeader& header : aInventory) {
-    // An honest store holds no generation that this owner has yet to give.
+    // A correct store holds no generation that this owner has not issued yet.
     const bool fromLater = header.generation.Value() >= this->nextGeneration;
     if (fromLater || this->slots.contains(NameOf(header.block))) {
       continue;
@@ -82,13 +82,14 @@
                         PromptKind aKind)
 {
   if (this->slots.contains(NameOf(aBlock))) {
-    return Fail(ErrorKind::Conflict, "the block is kept already", "export only the others");
+    return Fail(
+      ErrorKind::Conflict, "the block is in the store already", "export only the missing blocks");
   }
   const double rank = this->RankOf(aKind, Duration(0));
   if (!this->MakeRoom(StoreTier::Memory, aLength.Value(), rank)) {
     return Fail(ErrorKind::Overloaded,
-                "the store has no room for the block",
-                "keep it elsewhere or give the store more memory or disk");
+                "the store has no space for the block",
+                "use another store or give this one more memory or disk");
   }
   const Slot slot = this->AddRecord(aBlock, aScope, aKind);
   Record& record = this->records[slot];
@@ -150,7 +151,7 @@
 {
   const Slot slot = this->FindSealed(aBlock, this->KnownScope(aScope));
   if (slot == kNoSlot) {
-    return Fail(ErrorKind::NotFound, "the block is not kept", "compute the prompt");
+    return Fail(ErrorKind::NotFound, "the block is not in the store", "compute the prompt");
   }
   Record& found = this->records[slot];
   ++found.pins;
@@ -213,7 +214,7 @@
 PrefixMatch
 BlockDirectory::LookUp(const std::vector<Digest>& aBlocks, const BlockScope& aScope)
 {
-  PrefixMatch kept;
+  PrefixMatch match;
   const MonotonicTime now = this->clock.MonotonicNow();
   const std::uint32_t scope = this->KnownScope(aScope);
   for (const Digest& block : aBlocks) {
@@ -224,10 +225,10 @@
     this->Unlink(slot);
     this->records[slot].lastUsed = now;
     this->Link(slot);
-    ++kept.blocks;
-    kept.bytes = ByteCount(kept.bytes.Value() + this->records[slot].length);
+    ++match.blocks;
+    match.bytes = ByteCount(match.bytes.Value() + this->records[slot].length);
   }
-  return kept;
+  return match;
 }
 
 void
@@ -406,11 +407,11 @@
 BlockDirectory::MakeRoom(StoreTier aTier, std::uint64_t aBytes, double aRank)
 {
   const bool toMemory = aTier == StoreTier::Memory;
-  const std::uint64_t most = (toMemory ? this->options.memory : this->options.disk).Value();
-  if (aBytes > most) {
+  const std::uint64_t capacity = (toMemory ? this->options.memory : this->options.disk).Value();
+  if (aBytes > capacity) {
     return false;
   }
-  while (this->UsedBytes(aTier) + aBytes > most) {
+  while (this->UsedBytes(aTier) + aBytes > capacity) {
     double rank = 0;
     const Slot lowest = this->FindLowestRanked(aTier, rank);
     if (lowest == kNoSlot || rank >= aRank) {
@@ -427,7 +428,7 @@
       this->demoted.push_back({ DigestOfName(record.name), record.generation });
       continue;
     }
-    // Draining gives no room yet while pins of an earlier owner may be alive.
+    // Draining frees no space while pins of an earlier owner may still be valid.
     if (this->clock.MonotonicNow() < this->earliestFree) {
       return false;
     }
--- a/src/coordination/BlockHeader.cpp
+++ b/src/coordination/BlockHeader.cpp
@@ -16,7 +16,7 @@
 {
   return Fail(ErrorKind::Corrupt,
               Concat("a block read from a store differs in its ", aField),
-              "drop it and compute the prompt; the store's slot was reused or damaged");
+              "discard it and compute the prompt; the store's slot was reused or damaged");
 }
 
 } // namespace
@@ -31,27 +31,27 @@
 }
 
 Result<void>
-CheckBlock(const BlockHeader& aOrdered, const BlockHeader& aFound, std::string_view aContent)
+CheckBlock(const BlockHeader& aExpected, const BlockHeader& aFound, std::string_view aContent)
 {
-  if (aOrdered.block != aFound.block) {
+  if (aExpected.block != aFound.block) {
     return Mismatch("name");
   }
-  if (aOrdered.scope.workspace != aFound.scope.workspace) {
+  if (aExpected.scope.workspace != aFound.scope.workspace) {
     return Mismatch("workspace");
   }
-  if (aOrdered.scope.version != aFound.scope.version) {
+  if (aExpected.scope.version != aFound.scope.version) {
     return Mismatch("weight version");
   }
-  if (aOrdered.scope != aFound.scope) {
+  if (aExpected.scope != aFound.scope) {
     return Mismatch("model or adapter");
   }
-  if (aOrdered.generation != aFound.generation) {
+  if (aExpected.generation != aFound.generation) {
     return Mismatch("generation");
   }
-  if (aOrdered.length != aFound.length || aContent.size() != aOrdered.length.Value()) {
+  if (aExpected.length != aFound.length || aContent.size() != aExpected.length.Value()) {
     return Mismatch("length");
   }
-  if (aOrdered.checksum != aFound.checksum || ChecksumOf(aContent) != aOrdered.checksum) {
+  if (aExpected.checksum != aFound.checksum || ChecksumOf(aContent) != aExpected.checksum) {
     return Mismatch("checksum");
   }
   return Success();
--- a/src/coordination/BlockNames.cpp
+++ b/src/coordination/BlockNames.cpp
@@ -14,7 +14,7 @@
 
 using RawDigest = std::array<unsigned char, SHA256_DIGEST_LENGTH>;
 
-// The length in front keeps ("ab", "c") apart from ("a", "bc").
+// The length prefix distinguishes ("ab", "c") from ("a", "bc").
 void
 AppendField(std::string& aTo, const std::string& aField)
 {
@@ -30,7 +30,7 @@
 }
 
 RawDigest
-RootOf(const BlockScope& aScope)
+DigestOfScope(const BlockScope& aScope)
 {
   std::string text;
   AppendField(text, aScope.workspace.Value());
@@ -64,7 +64,7 @@
 {
   std::vector<Digest> names;
   names.reserve(aTokens.size() / aBlockTokens);
-  RawDigest chain = RootOf(aScope);
+  RawDigest chain = DigestOfScope(aScope);
   std::string bytes(chain.size() + (aBlockTokens * kBytesPerToken), '\0');
   for (std::size_t at = 0; at + aBlockTokens <= aTokens.size(); at += aBlockTokens) {
     std::memcpy(bytes.data(), chain.data(), chain.size());
@@ -81,9 +81,9 @@
   const std::string& text = aBlock.Value();
   std::array<std::uint64_t, 2> words{};
   std::memcpy(words.data(), text.data(), std::min(text.size(), sizeof(words)));
-  // Any odd constant with well-spread bits does; the text is a digest and thus even already.
-  constexpr std::uint64_t kSpread = 0x9E3779B97F4A7C15ULL;
-  return (words[0] * kSpread) ^ (words[1] + (words[0] >> 32U));
+  // Any odd constant with well-distributed bits will do: the input is a digest, thus uniform.
+  constexpr std::uint64_t kMultiplier = 0x9E3779B97F4A7C15ULL;
+  return (words[0] * kMultiplier) ^ (words[1] + (words[0] >> 32U));
 }
 
 } // namespace damasklink
--- a/src/coordination/EngineCacheModel.cpp
+++ b/src/coordination/EngineCacheModel.cpp
@@ -8,15 +8,15 @@
   Cache& cache = this->targets[aTarget];
   for (const SizedPart& part : aParts) {
     const auto [position, isNew] = cache.parts.try_emplace(part.key);
-    Held& held = position->second;
+    CachedPart& cached = position->second;
     if (isNew) {
-      held.tokens = part.tokens.Value();
-      cache.tokens += held.tokens;
+      cached.tokens = part.tokens.Value();
+      cache.tokens += cached.tokens;
     }
-    held.stamp = ++cache.lastStamp;
-    cache.uses.push_back(Use{ part.key, held.stamp });
+    cached.stamp = ++cache.lastStamp;
+    cache.uses.push_back(Use{ part.key, cached.stamp });
   }
-  this->Trim(cache);
+  this->Evict(cache);
 }
 
 std::size_t
@@ -41,18 +41,18 @@
 }
 
 void
-EngineCacheModel::Trim(Cache& aCache) const
+EngineCacheModel::Evict(Cache& aCache) const
 {
   while (!aCache.uses.empty()) {
     const Use& oldest = aCache.uses.front();
-    const auto held = aCache.parts.find(oldest.key);
-    const bool usedLater = held == aCache.parts.end() || held->second.stamp != oldest.stamp;
+    const auto cached = aCache.parts.find(oldest.key);
+    const bool usedLater = cached == aCache.parts.end() || cached->second.stamp != oldest.stamp;
     if (!usedLater) {
       if (aCache.tokens <= this->capacity) {
         return;
       }
-      aCache.tokens -= held->second.tokens;
-      aCache.parts.erase(held);
+      aCache.tokens -= cached->second.tokens;
+      aCache.parts.erase(cached);
     }
     aCache.uses.pop_front();
   }
--- a/src/coordination/EventFramer.cpp
+++ b/src/coordination/EventFramer.cpp
@@ -9,15 +9,16 @@
 
 constexpr std::string_view kIdField = "id:";
 
-// Returns where the last whole event ends, 0 for none. Lines end with LF or CR LF.
+// Returns the end of the last complete event, 0 if there is none. Lines end with LF or CR LF.
 std::size_t
-EndOfWholeEvents(std::string_view aBytes)
+FindEndOfLastEvent(std::string_view aBytes)
 {
   std::size_t end = 0;
-  for (const std::string_view mark : { std::string_view("\n\n"), std::string_view("\n\r\n") }) {
-    const std::size_t found = aBytes.rfind(mark);
+  for (const std::string_view separator :
+       { std::string_view("\n\n"), std::string_view("\n\r\n") }) {
+    const std::size_t found = aBytes.rfind(separator);
     if (found != std::string_view::npos) {
-      end = std::max(end, found + mark.size());
+      end = std::max(end, found + separator.size());
     }
   }
   return end;
@@ -28,27 +29,27 @@
 std::string
 EventFramer::Append(std::string_view aBytes)
 {
-  this->rest.append(aBytes);
-  const std::size_t end = EndOfWholeEvents(this->rest);
+  this->buffer.append(aBytes);
+  const std::size_t end = FindEndOfLastEvent(this->buffer);
   if (end == 0) {
     return "";
   }
-  std::string whole = this->rest.substr(0, end);
-  this->rest.erase(0, whole.size());
-  this->UpdateLastId(whole);
-  return whole;
+  std::string events = this->buffer.substr(0, end);
+  this->buffer.erase(0, events.size());
+  this->UpdateLastId(events);
+  return events;
 }
 
 std::string
 EventFramer::DiscardPartialEvent()
 {
-  return std::exchange(this->rest, {});
+  return std::exchange(this->buffer, {});
 }
 
 void
 EventFramer::UpdateLastId(std::string_view aEvents)
 {
-  // Only the last id counts.
+  // Only the last id is needed. It must be at the beginning of a line.
   std::size_t at = aEvents.rfind(kIdField);
   while (at != std::string_view::npos && at > 0 && aEvents[at - 1] != '\n') {
     at = aEvents.rfind(kIdField, at - 1);
--- a/src/coordination/LeasedStore.cpp
+++ b/src/coordination/LeasedStore.cpp
@@ -3,9 +3,10 @@
 namespace damasklink {
 namespace {
 
-// A version that no engine has served for so long is withdrawn.
+// A version that no engine has served for this long is drained.
 constexpr Duration kUnservedTimeout = std::chrono::seconds(60);
-// A reader gets less than its pin holds, for the answer's way and for clocks that differ in speed.
+// Readers are granted this much less than the lifetime of the pin, to allow for the latency of the
+// answer and for clock drift.
 constexpr Duration kPinMargin = std::chrono::seconds(1);
 
 AnswerStatus
@@ -20,14 +21,14 @@
   : clock(aClock)
   , fencing(aFencing)
   , options(aOptions)
-  , owner(aClock, aFencing, std::move(aOptions))
+  , manager(aClock, aFencing, std::move(aOptions))
 {
 }
 
 void
 LeasedStore::Rebuild(const std::vector<BlockHeader>& aInventory)
 {
-  this->owner.Rebuild(aInventory);
+  this->manager.Rebuild(aInventory);
   this->ready = true;
 }
 
@@ -59,7 +60,7 @@
       this->AnswerExport(aQuestion, answer);
       break;
     case QuestionKind::Answered:
-      this->owner.OnAnswered(aQuestion.prompt);
+      this->manager.OnAnswered(aQuestion.prompt);
       break;
   }
   return answer;
@@ -68,7 +69,7 @@
 void
 LeasedStore::AnswerLookUp(const StoreQuestion& aQuestion, StoreAnswer& aAnswer)
 {
-  aAnswer.kept = this->owner.LookUp(aQuestion.prompt.scope, aQuestion.prompt.blocks);
+  aAnswer.kept = this->manager.LookUp(aQuestion.prompt.scope, aQuestion.prompt.blocks);
   aAnswer.status = aAnswer.kept.blocks > 0 ? AnswerStatus::Granted : AnswerStatus::Nothing;
 }
 
@@ -76,7 +77,7 @@
 LeasedStore::AnswerImport(const StoreQuestion& aQuestion, StoreAnswer& aAnswer)
 {
   const HashedPrompt& prompt = aQuestion.prompt;
-  auto grant = this->owner.GrantImport(prompt.scope, prompt.blocks, aQuestion.from, aQuestion.to);
+  auto grant = this->manager.GrantImport(prompt.scope, prompt.blocks, aQuestion.from, aQuestion.to);
   if (!grant) {
     aAnswer.status = StatusOf(grant.error());
     return;
@@ -93,7 +94,7 @@
 void
 LeasedStore::AnswerExport(const StoreQuestion& aQuestion, StoreAnswer& aAnswer)
 {
-  auto grant = this->owner.GrantExport(aQuestion.prompt);
+  auto grant = this->manager.GrantExport(aQuestion.prompt);
   if (!grant) {
     aAnswer.status = StatusOf(grant.error());
     return;
@@ -131,30 +132,30 @@
 LeasedStore::FinishGrant(const OpenGrant& aGrant, const StoreOutcome& aOutcome)
 {
   if (!aGrant.exportGrant.blocks.empty()) {
-    this->owner.OnExported(aGrant.exportGrant, aOutcome.blocks, aOutcome.elapsed);
+    this->manager.OnExported(aGrant.exportGrant, aOutcome.blocks, aOutcome.elapsed);
     return;
   }
   if (aOutcome.moved && aOutcome.blocks.empty()) {
-    this->owner.OnImported(aGrant.importGrant, aOutcome.elapsed);
+    this->manager.OnImported(aGrant.importGrant, aOutcome.elapsed);
     return;
   }
-  std::vector<Digest> wrong;
+  std::vector<Digest> corrupt;
   for (const ExportedBlock& block : aOutcome.blocks) {
-    wrong.push_back(block.block);
+    corrupt.push_back(block.block);
   }
-  this->owner.OnImportFailed(aGrant.importGrant, wrong);
+  this->manager.OnImportFailed(aGrant.importGrant, corrupt);
 }
 
 void
 LeasedStore::OnServed(const std::set<ModelVersion>& aServed)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  for (const ModelVersion& version : this->owner.Directory().Versions()) {
-    const auto [seen, fresh] = this->lastServed.try_emplace(version, now);
+  for (const ModelVersion& version : this->manager.Directory().Versions()) {
+    const auto [served, inserted] = this->lastServed.try_emplace(version, now);
     if (aServed.contains(version)) {
-      seen->second = now;
-    } else if (now - seen->second >= kUnservedTimeout) {
-      this->owner.DrainVersion(version.first, version.second);
+      served->second = now;
+    } else if (now - served->second >= kUnservedTimeout) {
+      this->manager.DrainVersion(version.first, version.second);
     }
   }
 }
@@ -171,19 +172,19 @@
     this->FinishGrant(grant->second, StoreOutcome());
     grant = this->grants.erase(grant);
   }
-  this->owner.Expire();
+  this->manager.Expire();
 }
 
 std::vector<BlockCommand>
 LeasedStore::TakeFreed()
 {
-  return this->HoldsLease() ? this->owner.TakeFreed() : std::vector<BlockCommand>();
+  return this->HoldsLease() ? this->manager.TakeFreed() : std::vector<BlockCommand>();
 }
 
 std::vector<BlockCommand>
 LeasedStore::TakeDemoted()
 {
-  return this->HoldsLease() ? this->owner.TakeDemoted() : std::vector<BlockCommand>();
+  return this->HoldsLease() ? this->manager.TakeDemoted() : std::vector<BlockCommand>();
 }
 
 } // namespace damasklink
--- a/src/coordination/LinkBudget.cpp
+++ b/src/coordination/LinkBudget.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr Duration kWindow = std::chrono::seconds(1);
-// How long a refused import holds exports back; it asks again sooner.
+// How long a refused import blocks exports; it is retried sooner than that.
 constexpr Duration kImportPriorityTime = std::chrono::milliseconds(200);
-// Weight of one more observation in the measured rate.
+// Weight of a new observation in the moving average of the rate.
 constexpr double kRateSmoothing = 0.3;
-// No caller waits longer for an import, whatever the weights.
+// Upper limit of the time that a caller waits for an import, whatever the weights.
 constexpr Duration kMaxImportTime = std::chrono::seconds(10);
 constexpr double kTokensPerRecomputeUnit = 1000;
 
@@ -65,10 +65,10 @@
 {
   const double seconds = std::chrono::duration<double>(aElapsed).count();
   if (seconds > 0) {
-    // Everything under way shared the link meanwhile.
+    // All transfers in flight shared the link during this time.
     const auto moved = static_cast<double>(std::max(aBytes.Value(), this->inFlight.Value()));
-    const auto most = static_cast<double>(this->budget.Value());
-    const double observed = std::min(most, moved / seconds);
+    const auto maxRate = static_cast<double>(this->budget.Value());
+    const double observed = std::min(maxRate, moved / seconds);
     this->rate += kRateSmoothing * (observed - this->rate);
   }
   this->RemoveInFlight(aBytes);
@@ -101,13 +101,14 @@
   const double mebibytes =
     static_cast<double>(aImport.bytes.Value()) / static_cast<double>(kMebibyte);
   const double computing = tokens / aImport.tokensPerSecond;
-  // Both ways priced alike; the price of time turns what is saved besides into seconds.
-  const double besides =
+  // Both alternatives are priced by the same weights. The difference in other costs is converted
+  // into seconds by the price of time.
+  const double otherSavings =
     (aWeights.recompute * tokens / kTokensPerRecomputeUnit) - (aWeights.link * mebibytes);
-  const double longest = std::chrono::duration<double>(kMaxImportTime).count();
-  const double seconds = aWeights.time > 0 ? computing + (besides / aWeights.time) : longest;
+  const double limit = std::chrono::duration<double>(kMaxImportTime).count();
+  const double seconds = aWeights.time > 0 ? computing + (otherSavings / aWeights.time) : limit;
   return std::chrono::duration_cast<Duration>(
-    std::chrono::duration<double>(std::clamp(seconds, 0.0, longest)));
+    std::chrono::duration<double>(std::clamp(seconds, 0.0, limit)));
 }
 
 bool
--- a/src/coordination/PrefixCacheIndex.cpp
+++ b/src/coordination/PrefixCacheIndex.cpp
@@ -49,11 +49,11 @@
 PrefixCacheIndex::OnSent(const TargetId& aTarget, const std::vector<Digest>& aBlocks)
 {
   const TargetNumber number = this->NumberOf(aTarget);
-  // From the end, as engines drop the end of a prompt before its beginning.
+  // In reverse order, since engines evict the end of a prompt before its beginning.
   for (auto block = aBlocks.rbegin(); block != aBlocks.rend(); ++block) {
     this->Add(number, BlockHint(*block));
   }
-  this->Trim(number);
+  this->Evict(number);
 }
 
 void
@@ -65,7 +65,8 @@
     return;
   }
   if (aEvent.incarnation > target.incarnation) {
-    // What was sent to an earlier life is gone with it; before the first event there was none.
+    // The cache of an earlier incarnation is lost. Before the first event the incarnation is
+    // unknown, and the blocks sent so far are kept.
     if (target.incarnation > Incarnation()) {
       this->Clear(number);
     }
@@ -86,7 +87,7 @@
   for (const Digest& block : aEvent.added) {
     this->Add(number, BlockHint(block));
   }
-  this->Trim(number);
+  this->Evict(number);
 }
 
 void
@@ -106,7 +107,7 @@
   for (const Digest& block : aSnapshot.blocks) {
     this->Add(number, BlockHint(block));
   }
-  this->Trim(number);
+  this->Evict(number);
 }
 
 std::vector<TargetId>
@@ -212,9 +213,9 @@
     return;
   }
   const auto matches = [&](const Holder& aHolder) { return aHolder.target == aTarget; };
-  const auto kept = std::remove_if(found->second.begin(), found->second.end(), matches);
-  this->targets[aTarget].blockCount -= static_cast<std::uint64_t>(found->second.end() - kept);
-  found->second.erase(kept, found->second.end());
+  const auto newEnd = std::remove_if(found->second.begin(), found->second.end(), matches);
+  this->targets[aTarget].blockCount -= static_cast<std::uint64_t>(found->second.end() - newEnd);
+  found->second.erase(newEnd, found->second.end());
   if (found->second.empty()) {
     this->holders.erase(found);
   }
@@ -237,7 +238,7 @@
 }
 
 void
-PrefixCacheIndex::Trim(TargetNumber aTarget)
+PrefixCacheIndex::Evict(TargetNumber aTarget)
 {
   TargetState& target = this->targets[aTarget];
   while (target.blockCount > this->maxBlocks) {
@@ -247,7 +248,7 @@
       this->Remove(aTarget, oldest.block);
     }
   }
-  // Uses that a later one replaced are dropped now and then, or the list would grow without end.
+  // Remove superseded uses once in a while, since the list would otherwise grow without bound.
   if (target.uses.size() > 2 * this->maxBlocks) {
     std::erase_if(target.uses, [&](const Use& aUse) { return !this->IsLastUse(aTarget, aUse); });
   }
--- a/src/coordination/PromptParts.cpp
+++ b/src/coordination/PromptParts.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Stands between the wall and the home regions, where there are any.
-constexpr char kHomeRegionsSeparator = ';';
+// Separates the workspace from the allowed regions, if there are any.
+constexpr char kAllowedRegionsSeparator = ';';
 
 } // namespace
 
@@ -20,8 +20,8 @@
 {
   std::string scope =
     Concat(aScope.model.Value(), "/", aScope.weights, "/", aScope.isolatedWorkspace.Value());
-  if (!aScope.homeRegions.empty()) {
-    scope += kHomeRegionsSeparator + aScope.homeRegions;
+  if (!aScope.allowedRegions.empty()) {
+    scope += kAllowedRegionsSeparator + aScope.allowedRegions;
   }
   return scope;
 }
@@ -29,7 +29,7 @@
 std::optional<PartScope>
 ParsePartScope(std::string_view aText)
 {
-  // Neither versions nor the names of workspaces hold a slash; a model's name may.
+  // Versions and workspace names contain no slash; a model name may.
   const std::size_t last = aText.rfind('/');
   const std::size_t middle =
     last == std::string_view::npos || last == 0 ? last : aText.rfind('/', last - 1);
@@ -39,10 +39,10 @@
   PartScope scope;
   scope.model = ModelName(std::string(aText.substr(0, middle)));
   const std::string_view owner = aText.substr(last + 1);
-  const std::size_t homes = owner.find(kHomeRegionsSeparator);
-  scope.isolatedWorkspace = WorkspaceId(std::string(owner.substr(0, homes)));
-  if (homes != std::string_view::npos) {
-    scope.homeRegions = std::string(owner.substr(homes + 1));
+  const std::size_t separator = owner.find(kAllowedRegionsSeparator);
+  scope.isolatedWorkspace = WorkspaceId(std::string(owner.substr(0, separator)));
+  if (separator != std::string_view::npos) {
+    scope.allowedRegions = std::string(owner.substr(separator + 1));
   }
   const std::string_view version = aText.substr(middle + 1, last - middle - 1);
   const char* end = version.data() + version.size();
@@ -54,7 +54,7 @@
 PartKey
 MakePartKey(std::string_view aScope, std::string_view aPart)
 {
-  // A character that neither text holds stands between them.
+  // The separator occurs in neither text.
   const DigestBytes digest = PackedDigestOf(Concat(aScope, "\n", aPart));
   std::uint64_t key = 0;
   std::memcpy(&key, digest.data(), sizeof(key));
--- a/src/coordination/PromptReuse.cpp
+++ b/src/coordination/PromptReuse.cpp
@@ -3,7 +3,7 @@
 namespace damasklink {
 namespace {
 
-// Engines count about four bytes of text as a token.
+// Estimate: a token is about four bytes of text.
 constexpr std::size_t kBytesPerToken = 4;
 
 } // namespace
--- a/src/coordination/RetryScheduler.cpp
+++ b/src/coordination/RetryScheduler.cpp
@@ -5,7 +5,7 @@
 
 namespace damasklink {
 
-// What was admitted counts by half as much after 0.7 s.
+// Exponential decay with a time constant of one second, a half-life of 0.7 s.
 void
 RetryScheduler::Decay()
 {
@@ -27,15 +27,15 @@
 {
   this->Decay();
   const MonotonicTime now = this->clock.MonotonicNow();
-  const double turnsASecond = std::max(kRetryRatio * this->admitted, 1.0);
-  const auto gap =
-    std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / turnsASecond));
-  const MonotonicTime turn = std::max(now + kMinRetryDelay, this->lastRetry + gap);
-  if (turn <= now + kMaxRetryDelay) {
-    this->lastRetry = turn;
-    return turn - now;
+  const double retriesPerSecond = std::max(kRetryRatio * this->admitted, 1.0);
+  const auto interval =
+    std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / retriesPerSecond));
+  const MonotonicTime retry = std::max(now + kMinRetryDelay, this->lastRetry + interval);
+  if (retry <= now + kMaxRetryDelay) {
+    this->lastRetry = retry;
+    return retry - now;
   }
-  // The queue is full: no turn is better than another.
+  // The schedule is full up to the maximum delay, so any delay is as good as another.
   std::uniform_int_distribution<Duration::rep> any(kMinRetryDelay.count(), kMaxRetryDelay.count());
   return Duration(any(this->random));
 }
--- a/src/coordination/ReturnPredictor.cpp
+++ b/src/coordination/ReturnPredictor.cpp
@@ -7,12 +7,12 @@
 namespace damasklink {
 namespace {
 
-// Returns the number of binary digits, so that lengths within a factor of two are alike.
+// Returns the number of binary digits, so that lengths within a factor of two are in one class.
 int
 LengthClass(TokenCount aTokens)
 {
   int digits = 0;
-  for (std::uint64_t rest = aTokens.Value(); rest > 0; rest /= 2) {
+  for (std::uint64_t value = aTokens.Value(); value > 0; value /= 2) {
     ++digits;
   }
   return digits;
--- a/src/coordination/SlowStoreDetector.cpp
+++ b/src/coordination/SlowStoreDetector.cpp
@@ -8,43 +8,44 @@
 namespace damasklink {
 
 void
-SlowStoreDetector::Observe(const std::string& aStore, double aExcess)
+SlowStoreDetector::Observe(const std::string& aStore, double aDelay)
 {
-  const double excess = std::max(aExcess, 0.0);
-  StoreExcess& note = this->unreported[aStore];
-  note.store = aStore;
-  ++note.count;
-  note.total += excess;
-  this->Add(aStore, 1, excess);
+  const double delay = std::max(aDelay, 0.0);
+  StoreExcess& observed = this->unreported[aStore];
+  observed.store = aStore;
+  ++observed.count;
+  observed.total += delay;
+  this->Add(aStore, 1, delay);
 }
 
 void
 SlowStoreDetector::Add(const std::string& aStore, std::uint64_t aCount, double aTotal)
 {
-  const double excess = aTotal / static_cast<double>(aCount);
-  Mean& mean = this->means[aStore];
-  // As if each of them had been added by itself.
+  const double delay = aTotal / static_cast<double>(aCount);
+  Average& average = this->averages[aStore];
+  // The same weight as if each observation had been added separately.
   const double weight = 1 - std::pow(1 - kSmoothing, static_cast<double>(aCount));
-  mean.excess = mean.observations == 0 ? excess : mean.excess + weight * (excess - mean.excess);
-  mean.observations = std::min(mean.observations + aCount, kMinObservations);
+  average.delay =
+    average.observations == 0 ? delay : average.delay + weight * (delay - average.delay);
+  average.observations = std::min(average.observations + aCount, kMinObservations);
 }
 
 std::vector<StoreExcess>
 SlowStoreDetector::TakeObservations()
 {
-  std::vector<StoreExcess> notes;
-  for (auto& [store, note] : std::exchange(this->unreported, {})) {
-    notes.push_back(std::move(note));
+  std::vector<StoreExcess> taken;
+  for (auto& [store, observed] : std::exchange(this->unreported, {})) {
+    taken.push_back(std::move(observed));
   }
-  return notes;
+  return taken;
 }
 
 void
-SlowStoreDetector::Merge(const std::vector<StoreExcess>& aNotes)
+SlowStoreDetector::Merge(const std::vector<StoreExcess>& aObservations)
 {
-  for (const StoreExcess& note : aNotes) {
-    if (note.count > 0) {
-      this->Add(note.store, note.count, note.total);
+  for (const StoreExcess& observed : aObservations) {
+    if (observed.count > 0) {
+      this->Add(observed.store, observed.count, observed.total);
     }
   }
 }
@@ -52,18 +53,18 @@
 bool
 SlowStoreDetector::IsSlow(const std::string& aStore, double aPrefillTime) const
 {
-  const auto found = this->means.find(aStore);
-  if (found == this->means.end() || found->second.observations < kMinObservations) {
+  const auto found = this->averages.find(aStore);
+  if (found == this->averages.end() || found->second.observations < kMinObservations) {
     return false;
   }
   std::optional<double> best;
-  for (const auto& [store, mean] : this->means) {
-    if (store != aStore && mean.observations >= kMinObservations) {
-      best = best ? std::min(*best, mean.excess) : mean.excess;
+  for (const auto& [store, average] : this->averages) {
+    if (store != aStore && average.observations >= kMinObservations) {
+      best = best ? std::min(*best, average.delay) : average.delay;
     }
   }
-  const double worthWaiting = std::max(kMinSlowMargin, kPrefillCostFactor * aPrefillTime);
-  return best && found->second.excess > 2 * *best + worthWaiting;
+  const double margin = std::max(kMinSlowMargin, kPrefillCostFactor * aPrefillTime);
+  return best && found->second.delay > 2 * *best + margin;
 }
 
 bool
--- a/src/coordination/StoreContentTracker.cpp
+++ b/src/coordination/StoreContentTracker.cpp
@@ -40,7 +40,7 @@
     } else {
       this->parts.erase(key);
       this->changes.removed.push_back(key);
-      // What left and came back within one batch must be stated in that order.
+      // Receivers apply removals before additions, so an earlier addition must be removed here.
       std::erase_if(this->changes.added, [&](const SizedPart& aPart) { return aPart.key == key; });
     }
     this->changed = true;
@@ -55,21 +55,21 @@
   for (const StoredPartEvent& part : aList.parts) {
     listed[KeyOf(part)] = part;
   }
-  std::map<PartKey, Unfinished> waiting;
+  std::map<PartKey, Unfinished> listedUnfinished;
   for (const UnfinishedPart& part : aList.unfinished) {
     const PartKey key = MakePartKey(part.name.scope, part.name.id);
     const auto before = this->unfinished.find(key);
     const bool same = sameEpoch && before != this->unfinished.end() && before->second.part == part;
-    waiting[key] = Unfinished{ part, same ? before->second.since : aNow };
+    listedUnfinished[key] = Unfinished{ part, same ? before->second.since : aNow };
   }
   const TokenCount reservedBefore = this->Reserved();
-  this->unfinished = std::move(waiting);
-  const bool news = !sameEpoch || listed != this->parts || this->Reserved() != reservedBefore;
+  this->unfinished = std::move(listedUnfinished);
+  const bool differs = !sameEpoch || listed != this->parts || this->Reserved() != reservedBefore;
   this->live = true;
   this->epoch = aList.epoch;
   this->next = aList.next;
   this->parts = std::move(listed);
-  if (news) {
+  if (differs) {
     this->changes = this->Snapshot();
     this->changed = true;
   }
@@ -104,48 +104,48 @@
 StoreStatement
 StoreContentTracker::Snapshot() const
 {
-  StoreStatement all;
-  all.store = this->store;
-  all.live = this->live;
-  all.whole = true;
-  all.reserved = this->Reserved();
+  StoreStatement snapshot;
+  snapshot.store = this->store;
+  snapshot.live = this->live;
+  snapshot.whole = true;
+  snapshot.reserved = this->Reserved();
   for (const auto& [key, part] : this->parts) {
-    all.added.push_back(SizedPart{ key, part.tokens });
+    snapshot.added.push_back(SizedPart{ key, part.tokens });
   }
-  return all;
+  return snapshot;
 }
 
 TokenCount
 StoreContentTracker::Reserved() const
 {
   std::uint64_t tokens = 0;
-  for (const auto& [key, waiting] : this->unfinished) {
-    tokens += waiting.part.reserved.Value();
+  for (const auto& [key, part] : this->unfinished) {
+    tokens += part.part.reserved.Value();
   }
   return TokenCount(tokens);
 }
 
 std::vector<PartName>
-StoreContentTracker::AbandonedParts(MonotonicTime aNow, std::size_t aMost) const
+StoreContentTracker::AbandonedParts(MonotonicTime aNow, std::size_t aMax) const
 {
-  std::vector<PartName> broken;
-  for (const auto& [key, waiting] : this->unfinished) {
-    if (broken.size() < aMost && aNow - waiting.since >= kAbandonedAfter) {
-      broken.push_back(waiting.part.name);
+  std::vector<PartName> abandoned;
+  for (const auto& [key, part] : this->unfinished) {
+    if (abandoned.size() < aMax && aNow - part.since >= kAbandonedAfter) {
+      abandoned.push_back(part.part.name);
     }
   }
-  return broken;
+  return abandoned;
 }
 
 std::vector<PartName>
 StoreContentTracker::PartsOfOlderWeights(const std::map<ModelName, std::uint64_t>& aWeights,
-                                         std::size_t aMost) const
+                                         std::size_t aMax) const
 {
   std::vector<PartName> old;
   for (const auto& [key, part] : this->parts) {
-    const std::optional<PartScope> facts = ParsePartScope(part.name.scope);
-    const auto least = facts ? aWeights.find(facts->model) : aWeights.end();
-    if (old.size() < aMost && least != aWeights.end() && facts->weights < least->second) {
+    const std::optional<PartScope> scope = ParsePartScope(part.name.scope);
+    const auto minimum = scope ? aWeights.find(scope->model) : aWeights.end();
+    if (old.size() < aMax && minimum != aWeights.end() && scope->weights < minimum->second) {
       old.push_back(part.name);
     }
   }
--- a/src/coordination/StoreLeases.cpp
+++ b/src/coordination/StoreLeases.cpp
@@ -9,14 +9,14 @@
 namespace damasklink {
 namespace {
 
-// Fields are texts with their length in front, so that any id may stand in them.
+// Writes a field as a length-prefixed string, so that it may contain any character.
 void
 AppendField(std::string& aTo, std::string_view aField)
 {
   aTo += Concat(aField.size(), ":", aField);
 }
 
-// Reads the fields that AppendField() wrote, from the front.
+// Reads fields written by AppendField() in order. After a malformed field every read fails.
 class FieldParser
 {
 public:
@@ -60,8 +60,8 @@
 MalformedLease()
 {
   return Fail(ErrorKind::Corrupt,
-              "the bytes are no store lease",
-              "run hosts of versions that are next to each other");
+              "malformed store lease",
+              "run hosts whose versions differ by at most one release");
 }
 
 void
@@ -136,15 +136,15 @@
   }
   const LeaseCommand& command = decoded.value();
   StoreLease& lease = this->leases[command.store];
-  const bool mine = lease.owner == command.host;
-  const bool lapsed = lease.until <= aContext.proposedAt;
+  const bool isOwner = lease.owner == command.host;
+  const bool expired = lease.until <= aContext.proposedAt;
   if (command.length <= Duration(0)) {
-    if (mine) {
+    if (isOwner) {
       lease.until = aContext.proposedAt;
     }
-  } else if (mine || lapsed) {
-    // After a lapse even the same host may have been away while others acted.
-    if (!mine || lapsed) {
+  } else if (isOwner || expired) {
+    // After the lease has expired, other hosts may have acted even if the owner is the same.
+    if (!isOwner || expired) {
       lease.fencing = lease.fencing.Next();
     }
     lease.owner = command.host;
--- a/src/coordination/StoreManager.cpp
+++ b/src/coordination/StoreManager.cpp
@@ -22,7 +22,7 @@
 LinkBusy()
 {
   return Fail(
-    ErrorKind::Overloaded, "the store's link has nothing left now", "ask again in a moment");
+    ErrorKind::Overloaded, "the budget of the store's link is used up", "retry in a moment");
 }
 
 } // namespace
@@ -41,13 +41,13 @@
 StoreManager::LookUp(const BlockScope& aScope, const std::vector<Digest>& aBlocks)
 {
   const bool returning = this->returns.OnPrompt(aBlocks);
-  const PrefixMatch kept = this->directory.LookUp(aBlocks, aScope);
+  const PrefixMatch match = this->directory.LookUp(aBlocks, aScope);
   StoredPrefix stored;
   stored.store = this->options.store;
-  stored.blocks = kept.blocks;
-  stored.tokens = TokenCount(kept.blocks * kBlockTokens);
-  stored.bytes = kept.bytes;
-  stored.freeBytesPerSecond = this->link.RateFor(kept.bytes);
+  stored.blocks = match.blocks;
+  stored.tokens = TokenCount(match.blocks * kBlockTokens);
+  stored.bytes = match.bytes;
+  stored.freeBytesPerSecond = this->link.RateFor(match.bytes);
   stored.returning = returning;
   return stored;
 }
@@ -71,7 +71,7 @@
     grant.blocks.push_back(pinned.value());
   }
   if (grant.blocks.empty()) {
-    return Fail(ErrorKind::NotFound, "the block is not kept", "compute the prompt");
+    return Fail(ErrorKind::NotFound, "the block is not in the store", "compute the prompt");
   }
   grant.bytes = ByteCount(bytes);
   if (!this->link.TryAcquire(Transfer::Import, grant.bytes)) {
@@ -93,11 +93,11 @@
 }
 
 void
-StoreManager::OnImportFailed(const ImportGrant& aGrant, const std::vector<Digest>& aWrong)
+StoreManager::OnImportFailed(const ImportGrant& aGrant, const std::vector<Digest>& aCorrupt)
 {
   for (const PinnedBlock& block : aGrant.blocks) {
     this->directory.Unpin(block.pin);
-    if (std::find(aWrong.begin(), aWrong.end(), block.header.block) != aWrong.end()) {
+    if (std::find(aCorrupt.begin(), aCorrupt.end(), block.header.block) != aCorrupt.end()) {
       this->directory.Drain(block.header.block, block.header.generation);
     }
   }
@@ -125,15 +125,16 @@
   if (!this->options.costBasedAdmission) {
     return true;
   }
-  const double share = this->returns.ReturnProbability(aKind);
+  const double probability = this->returns.ReturnProbability(aKind);
   const auto tokens = static_cast<double>(aMissing * kBlockTokens);
   const double seconds = aPrompt.prefillRate > 0 ? tokens / aPrompt.prefillRate : 0;
-  const double saved = share * ((aPrompt.objective.time * seconds) +
-                                (aPrompt.objective.recompute * tokens / kTokensPerRecomputeUnit));
+  const double saved =
+    probability * ((aPrompt.objective.time * seconds) +
+                   (aPrompt.objective.recompute * tokens / kTokensPerRecomputeUnit));
   const double mebibytes =
     static_cast<double>(aMissing * this->BlockBytes()) / static_cast<double>(kMebibyte);
-  // Written once, and read again when it returns.
-  const double price = aPrompt.objective.link * mebibytes * (1 + share);
+  // The blocks are written once, and read once more if the prompt returns.
+  const double price = aPrompt.objective.link * mebibytes * (1 + probability);
   return saved > price;
 }
 
@@ -141,10 +142,10 @@
 StoreManager::GrantExport(const HashedPrompt& aPrompt)
 {
   const PromptKind kind = this->KindOf(aPrompt);
-  const std::uint64_t kept = this->directory.LookUp(aPrompt.blocks, aPrompt.scope).blocks;
-  const std::uint64_t missing = aPrompt.blocks.size() - kept;
+  const std::uint64_t stored = this->directory.LookUp(aPrompt.blocks, aPrompt.scope).blocks;
+  const std::uint64_t missing = aPrompt.blocks.size() - stored;
   if (missing == 0 || !this->IsWorthExporting(aPrompt, missing, kind)) {
-    return Fail(ErrorKind::NotFound, "nothing is worth exporting", "");
+    return Fail(ErrorKind::NotFound, "no missing block is worth exporting", "");
   }
   const std::uint64_t count = std::min(missing, this->BlocksPerGrant());
   const ByteCount length(this->BlockBytes());
@@ -153,7 +154,7 @@
     return LinkBusy();
   }
   ExportGrant grant;
-  for (std::uint64_t at = kept; at < kept + count; ++at) {
+  for (std::uint64_t at = stored; at < stored + count; ++at) {
     auto reserved = this->directory.Reserve(aPrompt.blocks[at], aPrompt.scope, length, kind);
     if (reserved) {
       grant.blocks.push_back(reserved.value());
@@ -164,7 +165,7 @@
   grant.bytes = ByteCount(grant.blocks.size() * length.Value());
   this->link.OnUnused(ByteCount(wanted.Value() - grant.bytes.Value()));
   if (grant.blocks.empty()) {
-    return Fail(ErrorKind::NotFound, "the store has no room for what it lacks", "");
+    return Fail(ErrorKind::NotFound, "the store has no space for the missing blocks", "");
   }
   for (const ReservedBlock& block : grant.blocks) {
     (void)this->directory.BeginWriting(block.block, block.generation);
--- a/src/coordination/StoredPartIndex.cpp
+++ b/src/coordination/StoredPartIndex.cpp
@@ -7,7 +7,7 @@
 namespace damasklink {
 namespace {
 
-// Spreads a key and a number into one well-mixed number (the finalizer of SplitMix64).
+// Hashes a key and a number with the finalizer of SplitMix64.
 std::uint64_t
 Mix(std::uint64_t aKey, std::uint64_t aNumber)
 {
@@ -17,7 +17,7 @@
   return mixed ^ (mixed >> 31U);
 }
 
-// Weighted rendezvous: the store with the highest value gets the part.
+// Score for weighted rendezvous hashing; the store with the highest score gets the part.
 double
 RendezvousScore(std::uint64_t aKey, std::uint64_t aNumber, double aWeight)
 {
@@ -31,7 +31,7 @@
 void
 StoredPartIndex::SetStores(const std::vector<ServingService>& aServices)
 {
-  std::map<std::string, PromptStore> kept;
+  std::map<std::string, PromptStore> declared;
   for (const ServingService& service : aServices) {
     if (service.engine) {
       this->bytesPerToken = static_cast<double>(service.engine->bytesPerToken.Value());
@@ -41,14 +41,14 @@
     }
     const std::string address = FormatEndpoint(service.store->endpoint);
     const auto known = this->stores.find(address);
-    PromptStore& store = kept[address];
+    PromptStore& store = declared[address];
     if (known != this->stores.end()) {
       store = std::move(known->second);
     }
     store.name = address;
     store.traits = *service.store;
   }
-  this->stores = std::move(kept);
+  this->stores = std::move(declared);
 }
 
 std::vector<std::string>
@@ -69,27 +69,27 @@
 }
 
 void
-StoredPartIndex::Apply(const StoreStatement& aStatement)
+StoredPartIndex::Apply(const StoreStatement& aUpdate)
 {
-  const auto found = this->stores.find(FormatEndpoint(aStatement.store));
+  const auto found = this->stores.find(FormatEndpoint(aUpdate.store));
   if (found == this->stores.end()) {
     return;
   }
   PromptStore& store = found->second;
-  store.live = aStatement.live;
-  store.reservedTokens = aStatement.reserved.Value();
-  if (aStatement.whole || !aStatement.live) {
+  store.live = aUpdate.live;
+  store.reservedTokens = aUpdate.reserved.Value();
+  if (aUpdate.whole || !aUpdate.live) {
     store.parts.clear();
     store.storedTokens = 0;
   }
-  for (const PartKey key : aStatement.removed) {
+  for (const PartKey key : aUpdate.removed) {
     const auto part = store.parts.find(key);
     if (part != store.parts.end()) {
       store.storedTokens -= part->second.Value();
       store.parts.erase(part);
     }
   }
-  for (const SizedPart& part : aStatement.added) {
+  for (const SizedPart& part : aUpdate.added) {
     if (store.parts.emplace(part.key, part.tokens).second) {
       store.storedTokens += part.tokens.Value();
     }
@@ -102,19 +102,19 @@
                       const std::set<std::string>& aAvoided) const
 {
   const PromptStore* best = nullptr;
-  double least = 0;
+  double shortest = 0;
   for (const auto& [address, store] : this->stores) {
     const auto part = store.parts.find(aPart.key);
-    const bool whole = store.live && part != store.parts.end() && part->second >= aPart.tokens;
-    if (!whole || aAvoided.contains(address)) {
+    const bool complete = store.live && part != store.parts.end() && part->second >= aPart.tokens;
+    if (!complete || aAvoided.contains(address)) {
       continue;
     }
     // A transfer between zones takes twice as long.
-    const double way = store.traits.zone == aZone ? 1 : 2;
-    const double time = way * this->TransferTime(store, aPart.tokens);
-    if (best == nullptr || time < least) {
+    const double zoneFactor = store.traits.zone == aZone ? 1 : 2;
+    const double time = zoneFactor * this->TransferTime(store, aPart.tokens);
+    if (best == nullptr || time < shortest) {
       best = &store;
-      least = time;
+      shortest = time;
     }
   }
   return best;
@@ -124,7 +124,7 @@
 StoredPartIndex::SelectStore(const SizedPart& aPart) const
 {
   const PromptStore* best = nullptr;
-  double most = 0;
+  double highest = 0;
   std::uint64_t number = 0;
   for (const auto& [address, store] : this->stores) {
     ++number;
@@ -134,12 +134,12 @@
     if (store.live && needed > capacity * kMaxFillRatio) {
       continue;
     }
-    // By the speed of their links, as these are what is short; a store that is full is left out.
+    // Weighted by link rate, since links are the bottleneck; full stores are excluded above.
     const double weight = std::max(store.traits.linkRate, 1.0);
-    const double attraction = RendezvousScore(aPart.key.Value(), number, weight);
-    if (best == nullptr || attraction > most) {
+    const double score = RendezvousScore(aPart.key.Value(), number, weight);
+    if (best == nullptr || score > highest) {
       best = &store;
-      most = attraction;
+      highest = score;
     }
   }
   return best != nullptr && best->live ? best : nullptr;
--- a/src/coordination/StreamAssembler.cpp
+++ b/src/coordination/StreamAssembler.cpp
@@ -14,15 +14,17 @@
 Result<std::string>
 StreamAssembler::Accept(const AnswerFrame& aFrame)
 {
-  const bool foreign = aFrame.attempt != this->attempt;
-  const bool repeated = aFrame.offset < this->nextOffset;
-  if (foreign || repeated || this->complete) {
+  const bool otherAttempt = aFrame.attempt != this->attempt;
+  const bool duplicate = aFrame.offset < this->nextOffset;
+  if (otherAttempt || duplicate || this->complete) {
     return std::string();
   }
   if (aFrame.offset > this->nextOffset) {
-    return Fail(ErrorKind::Interrupted,
-                Concat("the answer jumps from token ", this->nextOffset, " to ", aFrame.offset),
-                "resume the stream at the missing token");
+    return Fail(
+      ErrorKind::Interrupted,
+      Concat(
+        "gap in the answer: expected token ", this->nextOffset, ", received token ", aFrame.offset),
+      "resume the stream at the missing token");
   }
   this->nextOffset += aFrame.tokens;
   if (aFrame.end) {
--- a/test/coordination/BlockDirectoryTest.cpp
+++ b/test/coordination/BlockDirectoryTest.cpp
@@ -31,7 +31,7 @@
 }
 
 DirectoryOptions
-Room(std::uint64_t aMemoryBlocks, std::uint64_t aDiskBlocks)
+Capacity(std::uint64_t aMemoryBlocks, std::uint64_t aDiskBlocks)
 {
   DirectoryOptions options;
   options.memory = ByteCount(aMemoryBlocks * kLength.Value());
@@ -42,7 +42,7 @@
 class BlockDirectoryTest : public testing::Test
 {
 protected:
-  Generation Keep(BlockDirectory& aDirectory, int aNumber, PromptKind aKind = 0)
+  Generation StoreBlock(BlockDirectory& aDirectory, int aNumber, PromptKind aKind = 0)
   {
     const auto reserved = aDirectory.Reserve(Block(aNumber), kScope, kLength, aKind);
     const Generation generation = reserved.value().generation;
@@ -55,7 +55,7 @@
   ManualClock clock;
   ReturnPredictor returns{ ReturnPredictorOptions{} };
   PromptKind kind = this->returns.KindOf(WorkspaceId("water"), TokenCount(64), false);
-  BlockDirectory directory{ this->clock, FencingNumber(1), Room(2, 0), this->returns };
+  BlockDirectory directory{ this->clock, FencingNumber(1), Capacity(2, 0), this->returns };
 };
 
 TEST_F(BlockDirectoryTest, PinsOnlySealedBlocks)
@@ -89,7 +89,7 @@
 
 TEST_F(BlockDirectoryTest, FreesDrainedBlockAfterLastUnpin)
 {
-  const Generation generation = this->Keep(this->directory, 1);
+  const Generation generation = this->StoreBlock(this->directory, 1);
   const auto pinned = this->directory.Pin(Block(1), kScope).value();
   this->directory.Drain(Block(1), generation);
   EXPECT_FALSE(this->directory.Pin(Block(1), kScope));
@@ -102,7 +102,7 @@
 
 TEST_F(BlockDirectoryTest, PinExpiresWithItsLease)
 {
-  const Generation generation = this->Keep(this->directory, 1);
+  const Generation generation = this->StoreBlock(this->directory, 1);
   ASSERT_TRUE(this->directory.Pin(Block(1), kScope));
   this->directory.Drain(Block(1), generation);
   this->clock.Advance(seconds(10));
@@ -112,7 +112,7 @@
 
 TEST_F(BlockDirectoryTest, RejectsReadsFromAnotherScope)
 {
-  this->Keep(this->directory, 1);
+  this->StoreBlock(this->directory, 1);
   for (const char* field : { "workspace", "version" }) {
     BlockScope other = kScope;
     if (std::string_view(field) == "workspace") {
@@ -127,7 +127,7 @@
 
 TEST_F(BlockDirectoryTest, DrainsAndFreesBlocksOfWithdrawnVersion)
 {
-  this->Keep(this->directory, 1);
+  this->StoreBlock(this->directory, 1);
   const auto running = this->directory.Pin(Block(1), kScope).value();
   this->directory.DrainVersion(kScope.model, kScope.version);
   EXPECT_FALSE(this->directory.Pin(Block(1), kScope));
@@ -140,7 +140,7 @@
 TEST_F(BlockDirectoryTest, NewOwnerFreesNothingBeforeEarlierPinsExpire)
 {
   BlockHeader header{ Block(1), kScope, Generation(5), kLength, Checksum(1) };
-  BlockDirectory next(this->clock, FencingNumber(2), Room(1, 0), this->returns);
+  BlockDirectory next(this->clock, FencingNumber(2), Capacity(1, 0), this->returns);
   next.Rebuild({ header });
   next.Drain(Block(1), Generation(5));
   next.Expire();
@@ -154,15 +154,15 @@
 
 TEST_F(BlockDirectoryTest, GenerationsOfTwoOwnersDiffer)
 {
-  BlockDirectory next(this->clock, FencingNumber(2), Room(2, 0), this->returns);
-  EXPECT_NE(this->Keep(this->directory, 1), this->Keep(next, 1));
+  BlockDirectory next(this->clock, FencingNumber(2), Capacity(2, 0), this->returns);
+  EXPECT_NE(this->StoreBlock(this->directory, 1), this->StoreBlock(next, 1));
 }
 
 TEST_F(BlockDirectoryTest, DemotesToDiskThenFreesLowestRanked)
 {
-  BlockDirectory tiers(this->clock, FencingNumber(1), Room(1, 1), this->returns);
+  BlockDirectory tiers(this->clock, FencingNumber(1), Capacity(1, 1), this->returns);
   for (int number = 1; number <= 3; ++number) {
-    this->Keep(tiers, number);
+    this->StoreBlock(tiers, number);
     this->clock.Advance(std::chrono::minutes(5));
   }
   EXPECT_EQ(tiers.TakeDemoted().size(), 2U);
@@ -178,16 +178,16 @@
   for (int number = 0; number < 100; ++number) {
     this->returns.OnAnswered(never, { Block(100 + number) });
   }
-  this->Keep(this->directory, 1, this->kind);
+  this->StoreBlock(this->directory, 1, this->kind);
   this->clock.Advance(std::chrono::minutes(2));
-  this->Keep(this->directory, 2, never);
+  this->StoreBlock(this->directory, 2, never);
   this->clock.Advance(std::chrono::minutes(2));
-  this->Keep(this->directory, 3, this->kind);
+  this->StoreBlock(this->directory, 3, this->kind);
   EXPECT_TRUE(this->directory.Pin(Block(1), kScope));
   EXPECT_FALSE(this->directory.Pin(Block(2), kScope));
 }
 
-// A store of a few slots, as the wire sees it: what was written last stands there.
+// A store with three slots. A slot has the content that was last written to it.
 struct FakeSlot
 {
   BlockHeader header;
@@ -198,7 +198,7 @@
 class FakeStore
 {
 public:
-  // Returns the slot that an export got, or nothing when the store is full.
+  // Allocates a slot for an export. Returns nothing when the store is full.
   std::optional<std::size_t> Begin(const Digest& aBlock, Generation aGeneration)
   {
     for (std::size_t at = 0; at < this->slots.size(); ++at) {
@@ -218,7 +218,7 @@
     slot.header.checksum = ChecksumOf(slot.content);
   }
 
-  // The content stays until the slot is used again, as on a real disk.
+  // The content remains until the slot is written again, as on a real disk.
   void Free(const BlockCommand& aOrder)
   {
     for (FakeSlot& slot : this->slots) {
@@ -231,13 +231,13 @@
 
   std::vector<BlockHeader> Inventory() const
   {
-    std::vector<BlockHeader> whole;
+    std::vector<BlockHeader> complete;
     for (const FakeSlot& slot : this->slots) {
       if (slot.used && slot.content.size() == kLength.Value()) {
-        whole.push_back(slot.header);
+        complete.push_back(slot.header);
       }
     }
-    return whole;
+    return complete;
   }
 
   std::vector<FakeSlot> slots{ 3 };
@@ -257,8 +257,8 @@
   std::size_t owner = 0;
 };
 
-// Two owners, one store, readers and writers in any order. The first owner may go on as if it still
-// held the lease. Every read is checked as the engine checks it.
+// Simulates two owners of one store with readers and writers in any order. The first owner may
+// continue after it has lost the lease. Reads are checked as engines check them.
 class DirectorySimulation
 {
 public:
@@ -266,7 +266,7 @@
   {
     for (const std::uint64_t fencing : { 1, 2 }) {
       this->owners.push_back(std::make_unique<BlockDirectory>(
-        this->clock, FencingNumber(fencing), Room(2, 1), this->returns));
+        this->clock, FencingNumber(fencing), Capacity(2, 1), this->returns));
     }
   }
 
@@ -291,7 +291,7 @@
         owner.Expire();
         break;
       case 5:
-        this->DrainKept(owner, aBlock);
+        this->DrainStored(owner, aBlock);
         break;
       default:
         break;
@@ -335,7 +335,7 @@
     if (!pinned) {
       return;
     }
-    // The slot as it is known now; it may be another's by the time of the read.
+    // The reader uses this slot even if it is reused for another block before the read.
     for (std::size_t at = 0; at < this->store.slots.size(); ++at) {
       if (this->store.slots[at].header.block == Block(aBlock)) {
         this->reads.push_back({ pinned.value(), at, aNumber });
@@ -352,19 +352,19 @@
     const PendingRead read = this->reads.front();
     this->reads.erase(this->reads.begin());
     const FakeSlot& slot = this->store.slots[read.slot];
-    const bool whole = bool(CheckBlock(read.pinned.header, slot.header, slot.content));
-    if (whole) {
+    const bool intact = bool(CheckBlock(read.pinned.header, slot.header, slot.content));
+    if (intact) {
       RC_ASSERT(slot.content == ContentOf(read.pinned.header.block));
     }
-    if (this->honest && this->clock.MonotonicNow() < read.pinned.until) {
-      // Nothing but faults may spoil a read under a live pin.
+    if (this->faultless && this->clock.MonotonicNow() < read.pinned.until) {
+      // Without faults, a read under a valid pin always succeeds.
       RC_ASSERT(slot.used);
-      RC_ASSERT(whole);
+      RC_ASSERT(intact);
     }
     this->owners[read.owner]->Unpin(read.pinned.pin);
   }
 
-  void DrainKept(BlockDirectory& aOwner, int aBlock)
+  void DrainStored(BlockDirectory& aOwner, int aBlock)
   {
     for (const FakeSlot& slot : this->store.slots) {
       if (slot.header.block == Block(aBlock)) {
@@ -387,7 +387,7 @@
   std::vector<std::unique_ptr<BlockDirectory>> owners;
   std::vector<PendingRead> reads;
   std::vector<PendingWrite> writes;
-  bool honest = true;
+  bool faultless = true;
 };
 
 using Steps = std::vector<std::pair<int, int>>;
@@ -402,65 +402,69 @@
 
 RC_GTEST_PROP(BlockDirectoryProperty, ReadsUnderLivePinAreIntact, ())
 {
-  DirectorySimulation world;
+  DirectorySimulation simulation;
   for (const auto& [action, block] : AnySteps(6)) {
-    world.Step(action, block, 0);
+    simulation.Step(action, block, 0);
   }
 }
 
-// The second owner takes over while readers of the first are still at it.
+// The second owner takes over while readers of the first owner are active.
 RC_GTEST_PROP(BlockDirectoryProperty, TakeoverKeepsReadsUnderEarlierPinsIntact, ())
 {
-  DirectorySimulation world;
+  DirectorySimulation simulation;
   for (const auto& [action, block] : AnySteps(6)) {
-    world.Step(action, block, 0);
+    simulation.Step(action, block, 0);
   }
-  world.writes.clear();
-  world.owners[1]->Rebuild(world.store.Inventory());
+  simulation.writes.clear();
+  simulation.owners[1]->Rebuild(simulation.store.Inventory());
   for (const auto& [action, block] : AnySteps(6)) {
-    // Exports of the new owner would hide what is tested: it reads, drains and lets time pass.
-    world.Step(action == 0 ? 5 : action, block, 1);
+    // The new owner only reads, drains and advances the clock: its exports would mask the failures
+    // that this test is for.
+    simulation.Step(action == 0 ? 5 : action, block, 1);
   }
 }
 
-// Exports die, the store restarts empty or with old content, both owners act, inventories lie.
+// Faults: exports are lost, the store restarts empty or with old content, both owners are active,
+// and inventories have wrong checksums.
 RC_GTEST_PROP(BlockDirectoryProperty, CheckRejectsFreedOrPartialBlocksUnderFaults, ())
 {
-  DirectorySimulation world;
-  world.honest = false;
-  FakeStore old = world.store;
+  DirectorySimulation simulation;
+  simulation.faultless = false;
+  FakeStore backup = simulation.store;
   for (const auto& [action, block] : AnySteps(12)) {
     const auto owner = static_cast<std::size_t>(block % 2);
     switch (action) {
       case 6:
-        world.writes.clear();
+        simulation.writes.clear();
         break;
       case 7:
-        world.store = FakeStore();
+        simulation.store = FakeStore();
         break;
       case 8:
-        old = world.store;
+        backup = simulation.store;
         break;
       case 9:
-        world.store = old;
+        simulation.store = backup;
         break;
       case 10: {
-        auto inventory = world.store.Inventory();
+        auto inventory = simulation.store.Inventory();
         if (!inventory.empty()) {
           inventory.front().checksum = Checksum(static_cast<std::uint64_t>(block));
         }
-        world.owners[1] = std::make_unique<BlockDirectory>(
-          world.clock, FencingNumber(3), Room(2, 1), world.returns);
-        world.reads.erase(std::remove_if(world.reads.begin(),
-                                         world.reads.end(),
-                                         [](const PendingRead& aRead) { return aRead.owner == 1; }),
-                          world.reads.end());
-        std::erase_if(world.writes, [](const PendingWrite& aWrite) { return aWrite.owner == 1; });
-        world.owners[1]->Rebuild(inventory);
+        simulation.owners[1] = std::make_unique<BlockDirectory>(
+          simulation.clock, FencingNumber(3), Capacity(2, 1), simulation.returns);
+        simulation.reads.erase(
+          std::remove_if(simulation.reads.begin(),
+                         simulation.reads.end(),
+                         [](const PendingRead& aRead) { return aRead.owner == 1; }),
+          simulation.reads.end());
+        std::erase_if(simulation.writes,
+                      [](const PendingWrite& aWrite) { return aWrite.owner == 1; });
+        simulation.owners[1]->Rebuild(inventory);
         break;
       }
       default:
-        world.Step(action, block, owner);
+        simulation.Step(action, block, owner);
     }
   }
 }
--- a/test/coordination/BlockNamesTest.cpp
+++ b/test/coordination/BlockNamesTest.cpp
@@ -48,7 +48,7 @@
   }
 }
 
-// A block of another workspace, model, version or adapter can't be asked for by name.
+// A request of another workspace, model, version or adapter never names a block of this scope.
 RC_GTEST_PROP(BlockNamesTest, ScopesNeverShareNames, (std::uint8_t aField))
 {
   BlockScope other = kScope;
@@ -66,9 +66,9 @@
       other.adapter = AdapterName("");
   }
   const auto tokens = *rc::gen::container<std::vector<Token>>(8, rc::gen::arbitrary<Token>());
-  const auto mine = NameBlocks(kScope, tokens, 2);
+  const auto names = NameBlocks(kScope, tokens, 2);
   for (const Digest& name : NameBlocks(other, tokens, 2)) {
-    RC_ASSERT(std::find(mine.begin(), mine.end(), name) == mine.end());
+    RC_ASSERT(std::find(names.begin(), names.end(), name) == names.end());
   }
 }
 
--- a/test/coordination/EngineCacheModelTest.cpp
+++ b/test/coordination/EngineCacheModelTest.cpp
@@ -15,24 +15,24 @@
 
 TEST(EngineCacheModelTest, CountsLeadingPartsUpToFirstGap)
 {
-  EngineCacheModel held;
-  held.OnSent(kTarget, { Part(1, 10), Part(2, 10) });
-  EXPECT_EQ(held.LeadingCached(kTarget, { Part(1, 10), Part(2, 10), Part(3, 10) }), 2U);
-  EXPECT_EQ(held.LeadingCached(kTarget, { Part(3, 10), Part(1, 10) }), 0U);
-  EXPECT_EQ(held.LeadingCached(TargetId("other"), { Part(1, 10) }), 0U);
+  EngineCacheModel cached;
+  cached.OnSent(kTarget, { Part(1, 10), Part(2, 10) });
+  EXPECT_EQ(cached.LeadingCached(kTarget, { Part(1, 10), Part(2, 10), Part(3, 10) }), 2U);
+  EXPECT_EQ(cached.LeadingCached(kTarget, { Part(3, 10), Part(1, 10) }), 0U);
+  EXPECT_EQ(cached.LeadingCached(TargetId("other"), { Part(1, 10) }), 0U);
 }
 
 TEST(EngineCacheModelTest, EvictsLeastRecentlyUsedParts)
 {
-  EngineCacheModel held(TokenCount(30));
-  held.OnSent(kTarget, { Part(1, 10) });
-  held.OnSent(kTarget, { Part(2, 10) });
-  held.OnSent(kTarget, { Part(3, 10) });
-  held.OnSent(kTarget, { Part(1, 10) });
-  held.OnSent(kTarget, { Part(4, 10) });
-  EXPECT_EQ(held.LeadingCached(kTarget, { Part(1, 10) }), 1U);
-  EXPECT_EQ(held.LeadingCached(kTarget, { Part(2, 10) }), 0U);
-  EXPECT_EQ(held.LeadingCached(kTarget, { Part(4, 10) }), 1U);
+  EngineCacheModel cached(TokenCount(30));
+  cached.OnSent(kTarget, { Part(1, 10) });
+  cached.OnSent(kTarget, { Part(2, 10) });
+  cached.OnSent(kTarget, { Part(3, 10) });
+  cached.OnSent(kTarget, { Part(1, 10) });
+  cached.OnSent(kTarget, { Part(4, 10) });
+  EXPECT_EQ(cached.LeadingCached(kTarget, { Part(1, 10) }), 1U);
+  EXPECT_EQ(cached.LeadingCached(kTarget, { Part(2, 10) }), 0U);
+  EXPECT_EQ(cached.LeadingCached(kTarget, { Part(4, 10) }), 1U);
 }
 
 TEST(EngineCacheModelTest, PartKeyDependsOnScope)
--- a/test/coordination/EventFramerTest.cpp
+++ b/test/coordination/EventFramerTest.cpp
@@ -48,7 +48,7 @@
   EXPECT_EQ(framer.LastEvent(), 1U);
 }
 
-// However the bytes are cut, what is passed on is a prefix of the stream that ends with an event.
+// However the stream is split into chunks, the output is a prefix of it that ends with an event.
 RC_GTEST_PROP(EventFramerTest, OutputDoesNotDependOnChunking, ())
 {
   std::string stream;
@@ -57,18 +57,18 @@
     stream += "id: " + std::to_string(id) + "\ndata: " + std::string(id, 'x') + "\n\n";
   }
   EventFramer framer;
-  std::string passed;
+  std::string output;
   std::size_t at = 0;
   while (at < stream.size()) {
     const auto length = *rc::gen::inRange<std::size_t>(1, 9);
-    passed += framer.Append(std::string_view(stream).substr(at, length));
-    RC_ASSERT(stream.substr(0, passed.size()) == passed);
-    if (!passed.empty()) {
-      RC_ASSERT(passed.substr(passed.size() - 2) == "\n\n");
+    output += framer.Append(std::string_view(stream).substr(at, length));
+    RC_ASSERT(stream.substr(0, output.size()) == output);
+    if (!output.empty()) {
+      RC_ASSERT(output.substr(output.size() - 2) == "\n\n");
     }
     at += length;
   }
-  RC_ASSERT(passed == stream);
+  RC_ASSERT(output == stream);
 }
 
 } // namespace
--- a/test/coordination/LeasedStoreTest.cpp
+++ b/test/coordination/LeasedStoreTest.cpp
@@ -18,8 +18,8 @@
 protected:
   LeasedStoreTest()
   {
-    this->owned.Renew(this->clock.MonotonicNow() + std::chrono::hours(1));
-    this->owned.Rebuild({});
+    this->store.Renew(this->clock.MonotonicNow() + std::chrono::hours(1));
+    this->store.Rebuild({});
   }
 
   static StoreManagerOptions Options()
@@ -45,12 +45,12 @@
     return question;
   }
 
-  // Exports a whole prompt, as an engine does.
+  // Exports all blocks of a prompt, as an engine does.
   void Export()
   {
-    const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Export));
+    const StoreAnswer grant = this->store.Answer(Question(QuestionKind::Export));
     ASSERT_EQ(grant.status, AnswerStatus::Granted);
-    this->owned.OnOutcome(Outcome(grant, grant.blocks));
+    this->store.OnOutcome(Outcome(grant, grant.blocks));
   }
 
   static StoreOutcome Outcome(const StoreAnswer& aGrant, std::vector<ExportedBlock> aBlocks)
@@ -61,14 +61,14 @@
   }
 
   ManualClock clock;
-  LeasedStore owned{ this->clock, FencingNumber(3), Options() };
+  LeasedStore store{ this->clock, FencingNumber(3), Options() };
 };
 
 TEST_F(LeasedStoreTest, GrantsImportOfExportedPrompt)
 {
   this->Export();
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 4U);
-  const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Import));
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::LookUp)).kept.blocks, 4U);
+  const StoreAnswer grant = this->store.Answer(Question(QuestionKind::Import));
   EXPECT_EQ(grant.status, AnswerStatus::Granted);
   EXPECT_EQ(grant.blocks.size(), 4U);
   EXPECT_LT(grant.valid, seconds(10));
@@ -77,10 +77,10 @@
 TEST_F(LeasedStoreTest, AnswersNotOwnerAfterLeaseExpires)
 {
   this->Export();
-  this->owned.Renew(this->clock.MonotonicNow() + seconds(5));
+  this->store.Renew(this->clock.MonotonicNow() + seconds(5));
   this->clock.Advance(seconds(5));
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::Import)).status, AnswerStatus::NotOwner);
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::Import)).status, AnswerStatus::NotOwner);
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
 }
 
 TEST_F(LeasedStoreTest, AnswersNotOwnerBeforeRebuild)
@@ -92,88 +92,88 @@
 
 TEST_F(LeasedStoreTest, ExpiredExportIsNeverServed)
 {
-  const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Export));
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
+  const StoreAnswer grant = this->store.Answer(Question(QuestionKind::Export));
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
   this->clock.Advance(seconds(31));
-  this->owned.Expire();
-  this->owned.OnOutcome(Outcome(grant, grant.blocks));
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
-  EXPECT_EQ(this->owned.TakeFreed().size(), 4U);
+  this->store.Expire();
+  this->store.OnOutcome(Outcome(grant, grant.blocks));
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
+  EXPECT_EQ(this->store.TakeFreed().size(), 4U);
 }
 
 TEST_F(LeasedStoreTest, IgnoresOutcomeWithOtherFencingNumber)
 {
-  const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Export));
+  const StoreAnswer grant = this->store.Answer(Question(QuestionKind::Export));
   StoreOutcome stale = Outcome(grant, grant.blocks);
   stale.fencing = FencingNumber(2);
-  this->owned.OnOutcome(stale);
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
+  this->store.OnOutcome(stale);
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
 }
 
 TEST_F(LeasedStoreTest, DrainsBlockReportedCorrupt)
 {
   this->Export();
-  const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Import));
-  this->owned.OnOutcome(Outcome(grant, { grant.blocks[1] }));
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 1U);
-  // A new owner frees nothing before the pins of the one before it have run out.
-  EXPECT_TRUE(this->owned.TakeFreed().empty());
+  const StoreAnswer grant = this->store.Answer(Question(QuestionKind::Import));
+  this->store.OnOutcome(Outcome(grant, { grant.blocks[1] }));
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::LookUp)).kept.blocks, 1U);
+  // A new owner frees nothing before the pins of the previous owner have expired.
+  EXPECT_TRUE(this->store.TakeFreed().empty());
   this->clock.Advance(seconds(10));
-  this->owned.Expire();
-  EXPECT_EQ(this->owned.TakeFreed().size(), 1U);
+  this->store.Expire();
+  EXPECT_EQ(this->store.TakeFreed().size(), 1U);
 }
 
 TEST_F(LeasedStoreTest, ImportWithoutOutcomeEndsWithPinLease)
 {
   this->Export();
-  const StoreAnswer grant = this->owned.Answer(Question(QuestionKind::Import));
-  this->owned.OnServed({});
+  const StoreAnswer grant = this->store.Answer(Question(QuestionKind::Import));
+  this->store.OnServed({});
   this->clock.Advance(seconds(61));
-  this->owned.OnServed({});
-  this->owned.Expire();
-  EXPECT_EQ(this->owned.TakeFreed().size(), grant.blocks.size());
+  this->store.OnServed({});
+  this->store.Expire();
+  EXPECT_EQ(this->store.TakeFreed().size(), grant.blocks.size());
 }
 
 TEST_F(LeasedStoreTest, KeepsBlocksOfServedVersion)
 {
   this->Export();
-  this->owned.OnServed({ { kModel, kVersion } });
+  this->store.OnServed({ { kModel, kVersion } });
   this->clock.Advance(seconds(61));
-  this->owned.OnServed({ { kModel, kVersion } });
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 4U);
+  this->store.OnServed({ { kModel, kVersion } });
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::LookUp)).kept.blocks, 4U);
 }
 
 TEST_F(LeasedStoreTest, KeepsVersionUnservedForLessThanTimeout)
 {
   this->Export();
-  this->owned.OnServed({});
+  this->store.OnServed({});
   this->clock.Advance(seconds(61));
-  this->owned.OnServed({ { kModel, kVersion } });
+  this->store.OnServed({ { kModel, kVersion } });
   this->clock.Advance(seconds(1));
-  this->owned.OnServed({});
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 4U);
+  this->store.OnServed({});
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::LookUp)).kept.blocks, 4U);
 }
 
 TEST_F(LeasedStoreTest, DrainsAndFreesBlocksOfWithdrawnVersion)
 {
   this->Export();
-  this->owned.OnServed({});
+  this->store.OnServed({});
   this->clock.Advance(seconds(61));
-  this->owned.OnServed({});
-  EXPECT_EQ(this->owned.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
-  EXPECT_EQ(this->owned.TakeFreed().size(), 4U);
+  this->store.OnServed({});
+  EXPECT_EQ(this->store.Answer(Question(QuestionKind::LookUp)).kept.blocks, 0U);
+  EXPECT_EQ(this->store.TakeFreed().size(), 4U);
 }
 
 TEST_F(LeasedStoreTest, ExportsStayWithinLinkBudget)
 {
-  // Each grant is an eighth of the link's second: 30 blocks of 4 KiB.
+  // Each grant is an eighth of the link's budget for one second: 30 blocks of 4 KiB.
   int granted = 0;
   for (int number = 0; number < 20; ++number) {
     StoreQuestion question = Question(QuestionKind::Export, 0);
     for (int block = 0; block < 30; ++block) {
       question.prompt.blocks.push_back(DigestOf(Concat(number, " ", block)));
     }
-    granted += this->owned.Answer(question).status == AnswerStatus::Granted ? 1 : 0;
+    granted += this->store.Answer(question).status == AnswerStatus::Granted ? 1 : 0;
   }
   EXPECT_EQ(granted, 8);
 }
@@ -185,11 +185,11 @@
     for (int block = 0; block < 4; ++block) {
       other.prompt.blocks.push_back(DigestOf(Concat(number, " ", block)));
     }
-    this->owned.Answer(other);
+    this->store.Answer(other);
   }
   StoreQuestion question = Question(QuestionKind::Export);
   question.prompt.objective = { 1.0, 0.0, 1.0 };
-  EXPECT_EQ(this->owned.Answer(question).status, AnswerStatus::Nothing);
+  EXPECT_EQ(this->store.Answer(question).status, AnswerStatus::Nothing);
 }
 
 } // namespace
--- a/test/coordination/LinkBudgetTest.cpp
+++ b/test/coordination/LinkBudgetTest.cpp
@@ -81,21 +81,21 @@
 
 TEST(ImportTimeLimitTest, AbandonsImportSlowerThanRecomputing)
 {
-  // A second to compute, by time alone.
-  const RemainingImport rest{ ByteCount(1000), TokenCount(1000), 999, 1000 };
+  // Computing takes one second, and only time has a weight.
+  const RemainingImport remaining{ ByteCount(1000), TokenCount(1000), 999, 1000 };
   const ObjectiveWeights time{ 1.0, 0.0, 0.0 };
-  EXPECT_EQ(ImportTimeLimit(rest, time), std::chrono::seconds(1));
-  EXPECT_TRUE(ShouldAbandonImport(rest, time));
-  RemainingImport faster = rest;
+  EXPECT_EQ(ImportTimeLimit(remaining, time), std::chrono::seconds(1));
+  EXPECT_TRUE(ShouldAbandonImport(remaining, time));
+  RemainingImport faster = remaining;
   faster.bytesPerSecond = 1001;
   EXPECT_FALSE(ShouldAbandonImport(faster, time));
 }
 
 TEST(ImportTimeLimitTest, GrowsWithRecomputeWeight)
 {
-  const RemainingImport rest{ ByteCount(1000), TokenCount(1000), 500, 1000 };
-  EXPECT_FALSE(ShouldAbandonImport(rest, { 1.0, 2.0, 0.0 }));
-  RemainingImport stuck = rest;
+  const RemainingImport remaining{ ByteCount(1000), TokenCount(1000), 500, 1000 };
+  EXPECT_FALSE(ShouldAbandonImport(remaining, { 1.0, 2.0, 0.0 }));
+  RemainingImport stuck = remaining;
   stuck.bytesPerSecond = 0;
   EXPECT_TRUE(ShouldAbandonImport(stuck, { 1.0, 2.0, 0.0 }));
 }
--- a/test/coordination/PrefixCacheIndexTest.cpp
+++ b/test/coordination/PrefixCacheIndexTest.cpp
@@ -32,92 +32,93 @@
 }
 
 std::uint64_t
-DepthAt(PrefixCacheIndex& aView, const TargetId& aTarget, const std::vector<Digest>& aPrompt)
+DepthAt(PrefixCacheIndex& aCaches, const TargetId& aTarget, const std::vector<Digest>& aPrompt)
 {
-  aView.Match(aPrompt);
-  return aView.Depth(aView.NumberOf(aTarget));
+  aCaches.Match(aPrompt);
+  return aCaches.Depth(aCaches.NumberOf(aTarget));
 }
 
 TEST(PrefixCacheIndexTest, MatchesBlocksThatWereSent)
 {
-  PrefixCacheIndex view(100);
-  view.OnSent(kTarget, Blocks(0, 4));
-  EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 6)), 4U);
-  EXPECT_EQ(DepthAt(view, kOther, Blocks(0, 6)), 0U);
+  PrefixCacheIndex caches(100);
+  caches.OnSent(kTarget, Blocks(0, 4));
+  EXPECT_EQ(DepthAt(caches, kTarget, Blocks(0, 6)), 4U);
+  EXPECT_EQ(DepthAt(caches, kOther, Blocks(0, 6)), 0U);
 }
 
 TEST(PrefixCacheIndexTest, CountsLeadingBlocksOnly)
 {
-  PrefixCacheIndex view(100);
-  view.OnSent(kTarget, Blocks(0, 4));
-  view.OnEvent(Event(1, {}, Blocks(1, 2)));
-  EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 4)), 1U);
+  PrefixCacheIndex caches(100);
+  caches.OnSent(kTarget, Blocks(0, 4));
+  caches.OnEvent(Event(1, {}, Blocks(1, 2)));
+  EXPECT_EQ(DepthAt(caches, kTarget, Blocks(0, 4)), 1U);
 }
 
 TEST(PrefixCacheIndexTest, IgnoresDuplicateEvents)
 {
-  PrefixCacheIndex view(100);
-  view.OnEvent(Event(1, Blocks(0, 2)));
-  view.OnEvent(Event(2, {}, Blocks(0, 2)));
-  view.OnEvent(Event(1, Blocks(0, 2)));
-  EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 2)), 0U);
+  PrefixCacheIndex caches(100);
+  caches.OnEvent(Event(1, Blocks(0, 2)));
+  caches.OnEvent(Event(2, {}, Blocks(0, 2)));
+  caches.OnEvent(Event(1, Blocks(0, 2)));
+  EXPECT_EQ(DepthAt(caches, kTarget, Blocks(0, 2)), 0U);
 }
 
 TEST(PrefixCacheIndexTest, GapMarksStaleUntilSnapshot)
 {
-  PrefixCacheIndex view(100);
-  view.OnEvent(Event(1, Blocks(0, 2)));
-  view.OnEvent(Event(3, Blocks(2, 3)));
-  EXPECT_EQ(view.StaleTargets(), std::vector<TargetId>{ kTarget });
-  view.OnSnapshot({ kTarget, Incarnation(1), Sequence(3), Blocks(5, 6) });
-  EXPECT_TRUE(view.StaleTargets().empty());
-  EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 3)), 0U);
-  EXPECT_EQ(DepthAt(view, kTarget, Blocks(5, 6)), 1U);
+  PrefixCacheIndex caches(100);
+  caches.OnEvent(Event(1, Blocks(0, 2)));
+  caches.OnEvent(Event(3, Blocks(2, 3)));
+  EXPECT_EQ(caches.StaleTargets(), std::vector<TargetId>{ kTarget });
+  caches.OnSnapshot({ kTarget, Incarnation(1), Sequence(3), Blocks(5, 6) });
+  EXPECT_TRUE(caches.StaleTargets().empty());
+  EXPECT_EQ(DepthAt(caches, kTarget, Blocks(0, 3)), 0U);
+  EXPECT_EQ(DepthAt(caches, kTarget, Blocks(5, 6)), 1U);
 }
 
 TEST(PrefixCacheIndexTest, IgnoresSnapshotOlderThanEvents)
 {
-  PrefixCacheIndex view(100);
-  view.OnEvent(Event(1, Blocks(0, 1)));
-  view.OnEvent(Event(2, Blocks(1, 2)));
-  view.OnSnapshot({ kTarget, Incarnation(1), Sequence(1), Blocks(0, 1) });
-  EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 2)), 2U);
+  PrefixCacheIndex caches(100);
+  caches.OnEvent(Event(1, Blocks(0, 1)));
+  caches.OnEvent(Event(2, Blocks(1, 2)));
+  caches.OnSnapshot({ kTarget, Incarnation(1), Sequence(1), Blocks(0, 1) });
+  EXPECT_EQ(DepthAt(caches, kTarget, Blocks(0, 2)), 2U);
 }
 
 TEST(PrefixCacheIndexTest, ClearsBlocksOfRestartedTarget)
 {
-  PrefixCacheIndex view(100);
-  view.OnEvent(Event(1, Blocks(0, 2)));
-  CacheEvent reborn = Event(1, {});
-  reborn.incarnation = Incarnation(2);
-  view.OnEvent(reborn);
-  EXPECT_EQ(DepthAt(view, kTarget, Blocks(0, 2)), 0U);
+  PrefixCacheIndex caches(100);
+  caches.OnEvent(Event(1, Blocks(0, 2)));
+  CacheEvent restarted = Event(1, {});
+  restarted.incarnation = Incarnation(2);
+  caches.OnEvent(restarted);
+  EXPECT_EQ(DepthAt(caches, kTarget, Blocks(0, 2)), 0U);
 }
 
 TEST(PrefixCacheIndexTest, ReusedTargetNumberStartsEmpty)
 {
-  PrefixCacheIndex view(100);
-  view.OnSent(kTarget, Blocks(0, 2));
-  view.Forget(kTarget);
-  EXPECT_EQ(view.Size(), 0U);
-  EXPECT_EQ(DepthAt(view, kOther, Blocks(0, 2)), 0U);
+  PrefixCacheIndex caches(100);
+  caches.OnSent(kTarget, Blocks(0, 2));
+  caches.Forget(kTarget);
+  EXPECT_EQ(caches.Size(), 0U);
+  EXPECT_EQ(DepthAt(caches, kOther, Blocks(0, 2)), 0U);
 }
 
-// Whatever is lost, late, doubled or out of order: after a snapshot the view is the engine's cache.
+// Events may be lost, late, duplicated or reordered: after a snapshot the index equals the engine's
+// cache.
 RC_GTEST_PROP(PrefixCacheIndexTest, EqualsEngineCacheAfterSnapshot, ())
 {
   constexpr int kBlocks = 8;
-  PrefixCacheIndex view(100);
-  std::set<int> truth;
+  PrefixCacheIndex caches(100);
+  std::set<int> cached;
   std::vector<CacheEvent> sent;
   const auto changes = *rc::gen::container<std::vector<std::pair<bool, int>>>(
     rc::gen::pair(rc::gen::arbitrary<bool>(), rc::gen::inRange(0, kBlocks)));
   for (const auto& [added, block] : changes) {
     const auto one = Blocks(block, block + 1);
     if (added) {
-      truth.insert(block);
+      cached.insert(block);
     } else {
-      truth.erase(block);
+      cached.erase(block);
     }
     sent.push_back(Event(
       sent.size() + 1, added ? one : std::vector<Digest>(), added ? std::vector<Digest>() : one));
@@ -128,32 +129,32 @@
   bool complete = order.size() >= total;
   for (std::size_t at = 0; at < order.size() && total > 0; ++at) {
     complete = complete && (at >= total || order[at] == at);
-    view.OnEvent(sent[order[at]]);
+    caches.OnEvent(sent[order[at]]);
   }
   if (!complete || total == 0) {
     CacheSnapshot snapshot{ kTarget, Incarnation(1), Sequence(total), {} };
-    for (const int block : truth) {
+    for (const int block : cached) {
       snapshot.blocks.push_back(Blocks(block, block + 1).front());
     }
-    view.OnSnapshot(snapshot);
+    caches.OnSnapshot(snapshot);
   }
-  RC_ASSERT(view.Size() == truth.size());
+  RC_ASSERT(caches.Size() == cached.size());
   for (int block = 0; block < kBlocks; ++block) {
-    const std::uint64_t depth = DepthAt(view, kTarget, Blocks(block, block + 1));
-    RC_ASSERT(depth == truth.count(block));
+    const std::uint64_t depth = DepthAt(caches, kTarget, Blocks(block, block + 1));
+    RC_ASSERT(depth == cached.count(block));
   }
 }
 
 RC_GTEST_PROP(PrefixCacheIndexTest, StaysWithinCapacity, ())
 {
   constexpr std::uint64_t kMost = 10;
-  PrefixCacheIndex view(kMost);
+  PrefixCacheIndex caches(kMost);
   const auto starts = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 60));
   for (const int start : starts) {
-    view.OnSent(kTarget, Blocks(start, start + 4));
-    RC_ASSERT(view.Size() <= kMost);
-    // The latest prompt is never what goes.
-    RC_ASSERT(DepthAt(view, kTarget, Blocks(start, start + 4)) == 4);
+    caches.OnSent(kTarget, Blocks(start, start + 4));
+    RC_ASSERT(caches.Size() <= kMost);
+    // The latest prompt is never evicted.
+    RC_ASSERT(DepthAt(caches, kTarget, Blocks(start, start + 4)) == 4);
   }
 }
 
--- a/test/coordination/PromptPartsTest.cpp
+++ b/test/coordination/PromptPartsTest.cpp
@@ -9,8 +9,8 @@
 {
   const PartScope open{ ModelName("vendor/model"), 12, WorkspaceId() };
   EXPECT_EQ(ParsePartScope(FormatPartScope(open)), open);
-  const PartScope walled{ ModelName("m"), 0, WorkspaceId("w") };
-  EXPECT_EQ(ParsePartScope(FormatPartScope(walled)), walled);
+  const PartScope isolated{ ModelName("m"), 0, WorkspaceId("w") };
+  EXPECT_EQ(ParsePartScope(FormatPartScope(isolated)), isolated);
 }
 
 TEST(PromptPartsTest, ParsePartScopeRejectsMalformedText)
@@ -21,14 +21,14 @@
   EXPECT_FALSE(ParsePartScope("/"));
 }
 
-TEST(PromptPartsTest, ScopesDifferByHomeRegions)
+TEST(PromptPartsTest, ScopesDifferByAllowedRegions)
 {
   const PartScope open{ ModelName("m"), 3, WorkspaceId() };
-  const PartScope bound{ ModelName("m"), 3, WorkspaceId(), "north,south" };
-  EXPECT_NE(FormatPartScope(open), FormatPartScope(bound));
-  EXPECT_EQ(ParsePartScope(FormatPartScope(bound)), bound);
-  const PartScope walled{ ModelName("m"), 3, WorkspaceId("w"), "north" };
-  EXPECT_EQ(ParsePartScope(FormatPartScope(walled)), walled);
+  const PartScope restricted{ ModelName("m"), 3, WorkspaceId(), "north,south" };
+  EXPECT_NE(FormatPartScope(open), FormatPartScope(restricted));
+  EXPECT_EQ(ParsePartScope(FormatPartScope(restricted)), restricted);
+  const PartScope isolated{ ModelName("m"), 3, WorkspaceId("w"), "north" };
+  EXPECT_EQ(ParsePartScope(FormatPartScope(isolated)), isolated);
 }
 
 } // namespace
--- a/test/coordination/StoreContentTrackerTest.cpp
+++ b/test/coordination/StoreContentTrackerTest.cpp
@@ -23,7 +23,7 @@
 }
 
 std::vector<SizedPart>
-Stated(std::uint64_t aNumber)
+Sized(std::uint64_t aNumber)
 {
   return { SizedPart{ Key(aNumber), TokenCount(100) } };
 }
@@ -33,146 +33,148 @@
 protected:
   void List(std::uint64_t aEpoch, std::uint64_t aNext, std::vector<StoredPartEvent> aParts)
   {
-    this->feed.ApplyList(StoreList{ StoreEpoch(aEpoch), Sequence(aNext), std::move(aParts), 0, {} },
-                         this->clock.MonotonicNow());
+    this->tracker.ApplyList(
+      StoreList{ StoreEpoch(aEpoch), Sequence(aNext), std::move(aParts), 0, {} },
+      this->clock.MonotonicNow());
   }
 
   void Events(std::uint64_t aEpoch, std::uint64_t aNext, std::vector<StoredPartEvent> aEvents)
   {
-    this->feed.ApplyEvents(
+    this->tracker.ApplyEvents(
       StoreEvents{ StoreEpoch(aEpoch), Sequence(aNext), false, std::move(aEvents) });
   }
 
   ManualClock clock;
-  StoreContentTracker feed{ Endpoint{ "172.20.0.2", 8006 } };
+  StoreContentTracker tracker{ Endpoint{ "172.20.0.2", 8006 } };
 };
 
 TEST_F(StoreContentTrackerTest, ReportsListOnceAsSnapshot)
 {
-  EXPECT_TRUE(this->feed.NeedsList());
+  EXPECT_TRUE(this->tracker.NeedsList());
   this->List(1, 5, { Part(1) });
-  const auto stated = this->feed.TakeChanges();
-  ASSERT_TRUE(stated);
-  EXPECT_TRUE(stated->live);
-  EXPECT_TRUE(stated->whole);
-  EXPECT_EQ(stated->added, Stated(1));
-  EXPECT_FALSE(this->feed.TakeChanges());
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_TRUE(changes);
+  EXPECT_TRUE(changes->live);
+  EXPECT_TRUE(changes->whole);
+  EXPECT_EQ(changes->added, Sized(1));
+  EXPECT_FALSE(this->tracker.TakeChanges());
   this->List(1, 5, { Part(1) });
-  EXPECT_FALSE(this->feed.TakeChanges());
+  EXPECT_FALSE(this->tracker.TakeChanges());
 }
 
 TEST_F(StoreContentTrackerTest, ReportsEventsAsChanges)
 {
   this->List(1, 5, { Part(1) });
-  this->feed.TakeChanges();
+  this->tracker.TakeChanges();
   this->Events(1, 7, { Part(2), Part(1, false) });
-  const auto stated = this->feed.TakeChanges();
-  ASSERT_TRUE(stated);
-  EXPECT_FALSE(stated->whole);
-  EXPECT_EQ(stated->added, Stated(2));
-  EXPECT_EQ(stated->removed, std::vector<PartKey>{ Key(1) });
-  EXPECT_EQ(this->feed.Next(), Sequence(7));
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_TRUE(changes);
+  EXPECT_FALSE(changes->whole);
+  EXPECT_EQ(changes->added, Sized(2));
+  EXPECT_EQ(changes->removed, std::vector<PartKey>{ Key(1) });
+  EXPECT_EQ(this->tracker.Next(), Sequence(7));
 }
 
 TEST_F(StoreContentTrackerTest, RestartedStoreIsEmptyUntilListed)
 {
   this->List(1, 5, { Part(1) });
-  this->feed.TakeChanges();
+  this->tracker.TakeChanges();
   this->Events(2, 1, {});
-  const auto stated = this->feed.TakeChanges();
-  ASSERT_TRUE(stated);
-  EXPECT_FALSE(stated->live);
-  EXPECT_TRUE(this->feed.NeedsList());
-  EXPECT_TRUE(this->feed.Snapshot().added.empty());
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_TRUE(changes);
+  EXPECT_FALSE(changes->live);
+  EXPECT_TRUE(this->tracker.NeedsList());
+  EXPECT_TRUE(this->tracker.Snapshot().added.empty());
 }
 
 TEST_F(StoreContentTrackerTest, NeedsListAfterGapInEvents)
 {
   this->List(1, 5, { Part(1) });
-  this->feed.ApplyEvents(StoreEvents{ StoreEpoch(1), Sequence(900), true, {} });
-  EXPECT_TRUE(this->feed.NeedsList());
+  this->tracker.ApplyEvents(StoreEvents{ StoreEpoch(1), Sequence(900), true, {} });
+  EXPECT_TRUE(this->tracker.NeedsList());
 }
 
 TEST_F(StoreContentTrackerTest, KeepsPartRemovedAndAddedInOneBatch)
 {
   this->List(1, 5, { Part(1) });
-  this->feed.TakeChanges();
+  this->tracker.TakeChanges();
   this->Events(1, 8, { Part(1, false), Part(1) });
-  const auto stated = this->feed.TakeChanges();
-  ASSERT_TRUE(stated);
-  EXPECT_EQ(stated->added, Stated(1));
-  EXPECT_EQ(this->feed.Snapshot().added, Stated(1));
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_TRUE(changes);
+  EXPECT_EQ(changes->added, Sized(1));
+  EXPECT_EQ(this->tracker.Snapshot().added, Sized(1));
 }
 
 TEST_F(StoreContentTrackerTest, ReturnsPartsOfOlderWeights)
 {
   this->List(1, 5, { Part(1), Part(2), Part(3) });
-  const auto old = this->feed.PartsOfOlderWeights({ { ModelName("m"), 3 } }, 10);
+  const auto old = this->tracker.PartsOfOlderWeights({ { ModelName("m"), 3 } }, 10);
   EXPECT_THAT(old, ::testing::UnorderedElementsAre(Part(1).name, Part(2).name));
-  EXPECT_EQ(this->feed.PartsOfOlderWeights({ { ModelName("m"), 3 } }, 1).size(), 1U);
-  EXPECT_TRUE(this->feed.PartsOfOlderWeights({ { ModelName("other"), 3 } }, 10).empty());
+  EXPECT_EQ(this->tracker.PartsOfOlderWeights({ { ModelName("m"), 3 } }, 1).size(), 1U);
+  EXPECT_TRUE(this->tracker.PartsOfOlderWeights({ { ModelName("other"), 3 } }, 10).empty());
 }
 
 TEST_F(StoreContentTrackerTest, ReportsUnreachableStoreOnce)
 {
   this->List(1, 5, { Part(1) });
-  this->feed.TakeChanges();
-  this->feed.MarkUnreachable();
-  ASSERT_TRUE(this->feed.TakeChanges());
-  this->feed.MarkUnreachable();
-  EXPECT_FALSE(this->feed.TakeChanges());
+  this->tracker.TakeChanges();
+  this->tracker.MarkUnreachable();
+  ASSERT_TRUE(this->tracker.TakeChanges());
+  this->tracker.MarkUnreachable();
+  EXPECT_FALSE(this->tracker.TakeChanges());
 }
 
-// An engine that crashes while it saves leaves a part that is never whole and keeps its space.
+// An engine that crashes while saving leaves a part that is never completed and occupies its space.
 TEST_F(StoreContentTrackerTest, ReturnsAbandonedPartsAndCountsTheirSpace)
 {
   StoreList list{ StoreEpoch(1), Sequence(1), {}, 0, {} };
   list.unfinished = { UnfinishedPart{ Part(1).name, TokenCount(40), TokenCount(30'000) },
                       UnfinishedPart{ Part(2).name, TokenCount(10), TokenCount(500) } };
-  this->feed.ApplyList(list, this->clock.MonotonicNow());
-  EXPECT_EQ(this->feed.TakeChanges()->reserved, TokenCount(30'500));
+  this->tracker.ApplyList(list, this->clock.MonotonicNow());
+  EXPECT_EQ(this->tracker.TakeChanges()->reserved, TokenCount(30'500));
   this->clock.Advance(StoreContentTracker::kAbandonedAfter);
-  // The other one is still being written.
+  // The other part is still being written.
   list.unfinished.back().written = TokenCount(20);
-  this->feed.ApplyList(list, this->clock.MonotonicNow());
-  const std::vector<PartName> broken = this->feed.AbandonedParts(this->clock.MonotonicNow(), 9);
-  EXPECT_EQ(broken, std::vector<PartName>{ Part(1).name });
+  this->tracker.ApplyList(list, this->clock.MonotonicNow());
+  const std::vector<PartName> abandoned =
+    this->tracker.AbandonedParts(this->clock.MonotonicNow(), 9);
+  EXPECT_EQ(abandoned, std::vector<PartName>{ Part(1).name });
 }
 
 TEST_F(StoreContentTrackerTest, CompletedPartIsNotAbandoned)
 {
   StoreList list{ StoreEpoch(1), Sequence(1), {}, 0, {} };
   list.unfinished = { UnfinishedPart{ Part(1).name, TokenCount(40), TokenCount(100) } };
-  this->feed.ApplyList(list, this->clock.MonotonicNow());
+  this->tracker.ApplyList(list, this->clock.MonotonicNow());
   this->Events(1, 2, { Part(1) });
   this->clock.Advance(StoreContentTracker::kAbandonedAfter);
-  EXPECT_TRUE(this->feed.AbandonedParts(this->clock.MonotonicNow(), 9).empty());
-  EXPECT_EQ(this->feed.Snapshot().reserved, TokenCount());
+  EXPECT_TRUE(this->tracker.AbandonedParts(this->clock.MonotonicNow(), 9).empty());
+  EXPECT_EQ(this->tracker.Snapshot().reserved, TokenCount());
 }
 
 TEST_F(StoreContentTrackerTest, RestartResetsAgeOfUnfinishedParts)
 {
   StoreList list{ StoreEpoch(1), Sequence(1), {}, 0, {} };
   list.unfinished = { UnfinishedPart{ Part(1).name, TokenCount(40), TokenCount(100) } };
-  this->feed.ApplyList(list, this->clock.MonotonicNow());
+  this->tracker.ApplyList(list, this->clock.MonotonicNow());
   this->clock.Advance(StoreContentTracker::kAbandonedAfter);
   list.epoch = StoreEpoch(2);
-  this->feed.ApplyList(list, this->clock.MonotonicNow());
-  EXPECT_TRUE(this->feed.AbandonedParts(this->clock.MonotonicNow(), 9).empty());
+  this->tracker.ApplyList(list, this->clock.MonotonicNow());
+  EXPECT_TRUE(this->tracker.AbandonedParts(this->clock.MonotonicNow(), 9).empty());
 }
 
 TEST_F(StoreContentTrackerTest, MergesChangesOfSeveralEventBatches)
 {
   this->List(1, 5, { Part(1) });
-  this->feed.TakeChanges();
+  this->tracker.TakeChanges();
   this->Events(1, 7, { Part(2), Part(1, false) });
   this->Events(1, 9, { Part(2, false), Part(1) });
   this->Events(1, 10, { Part(3) });
-  const auto stated = this->feed.TakeChanges();
-  ASSERT_TRUE(stated);
-  // Who takes what was removed before what was added holds parts 1 and 3.
-  EXPECT_EQ(stated->removed, (std::vector<PartKey>{ Key(1), Key(2) }));
-  EXPECT_EQ(stated->added, (std::vector<SizedPart>{ Stated(1).front(), Stated(3).front() }));
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_TRUE(changes);
+  // A receiver that applies removals before additions has parts 1 and 3.
+  EXPECT_EQ(changes->removed, (std::vector<PartKey>{ Key(1), Key(2) }));
+  EXPECT_EQ(changes->added, (std::vector<SizedPart>{ Sized(1).front(), Sized(3).front() }));
 }
 
 } // namespace
--- a/test/coordination/StoredPartIndexTest.cpp
+++ b/test/coordination/StoredPartIndexTest.cpp
@@ -20,8 +20,8 @@
   {
     this->services = { Store("10.0.0.1", "z", 100'000), Store("10.0.0.2", "y", 300'000) };
     this->stored.SetStores(this->services);
-    this->State("10.0.0.1", {});
-    this->State("10.0.0.2", {});
+    this->Report("10.0.0.1", {});
+    this->Report("10.0.0.2", {});
   }
 
   static ServingService Store(const std::string& aAddress,
@@ -39,7 +39,7 @@
     return service;
   }
 
-  void State(const std::string& aAddress, std::vector<SizedPart> aParts, bool aLive = true)
+  void Report(const std::string& aAddress, std::vector<SizedPart> aParts, bool aLive = true)
   {
     this->stored.Apply(StoreStatement{
       Endpoint{ aAddress, 8006 }, aLive, true, std::move(aParts), {}, TokenCount() });
@@ -57,31 +57,31 @@
 
 TEST_F(StoredPartIndexTest, FindsOnlyReportedParts)
 {
-  this->State("10.0.0.2", { Part(1) });
+  this->Report("10.0.0.2", { Part(1) });
   EXPECT_EQ(this->Found(Part(1)), "10.0.0.2");
   EXPECT_EQ(this->Found(Part(2)), "");
 }
 
 TEST_F(StoredPartIndexTest, DoesNotFindIncompletePart)
 {
-  this->State("10.0.0.2", { Part(1, 400) });
+  this->Report("10.0.0.2", { Part(1, 400) });
   EXPECT_EQ(this->Found(Part(1, 1000)), "");
 }
 
 TEST_F(StoredPartIndexTest, PrefersStoreInOwnZone)
 {
-  this->State("10.0.0.1", { Part(1) });
-  this->State("10.0.0.2", { Part(1) });
+  this->Report("10.0.0.1", { Part(1) });
+  this->Report("10.0.0.2", { Part(1) });
   EXPECT_EQ(this->Found(Part(1)), "10.0.0.1");
   EXPECT_EQ(this->Found(Part(1), { "10.0.0.1:8006" }), "10.0.0.2");
 }
 
-TEST_F(StoredPartIndexTest, FindsNothingInLostStore)
+TEST_F(StoredPartIndexTest, FindsNothingInUnreachableStore)
 {
-  this->State("10.0.0.2", { Part(1) });
-  this->State("10.0.0.2", {}, false);
+  this->Report("10.0.0.2", { Part(1) });
+  this->Report("10.0.0.2", {}, false);
   EXPECT_EQ(this->Found(Part(1)), "");
-  this->State("10.0.0.2", {});
+  this->Report("10.0.0.2", {});
   EXPECT_EQ(this->Found(Part(1)), "");
 }
 
@@ -100,25 +100,25 @@
 
 TEST_F(StoredPartIndexTest, PlacesNothingInFullStore)
 {
-  this->State("10.0.0.2", { Part(9999, 299'000) });
+  this->Report("10.0.0.2", { Part(9999, 299'000) });
   for (std::uint64_t key = 0; key < 100; ++key) {
     EXPECT_EQ(this->stored.SelectStore(Part(key))->traits.endpoint.address, "10.0.0.1");
   }
 }
 
-TEST_F(StoredPartIndexTest, DoesNotMovePartsOfLostStore)
+TEST_F(StoredPartIndexTest, DoesNotMovePartsOfUnreachableStore)
 {
   std::uint64_t key = 0;
   while (this->stored.SelectStore(Part(key))->traits.endpoint.address != "10.0.0.2") {
     ++key;
   }
-  this->State("10.0.0.2", {}, false);
+  this->Report("10.0.0.2", {}, false);
   EXPECT_EQ(this->stored.SelectStore(Part(key)), nullptr);
 }
 
 TEST_F(StoredPartIndexTest, ForgetsStoreRemovedFromConfiguration)
 {
-  this->State("10.0.0.2", { Part(1) });
+  this->Report("10.0.0.2", { Part(1) });
   this->services.pop_back();
   this->stored.SetStores(this->services);
   EXPECT_EQ(this->Found(Part(1)), "");
@@ -126,11 +126,11 @@
 
 TEST_F(StoredPartIndexTest, CountsReservedSpaceAsUsed)
 {
-  StoreStatement statement;
-  statement.store = Endpoint{ "10.0.0.1", 8006 };
-  statement.live = true;
-  statement.reserved = TokenCount(99'500);
-  this->stored.Apply(statement);
+  StoreStatement update;
+  update.store = Endpoint{ "10.0.0.1", 8006 };
+  update.live = true;
+  update.reserved = TokenCount(99'500);
+  this->stored.Apply(update);
   for (std::uint64_t key = 1; key <= 100; ++key) {
     EXPECT_EQ(this->stored.SelectStore(Part(key))->name, "10.0.0.2:8006");
   }
--- a/test/coordination/StreamAssemblerTest.cpp
+++ b/test/coordination/StreamAssemblerTest.cpp
@@ -41,23 +41,23 @@
   EXPECT_FALSE(assembler.Complete());
 }
 
-// Whatever is doubled, crossed or out of order, what goes out is a prefix of the true answer, and
-// Complete() means all of it.
+// Frames are duplicated, reordered and mixed with those of another attempt. The output is a prefix
+// of the answer, and all of it if Complete() returns true.
 RC_GTEST_PROP(StreamAssemblerProperty, OutputIsPrefixOfAnswer, ())
 {
   constexpr std::uint64_t kLength = 5;
   StreamAssembler assembler(AttemptId("a-1"), 0);
   const auto picks = *rc::gen::container<std::vector<unsigned>>(rc::gen::inRange(0U, 12U));
-  std::string out;
+  std::string output;
   for (const unsigned pick : picks) {
     const std::uint64_t offset = pick % (kLength + 1);
     const std::string attempt = pick > kLength ? "a-0" : "a-1";
     const auto text = assembler.Accept(MakeFrame(offset, offset == kLength, attempt));
-    out += text ? text.value() : "";
+    output += text ? text.value() : "";
   }
-  const std::string whole = "0,1,2,3,4,";
-  RC_ASSERT(whole.starts_with(out));
-  RC_ASSERT(!assembler.Complete() || out == whole);
+  const std::string answer = "0,1,2,3,4,";
+  RC_ASSERT(answer.starts_with(output));
+  RC_ASSERT(!assembler.Complete() || output == answer);
 }
 
 } // namespace
