--- a/include/damasklink/coordination/SlowStoreDetector.h
+++ b/include/damasklink/coordination/StorePace.h
@@ -1,6 +1,6 @@
 // Detects stores of prompt parts that are slower than the others, from the delays of first events.
 //
-//   SlowStoreDetector detector(seed);
+//   StorePace detector(seed);
 //   detector.Observe(store, delay);        // Time to the first event beyond the engine's own work.
 //   if (detector.ShouldFetch(store)) ...   // Fetch the part; else prefill it.
 //
@@ -18,14 +18,14 @@
 
 namespace damasklink {
 
-class SlowStoreDetector
+class StorePace
 {
 public:
   // Weight of a new observation in the moving average of its store, which covers about five of
   // them.
   static constexpr double kSmoothing = 0.2;
   // Observations before the average of a store is used.
-  static constexpr std::uint64_t kMinObservations = 4;
+  static constexpr std::uint64_t kMinObservationsPerStore = 4;
   // A store is too slow for a call when its average exceeds twice that of the best other store by
   // more than the cost of prefilling the call's parts, and by more than this, in milliseconds.
   static constexpr double kMinSlowMargin = 100;
@@ -35,7 +35,7 @@
   // One in this many calls still fetches from a slow store, to detect that it has recovered.
   static constexpr unsigned kProbeInterval = 8;
 
-  explicit SlowStoreDetector(std::uint64_t aSeed)
+  explicit StorePace(std::uint64_t aSeed)
     : random(aSeed)
   {
   }
@@ -62,7 +62,7 @@
   struct Average
   {
     double delay = 0;
-    // Stops counting at kMinObservations.
+    // Stops counting at kMinObservationsPerStore.
     std::uint64_t observations = 0;
   };
 
--- a/src/coordination/RetryScheduler.cpp
+++ b/src/coordination/ReturnQueue.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/RetryScheduler.h"
+#include "damasklink/coordination/ReturnQueue.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 
 // Exponential decay with a time constant of one second, a half-life of 0.7 s.
 void
-RetryScheduler::Decay()
+ReturnQueue::Decay()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const double seconds = std::chrono::duration<double>(now - this->decayedAt).count();
@@ -16,14 +16,14 @@
 }
 
 void
-RetryScheduler::OnAdmitted()
+ReturnQueue::OnAdmitted()
 {
   this->Decay();
   this->admitted += 1;
 }
 
 Duration
-RetryScheduler::NextRetryDelay()
+ReturnQueue::NextRetryDelay()
 {
   this->Decay();
   const MonotonicTime now = this->clock.MonotonicNow();
--- a/src/coordination/SlowStoreDetector.cpp
+++ b/src/coordination/StorePace.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/SlowStoreDetector.h"
+#include "damasklink/coordination/StorePace.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 namespace damasklink {
 
 void
-SlowStoreDetector::Observe(const std::string& aStore, double aDelay)
+StorePace::Observe(const std::string& aStore, double aDelay)
 {
   const double delay = std::max(aDelay, 0.0);
   StoreExcess& observed = this->unreported[aStore];
@@ -19,7 +19,7 @@
 }
 
 void
-SlowStoreDetector::Add(const std::string& aStore, std::uint64_t aCount, double aTotal)
+StorePace::Add(const std::string& aStore, std::uint64_t aCount, double aTotal)
 {
   const double delay = aTotal / static_cast<double>(aCount);
   Average& average = this->averages[aStore];
@@ -27,11 +27,11 @@
   const double weight = 1 - std::pow(1 - kSmoothing, static_cast<double>(aCount));
   average.delay =
     average.observations == 0 ? delay : average.delay + weight * (delay - average.delay);
-  average.observations = std::min(average.observations + aCount, kMinObservations);
+  average.observations = std::min(average.observations + aCount, kMinObservationsPerStore);
 }
 
 std::vector<StoreExcess>
-SlowStoreDetector::TakeObservations()
+StorePace::TakeObservations()
 {
   std::vector<StoreExcess> taken;
   for (auto& [store, observed] : std::exchange(this->unreported, {})) {
@@ -41,7 +41,7 @@
 }
 
 void
-SlowStoreDetector::Merge(const std::vector<StoreExcess>& aObservations)
+StorePace::Merge(const std::vector<StoreExcess>& aObservations)
 {
   for (const StoreExcess& observed : aObservations) {
     if (observed.count > 0) {
@@ -51,15 +51,15 @@
 }
 
 bool
-SlowStoreDetector::IsSlow(const std::string& aStore, double aPrefillTime) const
+StorePace::IsSlow(const std::string& aStore, double aPrefillTime) const
 {
   const auto found = this->averages.find(aStore);
-  if (found == this->averages.end() || found->second.observations < kMinObservations) {
+  if (found == this->averages.end() || found->second.observations < kMinObservationsPerStore) {
     return false;
   }
   std::optional<double> best;
   for (const auto& [store, average] : this->averages) {
-    if (store != aStore && average.observations >= kMinObservations) {
+    if (store != aStore && average.observations >= kMinObservationsPerStore) {
       best = best ? std::min(*best, average.delay) : average.delay;
     }
   }
@@ -68,7 +68,7 @@
 }
 
 bool
-SlowStoreDetector::ShouldFetch(const std::string& aStore, double aPrefillTime)
+StorePace::ShouldFetch(const std::string& aStore, double aPrefillTime)
 {
   return !this->IsSlow(aStore, aPrefillTime) || this->random() % kProbeInterval == 0;
 }
--- a/src/coordination/StoredPartIndex.cpp
+++ b/src/coordination/StoredParts.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StoredPartIndex.h"
+#include "damasklink/coordination/StoredParts.h"
 
 #include <algorithm>
 #include <cmath>
@@ -29,7 +29,7 @@
 } // namespace
 
 void
-StoredPartIndex::SetStores(const std::vector<ServingService>& aServices)
+StoredParts::SetStores(const std::vector<ServingService>& aServices)
 {
   std::map<std::string, PromptStore> declared;
   for (const ServingService& service : aServices) {
@@ -52,7 +52,7 @@
 }
 
 std::vector<std::string>
-StoredPartIndex::StoreNames() const
+StoredParts::StoreNames() const
 {
   std::vector<std::string> names;
   for (const auto& [name, store] : this->stores) {
@@ -62,14 +62,14 @@
 }
 
 std::size_t
-StoredPartIndex::CountLiveStores() const
+StoredParts::CountLiveStores() const
 {
   return static_cast<std::size_t>(std::count_if(
     this->stores.begin(), this->stores.end(), [](const auto& aItem) { return aItem.second.live; }));
 }
 
 void
-StoredPartIndex::Apply(const StoreStatement& aUpdate)
+StoredParts::Apply(const StoreStatement& aUpdate)
 {
   const auto found = this->stores.find(FormatEndpoint(aUpdate.store));
   if (found == this->stores.end()) {
@@ -97,9 +97,9 @@
 }
 
 const PromptStore*
-StoredPartIndex::Find(const SizedPart& aPart,
-                      const ZoneId& aZone,
-                      const std::set<std::string>& aAvoided) const
+StoredParts::Find(const SizedPart& aPart,
+                  const ZoneId& aZone,
+                  const std::set<std::string>& aAvoided) const
 {
   const PromptStore* best = nullptr;
   double shortest = 0;
@@ -121,7 +121,7 @@
 }
 
 const PromptStore*
-StoredPartIndex::SelectStore(const SizedPart& aPart) const
+StoredParts::SelectStore(const SizedPart& aPart) const
 {
   const PromptStore* best = nullptr;
   double highest = 0;
@@ -146,7 +146,7 @@
 }
 
 double
-StoredPartIndex::TransferTime(const PromptStore& aStore, TokenCount aTokens) const
+StoredParts::TransferTime(const PromptStore& aStore, TokenCount aTokens) const
 {
   const double bytesPerMillisecond = aStore.traits.linkRate * 1e6 / 8 / 1e3;
   const std::chrono::duration<double, std::milli> first = aStore.traits.firstByte;
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -153,9 +153,9 @@
   ZoneReach reach;
   TargetPicker picker;
   TargetChannelPool pool;
-  SlowStoreDetector pace;
+  StorePace pace;
   ComeBack comeBack;
-  RetryScheduler returns;
+  ReturnQueue returns;
   TargetCheck checks;
   CrashWatch crashes;
   BrokenRuns broken;
--- a/src/program/EntryPicture.cpp
+++ b/src/program/EntryPicture.cpp
@@ -131,7 +131,7 @@
 EntryPicture::ListenForStores(const std::optional<HostId>& aHub)
 {
   this->hub = aHub;
-  this->stored = StoredPartIndex();
+  this->stored = StoredParts();
   if (this->routes != nullptr) {
     this->stored.SetStores(this->routes->Config().services);
   }
@@ -160,7 +160,7 @@
   return known;
 }
 
-const StoredPartIndex*
+const StoredParts*
 EntryPicture::Stored() const
 {
   return this->hub ? &this->stored : nullptr;
--- a/src/program/EntryPicture.h
+++ b/src/program/EntryPicture.h
@@ -10,7 +10,7 @@
 
 #include "damasklink/coordination/RouteTable.h"
 #include "damasklink/coordination/ServingPicture.h"
-#include "damasklink/coordination/StoredPartIndex.h"
+#include "damasklink/coordination/StoredParts.h"
 #include "damasklink/coordination/TargetBoard.h"
 #include "damasklink/protocol/ServingDialect.h"
 
@@ -58,7 +58,7 @@
   void ListenForStores(const std::optional<HostId>& aHub);
 
   // Returns what is known of stored parts. Null when no control host tells of them.
-  const StoredPartIndex* Stored() const;
+  const StoredParts* Stored() const;
 
   // Returns whether the control host is connected and has told a picture since. One that is
   // suspended accepts connections too, and says nothing on them.
@@ -92,7 +92,7 @@
   std::map<HostId, std::uint64_t> entryHosts;
   // The control host that tells of stored parts, and what it told.
   std::optional<HostId> hub;
-  StoredPartIndex stored;
+  StoredParts stored;
   std::set<HostId> connected;
   // Those of them that have told a picture on this connection.
   std::set<HostId> spoken;
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -16,9 +16,9 @@
 #include "damasklink/coordination/ExchangePlan.h"
 #include "damasklink/coordination/HomeRegions.h"
 #include "damasklink/coordination/RequestFingerprint.h"
-#include "damasklink/coordination/RetryScheduler.h"
 #include "damasklink/coordination/RetryShares.h"
-#include "damasklink/coordination/SlowStoreDetector.h"
+#include "damasklink/coordination/ReturnQueue.h"
+#include "damasklink/coordination/StorePace.h"
 #include "damasklink/coordination/TargetLimits.h"
 #include "damasklink/coordination/TargetPicker.h"
 #include "damasklink/protocol/ServingDialect.h"
@@ -43,9 +43,9 @@
   ZoneReach& reach;
   TargetPicker& picker;
   TargetChannelPool& pool;
-  SlowStoreDetector& pace;
+  StorePace& pace;
   ComeBack& comeBack;
-  RetryScheduler& returns;
+  ReturnQueue& returns;
   TargetCheck& checks;
   CrashWatch& crashes;
   BrokenRuns& broken;
--- a/src/program/ExchangeChoice.cpp
+++ b/src/program/ExchangeChoice.cpp
@@ -74,7 +74,7 @@
     const PartKey key = MakePartKey(this->scope.Value(), part.id.Value());
     this->question.parts.push_back(SizedPart{ key, part.tokens });
   }
-  const StoredPartIndex* stored = this->context.picture.Stored();
+  const StoredParts* stored = this->context.picture.Stored();
   if (stored == nullptr) {
     return;
   }
@@ -249,7 +249,7 @@
 Exchange::AddPartMoves(const TargetRecord& aTarget, TargetCall& aTo)
 {
   this->fetchedFrom.clear();
-  const StoredPartIndex* stored = this->context.picture.Stored();
+  const StoredParts* stored = this->context.picture.Stored();
   if (stored == nullptr || this->question.parts.empty()) {
     return;
   }
@@ -286,7 +286,7 @@
 }
 
 // Tells what the first event took beyond reading what the target was to read, for
-// SlowStoreDetector.
+// StorePace.
 void
 Exchange::NoteFirstEvent(const TargetRecord& aTarget)
 {
--- a/test/coordination/RetrySchedulerTest.cpp
+++ b/test/coordination/ReturnQueueTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/RetryScheduler.h"
+#include "damasklink/coordination/ReturnQueue.h"
 
 #include <algorithm>
 #include <functional>
@@ -10,7 +10,7 @@
 namespace {
 
 // Simulates targets of a fixed rate behind one host. Refused callers retry once.
-class RetrySchedulerTest : public ::testing::Test
+class ReturnQueueTest : public ::testing::Test
 {
 protected:
   static constexpr Duration kStep = std::chrono::milliseconds(10);
@@ -54,42 +54,42 @@
   }
 
   ManualClock clock;
-  RetryScheduler scheduler{ this->clock, 1 };
+  ReturnQueue scheduler{ this->clock, 1 };
 };
 
 // After an outage of all hosts the calls of two seconds arrive within 0.8 s, followed by the usual
 // load of 80 % of what the targets can take. With equal delays the refused callers return together
 // and are refused again.
-TEST_F(RetrySchedulerTest, SpreadsRetriesAfterOutage)
+TEST_F(ReturnQueueTest, SpreadsRetriesAfterOutage)
 {
   const auto surge = [](Duration aNow) {
     return aNow < std::chrono::milliseconds(800) ? 0.25 : 0.08;
   };
   constexpr Duration kTime = std::chrono::seconds(6);
   const int withEqualDelays =
-    this->CountRefusedTwice(surge, kTime, 0.1, [] { return RetryScheduler::kMinRetryDelay; });
+    this->CountRefusedTwice(surge, kTime, 0.1, [] { return ReturnQueue::kMinRetryDelay; });
   const int withScheduler =
     this->CountRefusedTwice(surge, kTime, 0.1, [this] { return this->scheduler.NextRetryDelay(); });
   EXPECT_GT(withEqualDelays, 4);
   EXPECT_LE(withScheduler * 2, withEqualDelays);
 }
 
-TEST_F(RetrySchedulerTest, SingleRefusedCallerGetsMinDelay)
+TEST_F(ReturnQueueTest, SingleRefusedCallerGetsMinDelay)
 {
   for (int call = 0; call < 20; ++call) {
     this->scheduler.OnAdmitted();
   }
-  EXPECT_EQ(this->scheduler.NextRetryDelay(), RetryScheduler::kMinRetryDelay);
+  EXPECT_EQ(this->scheduler.NextRetryDelay(), ReturnQueue::kMinRetryDelay);
   this->clock.Advance(std::chrono::seconds(2));
-  EXPECT_EQ(this->scheduler.NextRetryDelay(), RetryScheduler::kMinRetryDelay);
+  EXPECT_EQ(this->scheduler.NextRetryDelay(), ReturnQueue::kMinRetryDelay);
 }
 
-TEST_F(RetrySchedulerTest, DelayStaysWithinBounds)
+TEST_F(ReturnQueueTest, DelayStaysWithinBounds)
 {
   for (int caller = 0; caller < 1'000; ++caller) {
     const Duration after = this->scheduler.NextRetryDelay();
-    EXPECT_GE(after, RetryScheduler::kMinRetryDelay);
-    EXPECT_LE(after, RetryScheduler::kMaxRetryDelay);
+    EXPECT_GE(after, ReturnQueue::kMinRetryDelay);
+    EXPECT_LE(after, ReturnQueue::kMaxRetryDelay);
   }
 }
 
--- a/test/coordination/StoredPartIndexTest.cpp
+++ b/test/coordination/StoredPartsTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StoredPartIndex.h"
+#include "damasklink/coordination/StoredParts.h"
 
 #include <gtest/gtest.h>
 
@@ -13,10 +13,10 @@
   return SizedPart{ PartKey(aKey), TokenCount(aTokens) };
 }
 
-class StoredPartIndexTest : public ::testing::Test
+class StoredPartsTest : public ::testing::Test
 {
 protected:
-  StoredPartIndexTest()
+  StoredPartsTest()
   {
     this->services = { Store("10.0.0.1", "z", 100'000), Store("10.0.0.2", "y", 300'000) };
     this->stored.SetStores(this->services);
@@ -52,23 +52,23 @@
   }
 
   std::vector<ServingService> services;
-  StoredPartIndex stored;
+  StoredParts stored;
 };
 
-TEST_F(StoredPartIndexTest, FindsOnlyReportedParts)
+TEST_F(StoredPartsTest, FindsOnlyReportedParts)
 {
   this->Report("10.0.0.2", { Part(1) });
   EXPECT_EQ(this->Found(Part(1)), "10.0.0.2");
   EXPECT_EQ(this->Found(Part(2)), "");
 }
 
-TEST_F(StoredPartIndexTest, DoesNotFindIncompletePart)
+TEST_F(StoredPartsTest, DoesNotFindIncompletePart)
 {
   this->Report("10.0.0.2", { Part(1, 400) });
   EXPECT_EQ(this->Found(Part(1, 1000)), "");
 }
 
-TEST_F(StoredPartIndexTest, PrefersStoreInOwnZone)
+TEST_F(StoredPartsTest, PrefersStoreInOwnZone)
 {
   this->Report("10.0.0.1", { Part(1) });
   this->Report("10.0.0.2", { Part(1) });
@@ -76,7 +76,7 @@
   EXPECT_EQ(this->Found(Part(1), { "10.0.0.1:8006" }), "10.0.0.2");
 }
 
-TEST_F(StoredPartIndexTest, FindsNothingInUnreachableStore)
+TEST_F(StoredPartsTest, FindsNothingInUnreachableStore)
 {
   this->Report("10.0.0.2", { Part(1) });
   this->Report("10.0.0.2", {}, false);
@@ -85,7 +85,7 @@
   EXPECT_EQ(this->Found(Part(1)), "");
 }
 
-TEST_F(StoredPartIndexTest, PlacesPartsInProportionToLinkRate)
+TEST_F(StoredPartsTest, PlacesPartsInProportionToLinkRate)
 {
   this->services[0].store->linkRate = 100'000;
   this->services[1].store->linkRate = 300'000;
@@ -98,7 +98,7 @@
   EXPECT_NEAR(faster, 750, 60);
 }
 
-TEST_F(StoredPartIndexTest, PlacesNothingInFullStore)
+TEST_F(StoredPartsTest, PlacesNothingInFullStore)
 {
   this->Report("10.0.0.2", { Part(9999, 299'000) });
   for (std::uint64_t key = 0; key < 100; ++key) {
@@ -106,7 +106,7 @@
   }
 }
 
-TEST_F(StoredPartIndexTest, DoesNotMovePartsOfUnreachableStore)
+TEST_F(StoredPartsTest, DoesNotMovePartsOfUnreachableStore)
 {
   std::uint64_t key = 0;
   while (this->stored.SelectStore(Part(key))->traits.endpoint.address != "10.0.0.2") {
@@ -116,7 +116,7 @@
   EXPECT_EQ(this->stored.SelectStore(Part(key)), nullptr);
 }
 
-TEST_F(StoredPartIndexTest, ForgetsStoreRemovedFromConfiguration)
+TEST_F(StoredPartsTest, ForgetsStoreRemovedFromConfiguration)
 {
   this->Report("10.0.0.2", { Part(1) });
   this->services.pop_back();
@@ -124,7 +124,7 @@
   EXPECT_EQ(this->Found(Part(1)), "");
 }
 
-TEST_F(StoredPartIndexTest, CountsReservedSpaceAsUsed)
+TEST_F(StoredPartsTest, CountsReservedSpaceAsUsed)
 {
   StoreStatement update;
   update.store = Endpoint{ "10.0.0.1", 8006 };
--- a/test/program/ExchangeFixture.h
+++ b/test/program/ExchangeFixture.h
@@ -218,9 +218,9 @@
   ZoneReach reach{ this->clock, 1 };
   TargetPicker picker{ this->health, this->reach, 1 };
   TargetChannelPool pool{ this->clock };
-  SlowStoreDetector pace{ 1 };
+  StorePace pace{ 1 };
   ComeBack comeBack{ 1 };
-  RetryScheduler returns{ this->clock, 1 };
+  ReturnQueue returns{ this->clock, 1 };
   TargetCheck checks{ this->loop, this->clock };
   CrashWatch crashes{ this->clock };
   BrokenRuns broken{ this->clock };
