--- a/src/program/ExchangeChoice.cpp
+++ b/src/program/ExchangeChoice.cpp
@@ -285,8 +285,7 @@
   }
 }
 
-// Tells what the first event took beyond reading what the target was to read, for
-// StorePace.
+// Tells what the first event took beyond reading what the target was to read, for StorePace.
 void
 Exchange::NoteFirstEvent(const TargetRecord& aTarget)
 {
