--- a/bench/ConfigurationBench.cpp
+++ b/bench/ConfigurationBench.cpp
@@ -9,7 +9,7 @@
 #include "ConfigurationHosts.h"
 #include "Slope.h"
 #include "damasklink/coordination/CallerIndex.h"
-#include "damasklink/coordination/ConfigMachine.h"
+#include "damasklink/coordination/ConfigStateMachine.h"
 #include "damasklink/protocol/ConfigWire.h"
 #include "damasklink/protocol/Envelope.h"
 #include "damasklink/protocol/TargetsWire.h"
@@ -39,7 +39,7 @@
 }
 
 // Machine, tree in force and callers' directory of one host that votes.
-class OneHost final : public ConfigListener
+class OneHost final : public CommittedTreeObserver
 {
 public:
   OneHost()
@@ -75,8 +75,8 @@
   HostSettings settings;
   HostMembership membership;
   CallerIndex index;
-  ConfigSpread spread;
-  ConfigMachine machine;
+  ConfigDistributor spread;
+  ConfigStateMachine machine;
   std::shared_ptr<const CallerDirectory> published;
   std::uint64_t changes = 0;
 };
@@ -114,7 +114,7 @@
   const std::string snapshot = host.machine.Save();
   const double saved = Milliseconds(wall.MonotonicNow() - start);
   start = wall.MonotonicNow();
-  ConfigMachine restarted;
+  ConfigStateMachine restarted;
   const bool loaded = restarted.Load(snapshot).has_value();
   std::cout << "after_100000_changes heap_mb=" << (afterDay - before) / kMebibyte
             << " snapshot_mb=" << static_cast<double>(snapshot.size()) / kMebibyte
@@ -195,7 +195,7 @@
     HostSettings settings;
     HostMembership membership;
     CallerIndex index;
-    ConfigSpread spread;
+    ConfigDistributor spread;
     TargetSpread targets;
   };
 
--- a/bench/PolicySim.cpp
+++ b/bench/PolicySim.cpp
@@ -18,7 +18,7 @@
 // When faults begin: in the middle of a rush, and how long they last.
 constexpr Duration kFaultAt = std::chrono::hours(24) + seconds(5);
 constexpr Duration kFaultLength = std::chrono::hours(6);
-constexpr std::uint32_t kTargetsGone = 3;
+constexpr std::uint32_t kUnreachableTargets = 3;
 
 } // namespace
 
@@ -121,7 +121,7 @@
 void
 Simulation::LoseTargets()
 {
-  for (std::uint32_t number = 0; number < kTargetsGone; ++number) {
+  for (std::uint32_t number = 0; number < kUnreachableTargets; ++number) {
     Engine& engine = this->engines[number];
     engine.alive = false;
     std::vector<JobPtr> lost(engine.queue.begin(), engine.queue.end());
--- a/include/damasklink/coordination/BrokenRuns.h
+++ b/include/damasklink/coordination/BrokenRuns.h
@@ -14,7 +14,7 @@
 #include <deque>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
--- a/include/damasklink/coordination/CallerIndex.h
+++ b/include/damasklink/coordination/CallerIndex.h
@@ -1,7 +1,7 @@
 // The callers' directory that follows the tree in force, one change at a time.
 #pragma once
 
-#include "damasklink/coordination/ConfigSpread.h"
+#include "damasklink/coordination/ConfigDistributor.h"
 #include "damasklink/state/CallerDirectory.h"
 #include "damasklink/state/ConfigNarrowing.h"
 
@@ -12,10 +12,10 @@
 class CallerIndex final : public TreeObserver
 {
 public:
-  void OnInstalled(const RevisionedTree& aTree,
-                   const TreeChange& aChange,
-                   const Subtree& aBefore) override;
-  void OnReplaced(const RevisionedTree& aTree) override;
+  void OnSubtreeChanged(const RevisionedTree& aTree,
+                        const TreeChange& aChange,
+                        const Subtree& aBefore) override;
+  void OnTreeReplaced(const RevisionedTree& aTree) override;
 
   const CallerDirectory& Directory() const { return this->directory; }
 
--- a/include/damasklink/coordination/ChangeAnswers.h
+++ b/include/damasklink/coordination/ChangeAnswerCache.h
@@ -13,7 +13,7 @@
 
 // Keeps the answers of the last kKept change ids, about a day at 97,000 changes a day. The same
 // calls in the same order give the same content on every replica.
-class ChangeAnswers
+class ChangeAnswerCache
 {
 public:
   static constexpr std::size_t kKept = 100'000;
@@ -29,7 +29,7 @@
 
   void Pack(CompactWriter& aTo) const;
   // Turns the reader bad when the bytes are no answers.
-  static ChangeAnswers Unpack(CompactReader& aFrom);
+  static ChangeAnswerCache Unpack(CompactReader& aFrom);
 
 private:
   // 16 bytes of the id's digest, in place of the id.
@@ -49,7 +49,7 @@
 };
 
 // Returns the fingerprint of the bytes.
-ChangeAnswers::Fingerprint
+ChangeAnswerCache::Fingerprint
 FingerprintOf(std::string_view aBytes);
 
 } // namespace damasklink
--- a/include/damasklink/coordination/ConfigSpread.h
+++ b/include/damasklink/coordination/ConfigDistributor.h
@@ -13,12 +13,12 @@
 
 enum class ConfigMessageKind : std::uint8_t
 {
-  Delta = 1,  // One change on its way around the ring of hosts.
-  Ask = 2,    // "I am at this revision": answered by what is newer, or by a Report.
-  Deltas = 3, // The changes that follow the asker's revision.
-  Whole = 4,  // The whole tree.
-  Report = 5, // "I am at this revision."
-  Closed = 6, // To the origin: the delta of this revision went around the whole ring.
+  Delta = 1,         // One change on its way around the ring of hosts.
+  Query = 2,         // "I am at this revision": answered by what is newer, or by a Report.
+  Deltas = 3,        // The changes that follow the asker's revision.
+  FullTree = 4,      // The whole tree.
+  Report = 5,        // "I am at this revision."
+  RingCompleted = 6, // To the origin: the delta of this revision went around the whole ring.
 };
 
 // A message between two hosts about the tree.
@@ -50,17 +50,17 @@
   virtual ~TreeObserver() = default;
 
   // One subtree changed; aBefore is what it was.
-  virtual void OnInstalled(const RevisionedTree& aTree,
-                           const TreeChange& aChange,
-                           const Subtree& aBefore) = 0;
+  virtual void OnSubtreeChanged(const RevisionedTree& aTree,
+                                const TreeChange& aChange,
+                                const Subtree& aBefore) = 0;
 
   // Anything may have changed.
-  virtual void OnReplaced(const RevisionedTree& aTree) = 0;
+  virtual void OnTreeReplaced(const RevisionedTree& aTree) = 0;
 };
 
 // Holds the tree that is in force on this host and brings newer ones in and onward.
 //
-//   ConfigSpread spread(clock, settings, membership, observer);
+//   ConfigDistributor spread(clock, settings, membership, observer);
 //   spread.OnCommitted(change, leading);    // From the replicated machine.
 //   spread.OnMessage(from, message);        // From a peer.
 //   spread.OnTick(leaseHeld);
@@ -75,7 +75,7 @@
 // - Heartbeats carry revisions; who sees a higher one asks for what is missing.
 // - The leader's word that a revision is the newest travels with heartbeats and its age adds up;
 //   Stale() once it is older than kStaleAfter.
-class ConfigSpread
+class ConfigDistributor
 {
 public:
   static constexpr Duration kJoinLimit = std::chrono::seconds(2);
@@ -87,10 +87,10 @@
   // Peers asked at the start, those of this zone first.
   static constexpr std::size_t kMostAsked = 16;
 
-  ConfigSpread(const Clock& aClock,
-               const HostSettings& aSettings,
-               const HostMembership& aMembership,
-               TreeObserver& aObserver);
+  ConfigDistributor(const Clock& aClock,
+                    const HostSettings& aSettings,
+                    const HostMembership& aMembership,
+                    TreeObserver& aObserver);
 
   // Takes a tree from disk or from a snapshot of the group.
   void OnTree(const RevisionedTree& aTree);
@@ -107,7 +107,7 @@
   void OnTick(bool aLeaseHeld);
 
   // Asks all peers for their revisions, to tell where one is in force.
-  void AskAll();
+  void QueryAllPeers();
 
   // Returns what is to be sent, and forgets it.
   std::vector<OutgoingConfigMessage> TakeOutgoing();
@@ -126,7 +126,7 @@
   std::optional<WallTime> TakeAcceptedAt();
 
 private:
-  struct OpenRing
+  struct PendingRing
   {
     Revision revision;
     MonotonicTime since;
@@ -135,16 +135,16 @@
   void Send(const HostId& aTo, ConfigMessage aMessage);
   ConfigMessage MakeMessage(ConfigMessageKind aKind) const;
   void PassOn(const ConfigMessage& aDelta);
-  void CloseRing(Revision aRevision);
-  void TakeDelta(const HostId& aFrom, const ConfigMessage& aMessage);
-  void TakeDeltas(const ConfigMessage& aMessage);
-  void TakeWhole(const ConfigMessage& aMessage);
+  void CompleteRing(Revision aRevision);
+  void HandleDelta(const HostId& aFrom, const ConfigMessage& aMessage);
+  void HandleDeltas(const ConfigMessage& aMessage);
+  void HandleFullTree(const ConfigMessage& aMessage);
   void Answer(const HostId& aFrom, Revision aHeld);
   bool CanCatchUp(Revision aHeld) const;
   // Installs the change when it is the next one, and what was waiting for it.
   void Install(const TreeChange& aChange);
   void InstallNext(const TreeChange& aChange);
-  void AskLimited(const HostId& aPeer);
+  void QueryRateLimited(const HostId& aPeer);
   void Join();
 
   const Clock& clock;
@@ -154,14 +154,14 @@
   TreeObserver& observer;
   RevisionedTree tree;
   bool joined = false;
-  MonotonicTime joinUntil;
+  MonotonicTime joinDeadline;
   std::map<HostId, Revision> peerRevisions;
   std::vector<HostId> asked;
   std::deque<TreeChange> recent;
   // Changes that came before the one they follow.
   std::map<Revision, TreeChange> waiting;
   Revision passedOn;
-  std::optional<OpenRing> ring;
+  std::optional<PendingRing> ring;
   bool led = false;
   MonotonicTime confirmedAt;
   MonotonicTime nextAsk;
--- a/include/damasklink/coordination/ConfigMachine.h
+++ b/include/damasklink/coordination/ConfigStateMachine.h
@@ -5,17 +5,17 @@
 
 #include <absl/container/flat_hash_map.h>
 
-#include "damasklink/coordination/ChangeAnswers.h"
+#include "damasklink/coordination/ChangeAnswerCache.h"
 #include "damasklink/coordination/Replication.h"
 #include "damasklink/state/Digests.h"
 
 namespace damasklink {
 
 // Hears of what the replicated tree becomes. Called while a command is applied.
-class ConfigListener
+class CommittedTreeObserver
 {
 public:
-  virtual ~ConfigListener() = default;
+  virtual ~CommittedTreeObserver() = default;
 
   // A change was accepted.
   virtual void OnChange(const TreeChange& aChange) = 0;
@@ -26,7 +26,7 @@
 
 // Accepts changes one after the other and remembers what it answered.
 //
-//   ConfigMachine machine;
+//   ConfigStateMachine machine;
 //   replicator.AddMachine(ControlGroupId(), MachinePart::Configuration, machine);
 //   replicator.Propose(ControlGroupId(), MachinePart::Configuration, PackConfigChange(change),
 //   ...);
@@ -34,17 +34,17 @@
 // - Of changes made from the same version exactly one is accepted; the others' Conflict names the
 //   version in force.
 // - A change id that comes again gets its first answer, whatever happened since, as long as it is
-//   among the last ChangeAnswers::kKept ones; with other content it is refused.
+//   among the last ChangeAnswerCache::kKept ones; with other content it is refused.
 // - A change that widens what its parent allows, or takes a key that another workspace holds, is
 //   refused. Accepted means: the answer came back from a committed command.
 // - The history keeps the last kKeptHistory accepted changes.
-class ConfigMachine final : public ReplicatedMachine
+class ConfigStateMachine final : public ReplicatedMachine
 {
 public:
   static constexpr std::size_t kKeptHistory = 20'000;
 
   // aListener may be null; it must outlive the machine.
-  explicit ConfigMachine(ConfigListener* aListener = nullptr);
+  explicit ConfigStateMachine(CommittedTreeObserver* aListener = nullptr);
 
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
   std::string Save() const override;
@@ -71,12 +71,12 @@
   std::string FindKeyProblem(const WorkspaceId& aId, const WorkspaceNode& aWorkspace) const;
   void Install(const ApplyContext& aContext, const ConfigChange& aChange);
   void Remember(HistoryEntry aEntry);
-  void HoldKeys(const SubtreeName& aName, const WorkspaceNode* aWorkspace);
-  void ReleaseKeys(const WorkspaceNode* aWorkspace);
+  void RegisterKeys(const SubtreeName& aName, const WorkspaceNode* aWorkspace);
+  void UnregisterKeys(const WorkspaceNode* aWorkspace);
 
-  ConfigListener* listener;
+  CommittedTreeObserver* listener;
   RevisionedTree tree;
-  ChangeAnswers answers;
+  ChangeAnswerCache answers;
   std::deque<HistoryEntry> history;
   KeyHolders keyHolders;
 };
--- a/include/damasklink/coordination/ControlLinks.h
+++ b/include/damasklink/coordination/ControlLinks.h
@@ -14,7 +14,7 @@
 #include <functional>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 
 namespace damasklink {
 
--- a/include/damasklink/coordination/CrashLedger.h
+++ b/include/damasklink/coordination/CrashLedger.h
@@ -17,8 +17,8 @@
 #include <set>
 #include <vector>
 
-#include "damasklink/coordination/ServingMachine.h"
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
+#include "damasklink/coordination/ServingStateMachine.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
@@ -44,7 +44,7 @@
   }
 
   void Take(const std::vector<CrashReport>& aReports);
-  void TakeSound(const std::vector<SoundRun>& aRuns);
+  void TakeSound(const std::vector<SuccessfulRun>& aRuns);
   void SetRefused(const RefusedRequests& aRefused);
 
   // Returns what entry hosts are to know. Requests that this host alone believes to crash targets
--- a/include/damasklink/coordination/CrashWatch.h
+++ b/include/damasklink/coordination/CrashWatch.h
@@ -14,7 +14,7 @@
 #include <set>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
@@ -38,7 +38,7 @@
   bool IsRefused(RequestFingerprint aRequest) const { return this->refused.contains(aRequest); }
 
   void OnCrash(CrashReport aReport);
-  void OnSound(const SoundRun& aRun);
+  void OnSound(const SuccessfulRun& aRun);
 
   // Takes what a control host knows now.
   void Take(const HostId& aFrom, const CrashingRequests& aTold);
@@ -51,7 +51,7 @@
 
   // Returns what is to be told to the control host.
   std::vector<CrashReport> TakeReports();
-  std::vector<SoundRun> TakeSound();
+  std::vector<SuccessfulRun> TakeSound();
 
 private:
   struct Word
@@ -76,7 +76,7 @@
   std::set<RequestFingerprint> watched;
   // In the order in which they were made.
   std::vector<OwnReport> reports;
-  std::set<SoundRun> sound;
+  std::set<SuccessfulRun> sound;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/DocumentFetch.h
+++ b/include/damasklink/coordination/DocumentFetcher.h
@@ -1,12 +1,12 @@
 // How an entry host gets the configuration document: the receiving side of DocumentTransfer.h.
 //
-//   DocumentFetch fetch(clock);
+//   DocumentFetcher fetch(clock);
 //   // With every picture that a control host tells:
-//   fetch.OnAnnounced(controlHost, version);
+//   fetch.OnVersionAnnounced(controlHost, version);
 //   // After each event, and on a timer:
 //   if (auto ask = fetch.Next()) { Send(ask->source, ask->question); }
-//   // Unpack what is returned and tell by OnHeld() or OnRefused() what came of it:
-//   if (auto document = fetch.OnPiece(controlHost, piece)) { ... }
+//   // Unpack what is returned and tell by OnVersionInstalled() or OnUnpackFailed() what came of
+//   it: if (auto document = fetch.OnChunk(controlHost, piece)) { ... }
 //
 // One piece is under way at a time, from one control host. When it does not come, another control
 // host is asked for the same piece, and whichever comes first counts: a transfer only goes forward,
@@ -23,10 +23,10 @@
 
 namespace damasklink {
 
-struct DocumentAsk
+struct OutgoingDocumentRequest
 {
   HostId source;
-  DocumentQuestion question;
+  DocumentRequest question;
   // The control host that was asked before and did not answer in time.
   std::optional<HostId> silent;
 };
@@ -39,33 +39,33 @@
 };
 
 // Not thread-safe.
-class DocumentFetch
+class DocumentFetcher
 {
 public:
-  explicit DocumentFetch(const Clock& aClock);
+  explicit DocumentFetcher(const Clock& aClock);
 
   // A connected control host tells which version is in force.
-  void OnAnnounced(const HostId& aSource, Revision aVersion);
+  void OnVersionAnnounced(const HostId& aSource, Revision aVersion);
 
   // The control host is not connected any more.
   void OnLost(const HostId& aSource);
 
   // Takes a piece. Returns the transfer once all of it is there.
-  std::optional<FetchedDocument> OnPiece(const HostId& aFrom, const DocumentPiece& aPiece);
+  std::optional<FetchedDocument> OnChunk(const HostId& aFrom, const DocumentChunk& aPiece);
 
   // The host holds this version from now on, and the next one may be packed against it.
-  void OnHeld(Revision aVersion);
+  void OnVersionInstalled(Revision aVersion);
 
   // What was fetched could not be unpacked: it is asked for whole. A whole one that could not be
   // read is not asked for again; the next version is.
-  void OnRefused(const TransferId& aTransfer);
+  void OnUnpackFailed(const TransferId& aTransfer);
 
   // Returns what to ask now, and of whom. Nothing while an answer may still come and while no newer
   // version is known of.
-  std::optional<DocumentAsk> Next();
+  std::optional<OutgoingDocumentRequest> Next();
 
   // Returns when this host first heard that the version, or a later one, is in force; now when it
-  // has not, or holds it. To be asked before OnHeld().
+  // has not, or holds it. To be asked before OnVersionInstalled().
   MonotonicTime AnnouncedAt(Revision aVersion) const;
 
 private:
@@ -75,13 +75,13 @@
     MonotonicTime at;
   };
 
-  Revision LeastWanted() const;
-  bool AnyoneHasNewer() const;
-  bool IsWanted(const DocumentPiece& aPiece) const;
+  Revision LowestWantedVersion() const;
+  bool IsWantedVersionAvailable() const;
+  bool IsWanted(const DocumentChunk& aPiece) const;
   void OnProgress();
   void OnSilence();
-  void GiveUpTransfer();
-  std::optional<HostId> ChooseAnySource();
+  void AbandonTransfer();
+  std::optional<HostId> ChooseSourceOrRetry();
   std::optional<HostId> ChooseSource() const;
 
   const Clock& clock;
@@ -104,7 +104,7 @@
   // Asked for the next piece without an answer so far.
   std::set<HostId> silent;
   Duration patience;
-  std::uint64_t pieceBytes;
+  std::uint64_t chunkBytes;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/DocumentSource.h
+++ b/include/damasklink/coordination/DocumentPublisher.h
@@ -1,9 +1,9 @@
 // What a control host sends of the configuration document, and to whom: the sending side of
 // DocumentTransfer.h.
 //
-//   DocumentSource source;
+//   DocumentPublisher source;
 //   source.Publish(Revision(7), text);
-//   std::optional<DocumentPiece> piece = source.Answer(question);
+//   std::optional<DocumentChunk> piece = source.Answer(question);
 #pragma once
 
 #include <map>
@@ -16,7 +16,7 @@
 namespace damasklink {
 
 // Keeps the newest versions and what was packed of them. Not thread-safe.
-class DocumentSource
+class DocumentPublisher
 {
 public:
   // Takes a version that is in force from now on. Lower ones than the newest change nothing, and
@@ -25,7 +25,7 @@
 
   // Returns the piece that was asked for; the beginning of a transfer of the newest version where
   // that is not at hand; nothing when the asker holds the newest version.
-  std::optional<DocumentPiece> Answer(const DocumentQuestion& aQuestion);
+  std::optional<DocumentChunk> Answer(const DocumentRequest& aQuestion);
 
 private:
   struct Packed
--- a/include/damasklink/coordination/DocumentTransfer.h
+++ b/include/damasklink/coordination/DocumentTransfer.h
@@ -19,7 +19,7 @@
 constexpr std::uint64_t kMostDocumentBytes = 64 * kMebibyte;
 
 // No piece is longer, whatever is asked for: 52 ms of a link of 10 Mbit/s.
-constexpr std::uint64_t kMostPieceBytes = 64 * kKibibyte;
+constexpr std::uint64_t kMostChunkBytes = 64 * kKibibyte;
 
 // Names the bytes that a document is sent as. The same on all control hosts that can send them.
 struct TransferId
@@ -35,7 +35,7 @@
 };
 
 // An entry host asks for the next piece.
-struct DocumentQuestion
+struct DocumentRequest
 {
   // Zero when it holds none, or none that could be built upon.
   Revision held;
@@ -44,18 +44,18 @@
   std::uint64_t offset = 0;
   std::uint64_t mostBytes = 0;
 
-  bool operator==(const DocumentQuestion&) const = default;
+  bool operator==(const DocumentRequest&) const = default;
 };
 
 // A control host answers, with what was asked for or, when it does not have that, with the
 // beginning of what it has.
-struct DocumentPiece
+struct DocumentChunk
 {
   TransferId transfer;
   std::uint64_t offset = 0;
   std::string bytes;
 
-  bool operator==(const DocumentPiece&) const = default;
+  bool operator==(const DocumentChunk&) const = default;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/Evacuations.h
+++ b/include/damasklink/coordination/EvacuationRegistry.h
@@ -1,6 +1,6 @@
 // Availability zones that operators have evacuated: their targets get no work.
 //
-//   Evacuations evacuations;
+//   EvacuationRegistry evacuations;
 //   evacuations.Apply(SetEvacuation{ zone, true, evacuations.ChangesOf(zone), now });
 //   evacuations.Current();     // For entry hosts.
 //
@@ -32,7 +32,7 @@
 enum class EvacuationResult
 {
   Applied,
-  AlreadySo,
+  NoChange,
   // The zone has changed since the order was taken, and the order wants it otherwise.
   Superseded,
 };
@@ -58,7 +58,7 @@
 };
 
 // Replicated: the result depends on the orders alone. Not thread-safe.
-class Evacuations
+class EvacuationRegistry
 {
 public:
   EvacuationResult Apply(const SetEvacuation& aOrder);
--- a/include/damasklink/coordination/HostRoster.h
+++ b/include/damasklink/coordination/HostRoster.h
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 
 namespace damasklink {
 
--- a/include/damasklink/coordination/HubChoice.h
+++ b/include/damasklink/coordination/HubSelector.h
@@ -1,9 +1,9 @@
 // Which control host an entry host tells what it has where, its hub.
 //
-//   HubChoice choice(clock, zone);
+//   HubSelector choice(clock, zone);
 //   choice.Choose(candidates);        // Those that have spoken on their connections.
-//   choice.OnTold();                  // The hub was told something, and owes its sums.
-//   choice.OnHeard(host);
+//   choice.OnReportSent();                  // The hub was told something, and owes its sums.
+//   choice.OnMessageFrom(host);
 //   choice.OnLost(host);
 //
 // All hosts of a zone choose the same one as long as they reach the same ones: one of their zone,
@@ -27,17 +27,17 @@
   HostId host;
   ZoneId zone;
   // It hears a leader.
-  bool good = false;
+  bool hearsLeader = false;
 };
 
-class HubChoice
+class HubSelector
 {
 public:
   // A hub that was told something tells its sums within 50 ms. Ten times that is long under any
   // load, and a third of the time after which a silent connection is given up.
-  static constexpr Duration kPatience = std::chrono::milliseconds(500);
+  static constexpr Duration kReplyTimeout = std::chrono::milliseconds(500);
 
-  HubChoice(const Clock& aClock, ZoneId aZone)
+  HubSelector(const Clock& aClock, ZoneId aZone)
     : clock(aClock)
     , zone(std::move(aZone))
   {
@@ -48,8 +48,8 @@
 
   const std::optional<HostId>& Hub() const { return this->hub; }
 
-  void OnTold();
-  void OnHeard(const HostId& aHost);
+  void OnReportSent();
+  void OnMessageFrom(const HostId& aHost);
 
   // The connection to the control host is lost; it has forgotten what it was told.
   void OnLost(const HostId& aHost);
@@ -61,7 +61,7 @@
   ZoneId zone;
   std::optional<HostId> hub;
   // Since when the hub owes its sums.
-  std::optional<MonotonicTime> owesSince;
+  std::optional<MonotonicTime> awaitingReplySince;
   // Those that owed their sums for too long and have said nothing since.
   std::set<HostId> quiet;
 };
--- a/include/damasklink/coordination/LimitBook.h
+++ b/include/damasklink/coordination/LimitBook.h
@@ -19,7 +19,7 @@
 #include <set>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
--- a/include/damasklink/coordination/RecentHosts.h
+++ b/include/damasklink/coordination/RecentHosts.h
@@ -1,7 +1,7 @@
 // Which hosts were there lately, whether they are now or not.
 //
 //   RecentHosts recent;
-//   recent.Note(roster.AllEntryHosts(), now);
+//   recent.Update(roster.AllEntryHosts(), now);
 //   recent.All();
 //
 // What is divided among the hosts that are in touch is divided twice while a cut separates them:
@@ -21,10 +21,10 @@
 {
 public:
   // Longer than a cut usually lasts, and than a cold start does.
-  static constexpr Duration kMemory = std::chrono::seconds(15);
+  static constexpr Duration kRetention = std::chrono::seconds(15);
 
   // Takes the hosts that are there now.
-  void Note(const std::set<HostId>& aHosts, MonotonicTime aNow);
+  void Update(const std::set<HostId>& aHosts, MonotonicTime aNow);
 
   const std::set<HostId>& All() const { return this->hosts; }
 
--- a/include/damasklink/coordination/SendsHub.h
+++ b/include/damasklink/coordination/SendsHub.h
@@ -5,8 +5,8 @@
 //   SendsHub hub;
 //   hub.Take(news, clock.MonotonicNow());        // From an entry host.
 //   hub.TakeSum(sum, clock.MonotonicNow());      // From another control host.
-//   SendsNews sum = hub.TakeChanges(ownHost);    // For the other control hosts.
-//   SendsNews total = hub.TakeTotals(ownHost);   // For its entry hosts, after TakeChanges().
+//   LoadReport sum = hub.TakeChanges(ownHost);    // For the other control hosts.
+//   LoadReport total = hub.TakeTotals(ownHost);   // For its entry hosts, after TakeChanges().
 //
 // With one total, what an entry host hears grows with the number of targets alone: neither with
 // the number of entry hosts, each of which changes most sums within a second, nor with that of
@@ -25,10 +25,10 @@
 {
 public:
   // Takes what an entry host has at targets; from now on it is one of those that tell this host.
-  void Take(const SendsNews& aNews, MonotonicTime aNow);
+  void Take(const LoadReport& aNews, MonotonicTime aNow);
 
   // Takes the sums of another control host.
-  void TakeSum(const SendsNews& aNews, MonotonicTime aNow);
+  void TakeSum(const LoadReport& aNews, MonotonicTime aNow);
 
   // An entry host is not connected any more, or tells another control host.
   void Forget(const HostId& aHost);
@@ -40,27 +40,27 @@
 
   // Returns the sums of its entry hosts that have changed since the last call, with the parts that
   // were sent since, in the name of aSelf.
-  SendsNews TakeChanges(const HostId& aSelf);
+  LoadReport TakeChanges(const HostId& aSelf);
 
   // Returns the totals of all entry hosts that have changed since the last call, with the parts
   // that were sent since, in the name of aSelf.
-  SendsNews TakeTotals(const HostId& aSelf);
+  LoadReport TakeTotals(const HostId& aSelf);
 
   // Returns all totals, for an entry host that tells this host from now on.
-  SendsNews AllTotals(const HostId& aSelf) const;
+  LoadReport AllTotals(const HostId& aSelf) const;
 
 private:
   // What was taken and not told on yet.
   struct Untold
   {
-    void Add(const SendsNews& aNews);
+    void Add(const LoadReport& aNews);
     // Moves what was found of stores and targets into the news.
-    void MoveFindings(SendsNews& aTo);
+    void MoveFindings(LoadReport& aTo);
 
     // Targets whose figures have changed, with the parts sent there since.
     std::map<TargetId, std::vector<SizedPart>> sends;
-    std::map<std::string, StoreExcess> excesses;
-    std::map<TargetId, TargetFindings> findings;
+    std::map<std::string, StoreFetchDelay> excesses;
+    std::map<TargetId, TargetReachabilityReport> findings;
   };
 
   SentLoad TotalOf(const TargetId& aTarget) const;
--- a/include/damasklink/coordination/SendsSum.h
+++ b/include/damasklink/coordination/SendsSum.h
@@ -15,7 +15,7 @@
 
 #include <absl/container/flat_hash_map.h>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
@@ -43,7 +43,7 @@
   static constexpr Duration kMemory = std::chrono::seconds(2);
 
   // Takes what a host has at targets. Its words count until it tells otherwise or is forgotten.
-  void Take(const SendsNews& aNews, MonotonicTime aNow);
+  void Take(const LoadReport& aNews, MonotonicTime aNow);
 
   // Returns the targets at which the host had something.
   std::vector<TargetId> Forget(const HostId& aHost);
@@ -71,7 +71,7 @@
 };
 
 // Writes a load, and parts that were sent, as hosts tell them.
-TargetSendsNow
+InFlightLoad
 StateSends(const TargetId& aTarget, const SentLoad& aLoad, std::vector<SizedPart> aParts);
 
 } // namespace damasklink
--- a/include/damasklink/coordination/ServingConfig.h
+++ b/include/damasklink/coordination/ServingConfig.h
@@ -69,11 +69,11 @@
   // A stream may go on at another target after its last event.
   bool resumable = false;
   // Calls stay in these regions; without any, they may go anywhere.
-  std::vector<RegionId> homes;
+  std::vector<RegionId> allowedRegions;
 };
 
 // What the engines of a service are like.
-struct EngineTraits
+struct EngineSpec
 {
   std::uint64_t slots = 0;
   TokenCount cacheTokens;
@@ -86,7 +86,7 @@
 };
 
 // A store of cached prompt parts.
-struct PromptStoreTraits
+struct PromptStoreSpec
 {
   Endpoint endpoint;
   ZoneId zone;
@@ -101,14 +101,14 @@
 };
 
 // What targets of a service bear just after they have started, or once they are cold again.
-struct ColdTraits
+struct ColdStartSpec
 {
   // Of all hosts together.
   RequestRate rate;
   // How long a start takes.
   Duration lasts{ 0 };
 
-  bool operator==(const ColdTraits&) const = default;
+  bool operator==(const ColdStartSpec&) const = default;
 };
 
 struct ServingService
@@ -117,10 +117,10 @@
   std::string healthPath;
   // Connections that one target accepts from all callers together; 0 when not said.
   std::uint64_t mostConnections = 0;
-  std::optional<EngineTraits> engine;
-  std::optional<PromptStoreTraits> store;
+  std::optional<EngineSpec> engine;
+  std::optional<PromptStoreSpec> store;
   // Nothing where a cold target bears as much as a warm one.
-  std::optional<ColdTraits> cold;
+  std::optional<ColdStartSpec> cold;
 };
 
 // What a caller may send, and how long it may take.
@@ -141,7 +141,7 @@
   // Shares no cached part with another workspace.
   bool isolated = false;
   // As those of a route; where both have some, both bind.
-  std::vector<RegionId> homes;
+  std::vector<RegionId> allowedRegions;
 };
 
 struct ServingConfig
--- a/include/damasklink/coordination/ServingPicture.h
+++ b/include/damasklink/coordination/ServingMessages.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "damasklink/coordination/DocumentTransfer.h"
-#include "damasklink/coordination/Evacuations.h"
+#include "damasklink/coordination/EvacuationRegistry.h"
 #include "damasklink/coordination/PromptParts.h"
 #include "damasklink/coordination/RequestFingerprint.h"
 #include "damasklink/coordination/Target.h"
@@ -44,25 +44,25 @@
 };
 
 // What a control host believes of a target. The numbers stand on the wire.
-enum class TargetStanding : std::uint8_t
+enum class TargetAvailability : std::uint8_t
 {
   Usable = 1,
   Silent = 2,  // Not heard for too long, or another target announced itself from its address.
   Leaving = 3, // Said so, or signed off; stays so.
 };
 
-struct TargetStatement
+struct TargetUpdate
 {
   TargetRecord record;
-  TargetStanding standing = TargetStanding::Usable;
+  TargetAvailability standing = TargetAvailability::Usable;
   // Gets no new work while its weights are exchanged.
   bool paused = false;
 
-  bool operator==(const TargetStatement&) const = default;
+  bool operator==(const TargetUpdate&) const = default;
 };
 
 // What a control host knows of the parts in one store.
-struct StoreStatement
+struct StoreUpdate
 {
   Endpoint store;
   // False: the control host does not hear the store; nothing that was said of it counts any more.
@@ -77,7 +77,7 @@
   // Returns the tokens of the parts that are added.
   TokenCount Tokens() const;
 
-  bool operator==(const StoreStatement&) const = default;
+  bool operator==(const StoreUpdate&) const = default;
 };
 
 // A request that ran on a target when that ended.
@@ -95,14 +95,14 @@
 };
 
 // A request ran well at a target of the service.
-struct SoundRun
+struct SuccessfulRun
 {
   RequestFingerprint request;
   ServiceName service;
 
   // clang-tidy 14 mistakes the generated comparison with zero for a null pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
-  auto operator<=>(const SoundRun&) const = default;
+  auto operator<=>(const SuccessfulRun&) const = default;
 };
 
 // What a target's answers say of how many requests it takes from all hosts together.
@@ -144,29 +144,29 @@
   bool operator==(const CrashingRequests&) const = default;
 };
 
-struct Picture
+struct ServingUpdate
 {
   // The version of the configuration document that is in force, with every picture, so that an
   // entry host that missed a version knows of it. Zero when there is none yet.
   Revision documentVersion;
   std::map<ModelName, std::uint64_t> weights;
-  std::vector<TargetStatement> targets;
+  std::vector<TargetUpdate> targets;
   // Entry hosts that the sender knows of, among which shared budgets are divided; 0 when not told.
   std::uint64_t entryHosts = 0;
   // The sender hears no leader: what it says may be behind what other control hosts say.
   bool isolated = false;
   ControlHostZones controlHosts;
-  std::vector<StoreStatement> stores;
+  std::vector<StoreUpdate> stores;
   // All that the sender knows of them; nothing when it does not tell.
   std::optional<CrashingRequests> crashing;
   // All that are evacuated; nothing when the sender does not tell.
   std::optional<EvacuatedZones> evacuated;
 
-  bool operator==(const Picture&) const = default;
+  bool operator==(const ServingUpdate&) const = default;
 };
 
 // What one entry host has at one target, or several together.
-struct TargetSendsNow
+struct InFlightLoad
 {
   TargetId target;
   // Now, not since the last message: a lost one does no lasting harm.
@@ -177,11 +177,11 @@
   // Parts of the prompts that were sent there since the host told before.
   std::vector<SizedPart> parts;
 
-  bool operator==(const TargetSendsNow&) const = default;
+  bool operator==(const InFlightLoad&) const = default;
 };
 
 // How long first events took beyond the engines' own work, where parts were fetched from a store.
-struct StoreExcess
+struct StoreFetchDelay
 {
   // The store's address; empty stands for prompts that fetched nothing.
   std::string store;
@@ -189,29 +189,29 @@
   std::uint64_t count = 0;
   double total = 0;
 
-  bool operator==(const StoreExcess&) const = default;
+  bool operator==(const StoreFetchDelay&) const = default;
 };
 
 // How many hosts found a target gone, or back, since the teller told before.
-struct TargetFindings
+struct TargetReachabilityReport
 {
   TargetId target;
   std::uint64_t gone = 0;
   std::uint64_t back = 0;
 
-  bool operator==(const TargetFindings&) const = default;
+  bool operator==(const TargetReachabilityReport&) const = default;
 };
 
 // What an entry host sends where, or the sum of that over the entry hosts that tell one control
 // host. Control hosts pass sums on, so that each entry host knows the load of targets and what they
 // hold, not only its own share of it.
-struct SendsNews
+struct LoadReport
 {
   // Who tells.
   HostId host;
-  std::vector<TargetSendsNow> sends;
-  std::vector<StoreExcess> excesses;
-  std::vector<TargetFindings> findings;
+  std::vector<InFlightLoad> sends;
+  std::vector<StoreFetchDelay> excesses;
+  std::vector<TargetReachabilityReport> findings;
   // The teller tells another control host from now on; nothing of its words counts here any more.
   bool last = false;
   // To be passed on at once: a long prompt was sent, and calls that others send behind it before
@@ -220,13 +220,13 @@
   // Since the teller told before.
   std::vector<CrashReport> crashes;
   // Suspected requests that ran well since then.
-  std::vector<SoundRun> sound;
+  std::vector<SuccessfulRun> sound;
   // What answers said of limits since then.
   std::vector<LimitReport> limitReports;
   // All limits and shares, for entry hosts; nothing when they are not told.
   std::optional<std::vector<TargetLimit>> limits;
 
-  bool operator==(const SendsNews&) const = default;
+  bool operator==(const LoadReport&) const = default;
 };
 
 // The entry hosts that are connected to one control host, for the other control hosts: together
@@ -239,6 +239,6 @@
 };
 
 using ServingMessage =
-  std::variant<Greeting, Picture, SendsNews, EntryHostList, DocumentQuestion, DocumentPiece>;
+  std::variant<Greeting, ServingUpdate, LoadReport, EntryHostList, DocumentRequest, DocumentChunk>;
 
 } // namespace damasklink
--- a/include/damasklink/coordination/ServingMachine.h
+++ b/include/damasklink/coordination/ServingStateMachine.h
@@ -7,7 +7,7 @@
 //
 //   std::string command = EncodeServingCommand(PutDocument{ Revision(7), text });
 //   ... commit it ...
-//   Result<ServingStanding> standing = DecodeServingStanding(answer);
+//   Result<ServingCommandResult> standing = DecodeServingCommandResult(answer);
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <variant>
 
-#include "damasklink/coordination/Evacuations.h"
+#include "damasklink/coordination/EvacuationRegistry.h"
 #include "damasklink/coordination/Replication.h"
 #include "damasklink/coordination/RequestFingerprint.h"
 #include "damasklink/state/Clock.h"
@@ -30,14 +30,14 @@
 };
 
 // Names the weights that the engines of a model are to have.
-struct NameWeights
+struct SetWeightVersion
 {
   ModelName model;
   std::uint64_t version = 0;
 };
 
 // Changes nothing: its answer tells what was committed before it.
-struct ReadMarker
+struct ReadBarrier
 {};
 
 // Whose request is refused, and since when.
@@ -65,14 +65,14 @@
   RequestFingerprint request;
 };
 
-using ServingCommand =
-  std::variant<PutDocument, NameWeights, ReadMarker, RefuseRequest, ReleaseRequest, SetEvacuation>;
+using ServingCommand = std::
+  variant<PutDocument, SetWeightVersion, ReadBarrier, RefuseRequest, ReleaseRequest, SetEvacuation>;
 
 std::string
 EncodeServingCommand(const ServingCommand& aCommand);
 
 // What is in force once a command has been applied.
-struct ServingStanding
+struct ServingCommandResult
 {
   Revision version;
   // The command could be read.
@@ -81,10 +81,10 @@
   bool superseded = false;
 };
 
-Result<ServingStanding>
-DecodeServingStanding(std::string_view aAnswer);
+Result<ServingCommandResult>
+DecodeServingCommandResult(std::string_view aAnswer);
 
-class ServingMachine final : public ReplicatedMachine
+class ServingStateMachine final : public ReplicatedMachine
 {
 public:
   // Refused requests that are kept; the one that was refused first makes room.
@@ -101,7 +101,7 @@
 
   const RefusedRequests& Refused() const { return this->refused; }
 
-  const Evacuations& Evacuated() const { return this->evacuations; }
+  const EvacuationRegistry& Evacuated() const { return this->evacuations; }
 
   // Rises with everything that changes.
   std::uint64_t Changes() const { return this->changes; }
@@ -113,7 +113,7 @@
   std::string document;
   std::map<ModelName, std::uint64_t> weights;
   RefusedRequests refused;
-  Evacuations evacuations;
+  EvacuationRegistry evacuations;
   std::uint64_t changes = 0;
 };
 
--- a/include/damasklink/coordination/SettledWeights.h
+++ b/include/damasklink/coordination/StableWeightVersions.h
@@ -1,9 +1,9 @@
 // Which weights all engines have had for a while, so that what older ones made is of no use any
 // more.
 //
-//   SettledWeights settled(clock, std::chrono::seconds(3));
-//   settled.Note(engines);      // All that have not left, silent ones too.
-//   settled.Least();            // By model.
+//   StableWeightVersions settled(clock, std::chrono::seconds(3));
+//   settled.Update(engines);      // All that have not left, silent ones too.
+//   settled.MinimumVersions();            // By model.
 //
 // An engine refuses calls that expect weights it has given up, and a transfer ends within two
 // seconds: after that nobody can be reading parts that older weights made. Not thread-safe.
@@ -17,20 +17,20 @@
 
 namespace damasklink {
 
-class SettledWeights
+class StableWeightVersions
 {
 public:
-  SettledWeights(const Clock& aClock, Duration aSettling)
+  StableWeightVersions(const Clock& aClock, Duration aSettling)
     : clock(aClock)
     , settling(aSettling)
   {
   }
 
-  void Note(const std::vector<TargetRecord>& aEngines);
+  void Update(const std::vector<TargetRecord>& aEngines);
 
   // Returns, by model, the least version of any engine, where no engine had a lower one for the
   // time of settling.
-  std::map<ModelName, std::uint64_t> Least() const;
+  std::map<ModelName, std::uint64_t> MinimumVersions() const;
 
 private:
   struct Level
--- a/include/damasklink/coordination/StartupWait.h
+++ b/include/damasklink/coordination/StartupWaitLimiter.h
@@ -1,6 +1,6 @@
 // Which calls may wait for the first configuration of an entry host that has just started.
 //
-//   StartupWait waits;
+//   StartupWaitLimiter waits;
 //   const Duration most = waits.Begin(patience, body.size());
 //   if (most > Duration::zero()) { ... wait for that long; waits.End(body.size()); }
 //
@@ -17,12 +17,12 @@
 
 namespace damasklink {
 
-class StartupWait
+class StartupWaitLimiter
 {
 public:
   // From the start of all hosts until a leader has told them all, where no voter is missing, with a
   // margin.
-  static constexpr Duration kLongest = std::chrono::milliseconds(400);
+  static constexpr Duration kLongestWait = std::chrono::milliseconds(400);
   // The rest of what a caller waits is for its target.
   static constexpr double kShareOfPatience = 0.25;
   static constexpr std::size_t kMostCalls = 512;
--- a/include/damasklink/coordination/StoreFeed.h
+++ b/include/damasklink/coordination/StoreFeed.h
@@ -3,7 +3,7 @@
 //   StoreFeed feed;
 //   if (feed.NeedsList()) feed.TakeList(list);
 //   else feed.TakeEvents(events);
-//   StoreStatement changes = feed.TakeChanges();    // For entry hosts.
+//   StoreUpdate changes = feed.TakeChanges();    // For entry hosts.
 //
 // A restarted store has another epoch and nothing in it; a gap in the events, or another epoch,
 // asks for a list. Between a loss and the next list nothing is known. Not thread-safe.
@@ -13,7 +13,7 @@
 #include <optional>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
@@ -90,10 +90,10 @@
   void Lose();
 
   // Returns what has changed since the last call; nothing when nothing has.
-  std::optional<StoreStatement> TakeChanges();
+  std::optional<StoreUpdate> TakeChanges();
 
   // Returns the whole of what is known.
-  StoreStatement All() const;
+  StoreUpdate All() const;
 
   // Returns the parts that were made by weights older than those given, by model, at most aMost.
   std::vector<PartName> MadeBefore(const std::map<ModelName, std::uint64_t>& aWeights,
@@ -122,7 +122,7 @@
   // Parts that are not whole, as the last list had them, and since when it has been so.
   std::map<PartKey, Unfinished> unfinished;
   // What the next TakeChanges() returns.
-  StoreStatement changes;
+  StoreUpdate changes;
   bool changed = false;
 };
 
--- a/include/damasklink/coordination/StorePace.h
+++ b/include/damasklink/coordination/StorePace.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 
 namespace damasklink {
 
@@ -45,10 +45,10 @@
 
   // Returns what was noted since the last call, for the other hosts: one of many hosts sees a store
   // less than once a second, too seldom to notice that it has become slow.
-  std::vector<StoreExcess> TakeNotes();
+  std::vector<StoreFetchDelay> TakeNotes();
 
   // Takes what other hosts noted.
-  void Take(const std::vector<StoreExcess>& aNotes);
+  void Take(const std::vector<StoreFetchDelay>& aNotes);
 
   // Returns whether the store is too slow for parts that are read in aReading milliseconds.
   bool IsSlow(const std::string& aStore, double aReading = 0) const;
@@ -67,7 +67,7 @@
   void Add(const std::string& aStore, std::uint64_t aCount, double aTotal);
 
   std::minstd_rand random;
-  std::map<std::string, StoreExcess> untold;
+  std::map<std::string, StoreFetchDelay> untold;
   std::map<std::string, Mean> means;
 };
 
--- a/include/damasklink/coordination/StoredParts.h
+++ b/include/damasklink/coordination/StoredParts.h
@@ -17,7 +17,7 @@
 #include <absl/container/flat_hash_map.h>
 
 #include "damasklink/coordination/ServingConfig.h"
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 
 namespace damasklink {
 
@@ -26,7 +26,7 @@
 {
   // Its address as text.
   std::string name;
-  PromptStoreTraits traits;
+  PromptStoreSpec traits;
   bool live = false;
   std::uint64_t storedTokens = 0;
   // Of parts that are not whole; they take up space all the same.
@@ -45,7 +45,7 @@
   void SetStores(const std::vector<ServingService>& aServices);
 
   // Takes what the control host states. A store that the configuration does not name is ignored.
-  void Take(const StoreStatement& aStatement);
+  void Take(const StoreUpdate& aStatement);
 
   // Returns the names of all stores.
   std::vector<std::string> Names() const;
--- a/include/damasklink/coordination/TargetBoard.h
+++ b/include/damasklink/coordination/TargetBoard.h
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 
 namespace damasklink {
 
@@ -29,7 +29,7 @@
   static constexpr std::size_t kMostGone = 4096;
 
   // Takes what a control host states. An older statement of the same host is replaced.
-  void Take(const HostId& aFrom, const TargetStatement& aStatement);
+  void Take(const HostId& aFrom, const TargetUpdate& aStatement);
 
   // Tells whether the control host is connected.
   void OnLink(const HostId& aHost, bool aUp);
@@ -69,7 +69,7 @@
   struct Word
   {
     Sequence sequence;
-    TargetStanding standing = TargetStanding::Usable;
+    TargetAvailability standing = TargetAvailability::Usable;
     bool paused = false;
   };
 
@@ -80,7 +80,7 @@
     bool gone = false;
   };
 
-  void BeginNewStart(const TargetStatement& aStatement, Entry& aEntry);
+  void BeginNewStart(const TargetUpdate& aStatement, Entry& aEntry);
   void MarkGone(const TargetId& aTarget, Entry& aEntry);
   bool CountsUsable(const Entry& aEntry) const;
   bool IsPaused(const Entry& aEntry) const;
--- a/include/damasklink/coordination/TargetHealth.h
+++ b/include/damasklink/coordination/TargetHealth.h
@@ -6,7 +6,7 @@
 #include <random>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/coordination/Target.h"
 #include "damasklink/state/Clock.h"
 
@@ -65,10 +65,10 @@
   void OnRestart(const TargetId& aTarget);
 
   // Returns what this host found since the last call, for the others.
-  std::vector<TargetFindings> TakeFindings();
+  std::vector<TargetReachabilityReport> TakeFindings();
 
   // Takes what hosts found, this one possibly among them.
-  void Take(const std::vector<TargetFindings>& aFindings);
+  void Take(const std::vector<TargetReachabilityReport>& aFindings);
 
   // Returns the targets that may be sent a request now.
   std::vector<TargetRecord> Filter(const std::vector<TargetRecord>& aTargets) const;
@@ -91,13 +91,13 @@
   };
 
   void Eject(Entry& aEntry);
-  void TakeGone(const TargetFindings& aFound);
+  void TakeGone(const TargetReachabilityReport& aFound);
 
   const Clock& clock;
   std::minstd_rand random;
   // Targets with a failure since their last success.
   std::map<TargetId, Entry> entries;
-  std::map<TargetId, TargetFindings> untold;
+  std::map<TargetId, TargetReachabilityReport> untold;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/TargetLimits.h
+++ b/include/damasklink/coordination/TargetLimits.h
@@ -16,7 +16,7 @@
 #include <optional>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -23,10 +23,10 @@
 #include "damasklink/coordination/EnginePace.h"
 #include "damasklink/coordination/HeldParts.h"
 #include "damasklink/coordination/SendsSum.h"
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/coordination/Target.h"
 #include "damasklink/coordination/TargetHealth.h"
-#include "damasklink/coordination/ZoneReach.h"
+#include "damasklink/coordination/ZoneReachability.h"
 
 namespace damasklink {
 
@@ -124,7 +124,7 @@
   static constexpr std::uint64_t kLongReading = 1000;
 
   TargetPicker(const TargetHealth& aHealth,
-               const ZoneReach& aReach,
+               const ZoneReachability& aReach,
                std::uint64_t aSeed,
                PickCosts aCosts = PickCosts());
 
@@ -162,14 +162,14 @@
 
   // Returns what this host has at the targets where that has changed since the last call, and the
   // parts that it sent there; for the control host that adds it up.
-  std::vector<TargetSendsNow> TakeSends();
+  std::vector<InFlightLoad> TakeSends();
 
   // The next TakeSends() returns all that this host has: it is for another control host.
   void TellAllAnew();
 
   // Takes the totals that a control host made of what entry hosts have, this one among them. They
   // count until the control host tells otherwise or is forgotten.
-  void TakeSum(const SendsNews& aNews, MonotonicTime aNow);
+  void TakeSum(const LoadReport& aNews, MonotonicTime aNow);
 
   // Forgets control hosts that have told nothing since a time.
   void ForgetSumsBefore(MonotonicTime aTime) { this->told.ForgetBefore(aTime); }
@@ -209,7 +209,7 @@
   double QueueAt(const PickQuestion& aQuestion, const TargetRecord& aTarget) const;
 
   const TargetHealth& health;
-  const ZoneReach& reach;
+  const ZoneReachability& reach;
   PickCosts costs;
   std::minstd_rand random;
   HeldParts held;
--- a/include/damasklink/coordination/ZoneReach.h
+++ b/include/damasklink/coordination/ZoneReachability.h
@@ -1,9 +1,9 @@
 // Whether this host reaches the targets of each availability zone.
 //
-//   ZoneReach reach(clock, seed);
+//   ZoneReachability reach(clock, seed);
 //   reach.OnStart(target.zone);                  // A call goes there.
 //   reach.OnEnd(target.zone, target.id, sign);   // What came of it.
-//   if (reach.IsOut(target.zone)) ...            // Send elsewhere.
+//   if (reach.IsUnreachable(target.zone)) ...            // Send elsewhere.
 //
 // When a zone is cut off, all its targets are gone at once. Without this each of them costs a call
 // until it is ejected by itself, and each kept connection another one: a third of a zone's calls
@@ -22,17 +22,17 @@
 
 namespace damasklink {
 
-class ZoneReach
+class ZoneReachability
 {
 public:
   // Targets that must be found gone, none answering in between, until their zone is out.
-  static constexpr std::size_t kTargetsGone = 3;
+  static constexpr std::size_t kUnreachableTargets = 3;
   // Findings that are further apart say nothing of the zone.
-  static constexpr Duration kGoneWithin = std::chrono::seconds(1);
+  static constexpr Duration kDetectionWindow = std::chrono::seconds(1);
   // How long a zone is left alone; a quarter more at most, so that hosts do not come back together.
-  static constexpr Duration kOutFor = std::chrono::seconds(2);
+  static constexpr Duration kRetryDelay = std::chrono::seconds(2);
 
-  ZoneReach(const Clock& aClock, std::uint64_t aSeed)
+  ZoneReachability(const Clock& aClock, std::uint64_t aSeed)
     : clock(aClock)
     , random(aSeed)
   {
@@ -49,7 +49,7 @@
   void OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSign aSign);
 
   // Returns whether the zone is left alone, or is being tried by a call.
-  bool IsOut(const ZoneId& aZone) const;
+  bool IsUnreachable(const ZoneId& aZone) const;
 
 private:
   struct Entry
--- a/include/damasklink/protocol/ConfigWire.h
+++ b/include/damasklink/protocol/ConfigWire.h
@@ -1,7 +1,7 @@
 // Encoding of what hosts say to each other about the tree and about being up.
 #pragma once
 
-#include "damasklink/coordination/ConfigSpread.h"
+#include "damasklink/coordination/ConfigDistributor.h"
 
 namespace damasklink {
 
--- a/include/damasklink/protocol/ServingCodec.h
+++ b/include/damasklink/protocol/ServingCodec.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Error.h"
 
 namespace damasklink {
--- a/include/damasklink/protocol/ServingDialect.h
+++ b/include/damasklink/protocol/ServingDialect.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "damasklink/coordination/ServingConfig.h"
-#include "damasklink/coordination/ServingMachine.h"
+#include "damasklink/coordination/ServingStateMachine.h"
 #include "damasklink/coordination/StoreFeed.h"
 #include "damasklink/coordination/Target.h"
 #include "damasklink/coordination/WeightRollout.h"
@@ -195,7 +195,7 @@
   virtual HttpAnswerMessage Acknowledgement() const = 0;
   virtual HttpAnswerMessage DocumentAnswer(std::string_view aDocument) const = 0;
   virtual HttpAnswerMessage RefusedAnswer(const RefusedRequests& aRefused) const = 0;
-  virtual HttpAnswerMessage EvacuationAnswer(const Evacuations& aEvacuations) const = 0;
+  virtual HttpAnswerMessage EvacuationAnswer(const EvacuationRegistry& aEvacuations) const = 0;
   virtual HttpAnswerMessage ControlFailure(const Error& aError) const = 0;
 };
 
--- a/src/coordination/CallerIndex.cpp
+++ b/src/coordination/CallerIndex.cpp
@@ -18,13 +18,13 @@
 } // namespace
 
 void
-CallerIndex::OnInstalled(const RevisionedTree& aTree,
-                         const TreeChange& aChange,
-                         const Subtree& aBefore)
+CallerIndex::OnSubtreeChanged(const RevisionedTree& aTree,
+                              const TreeChange& aChange,
+                              const Subtree& aBefore)
 {
   const SubtreeName& name = aChange.subtree.name;
   if (name.kind == SubtreeKind::Defaults) {
-    this->OnReplaced(aTree);
+    this->OnTreeReplaced(aTree);
     return;
   }
   if (name.kind != SubtreeKind::Workspace) {
@@ -45,7 +45,7 @@
 }
 
 void
-CallerIndex::OnReplaced(const RevisionedTree& aTree)
+CallerIndex::OnTreeReplaced(const RevisionedTree& aTree)
 {
   this->resolver = PolicyResolver(aTree.Defaults());
   std::vector<CallerEntry> all;
--- a/src/coordination/ChangeAnswers.cpp
+++ b/src/coordination/ChangeAnswerCache.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ChangeAnswers.h"
+#include "damasklink/coordination/ChangeAnswerCache.h"
 
 #include <algorithm>
 #include <cstring>
@@ -9,7 +9,7 @@
 namespace damasklink {
 
 std::optional<ChangeAnswer>
-ChangeAnswers::Find(const ChangeId& aId, Fingerprint aContent) const
+ChangeAnswerCache::Find(const ChangeId& aId, Fingerprint aContent) const
 {
   const auto found = this->answers.find(KeyOf(aId));
   if (found == this->answers.end()) {
@@ -24,7 +24,7 @@
 }
 
 void
-ChangeAnswers::Keep(const ChangeId& aId, Fingerprint aContent, const ChangeAnswer& aAnswer)
+ChangeAnswerCache::Keep(const ChangeId& aId, Fingerprint aContent, const ChangeAnswer& aAnswer)
 {
   this->Insert(KeyOf(aId), Kept{ aContent, aAnswer });
   if (this->order.size() > kKept) {
@@ -34,7 +34,7 @@
 }
 
 void
-ChangeAnswers::Pack(CompactWriter& aTo) const
+ChangeAnswerCache::Pack(CompactWriter& aTo) const
 {
   aTo.Number(this->order.size());
   for (const Key& key : this->order) {
@@ -44,10 +44,10 @@
   }
 }
 
-ChangeAnswers
-ChangeAnswers::Unpack(CompactReader& aFrom)
+ChangeAnswerCache
+ChangeAnswerCache::Unpack(CompactReader& aFrom)
 {
-  ChangeAnswers unpacked;
+  ChangeAnswerCache unpacked;
   const std::size_t count = aFrom.Count();
   for (std::size_t index = 0; index < count && !aFrom.Bad(); ++index) {
     Key key{};
@@ -64,8 +64,8 @@
   return unpacked;
 }
 
-ChangeAnswers::Key
-ChangeAnswers::KeyOf(const ChangeId& aId)
+ChangeAnswerCache::Key
+ChangeAnswerCache::KeyOf(const ChangeId& aId)
 {
   const DigestBytes digest = PackDigest(DigestOf(aId.Value()));
   Key key{};
@@ -74,18 +74,18 @@
 }
 
 void
-ChangeAnswers::Insert(const Key& aKey, const Kept& aKept)
+ChangeAnswerCache::Insert(const Key& aKey, const Kept& aKept)
 {
   if (this->answers.try_emplace(aKey, aKept).second) {
     this->order.push_back(aKey);
   }
 }
 
-ChangeAnswers::Fingerprint
+ChangeAnswerCache::Fingerprint
 FingerprintOf(std::string_view aBytes)
 {
   const DigestBytes digest = PackDigest(DigestOf(aBytes));
-  ChangeAnswers::Fingerprint fingerprint = 0;
+  ChangeAnswerCache::Fingerprint fingerprint = 0;
   static_assert(sizeof(fingerprint) <= sizeof(digest));
   std::memcpy(&fingerprint, digest.data(), sizeof(fingerprint));
   return fingerprint;
--- a/src/coordination/ConfigSpread.cpp
+++ b/src/coordination/ConfigDistributor.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ConfigSpread.h"
+#include "damasklink/coordination/ConfigDistributor.h"
 
 #include <algorithm>
 
@@ -24,16 +24,16 @@
 
 } // namespace
 
-ConfigSpread::ConfigSpread(const Clock& aClock,
-                           const HostSettings& aSettings,
-                           const HostMembership& aMembership,
-                           TreeObserver& aObserver)
+ConfigDistributor::ConfigDistributor(const Clock& aClock,
+                                     const HostSettings& aSettings,
+                                     const HostMembership& aMembership,
+                                     TreeObserver& aObserver)
   : clock(aClock)
   , self(aSettings.host)
   , peers(OrderedPeers(aSettings))
   , membership(aMembership)
   , observer(aObserver)
-  , joinUntil(aClock.MonotonicNow() + kJoinLimit)
+  , joinDeadline(aClock.MonotonicNow() + kJoinLimit)
   , asked(this->peers.begin(),
           this->peers.begin() +
             static_cast<std::ptrdiff_t>(std::min(this->peers.size(), kMostAsked)))
@@ -44,7 +44,7 @@
 }
 
 void
-ConfigSpread::OnTree(const RevisionedTree& aTree)
+ConfigDistributor::OnTree(const RevisionedTree& aTree)
 {
   if (aTree.Current() <= this->tree.Current()) {
     return;
@@ -53,12 +53,12 @@
   this->recent.clear();
   this->waiting.erase(this->waiting.begin(), this->waiting.upper_bound(aTree.Current()));
   if (this->joined) {
-    this->observer.OnReplaced(this->tree);
+    this->observer.OnTreeReplaced(this->tree);
   }
 }
 
 void
-ConfigSpread::OnCommitted(const TreeChange& aChange, bool aLeading)
+ConfigDistributor::OnCommitted(const TreeChange& aChange, bool aLeading)
 {
   this->Install(aChange);
   if (!aLeading || aChange.revision <= this->passedOn) {
@@ -72,36 +72,36 @@
   delta.body = PackChange(aChange);
   this->PassOn(delta);
   if (!this->ring && !this->peers.empty()) {
-    this->ring = OpenRing{ aChange.revision, this->clock.MonotonicNow() };
+    this->ring = PendingRing{ aChange.revision, this->clock.MonotonicNow() };
   } else if (this->ring) {
     this->ring->revision = aChange.revision;
   }
 }
 
 void
-ConfigSpread::OnMessage(const HostId& aFrom, const ConfigMessage& aMessage)
+ConfigDistributor::OnMessage(const HostId& aFrom, const ConfigMessage& aMessage)
 {
   switch (aMessage.kind) {
     case ConfigMessageKind::Delta:
-      this->TakeDelta(aFrom, aMessage);
+      this->HandleDelta(aFrom, aMessage);
       return;
-    case ConfigMessageKind::Ask:
+    case ConfigMessageKind::Query:
       // What the asker holds need not be in force there, and it still owes its answer.
       this->Answer(aFrom, aMessage.revision);
       if (aMessage.revision > this->tree.Current()) {
-        this->AskLimited(aFrom);
+        this->QueryRateLimited(aFrom);
       }
       return;
     case ConfigMessageKind::Deltas:
-      this->TakeDeltas(aMessage);
+      this->HandleDeltas(aMessage);
       break;
-    case ConfigMessageKind::Whole:
-      this->TakeWhole(aMessage);
+    case ConfigMessageKind::FullTree:
+      this->HandleFullTree(aMessage);
       break;
     case ConfigMessageKind::Report:
       break;
-    case ConfigMessageKind::Closed:
-      this->CloseRing(aMessage.revision);
+    case ConfigMessageKind::RingCompleted:
+      this->CompleteRing(aMessage.revision);
       return;
   }
   std::erase(this->asked, aFrom);
@@ -109,7 +109,7 @@
 }
 
 void
-ConfigSpread::CloseRing(Revision aRevision)
+ConfigDistributor::CompleteRing(Revision aRevision)
 {
   if (!this->ring) {
     return;
@@ -123,12 +123,12 @@
 }
 
 void
-ConfigSpread::OnPeerRevision(const HostId& aFrom, Revision aRevision, Duration aConfirmedAge)
+ConfigDistributor::OnPeerRevision(const HostId& aFrom, Revision aRevision, Duration aConfirmedAge)
 {
   Revision& known = this->peerRevisions[aFrom];
   known = std::max(known, aRevision);
   if (aRevision > this->tree.Current()) {
-    this->AskLimited(aFrom);
+    this->QueryRateLimited(aFrom);
     return;
   }
   // Of an older revision the leader's word tells nothing about this host's.
@@ -138,7 +138,7 @@
 }
 
 void
-ConfigSpread::OnTick(bool aLeaseHeld)
+ConfigDistributor::OnTick(bool aLeaseHeld)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   if (aLeaseHeld) {
@@ -146,63 +146,63 @@
   }
   if (aLeaseHeld && !this->led) {
     // The former leader may have died with a delta half way round.
-    this->AskAll();
+    this->QueryAllPeers();
   }
   this->led = aLeaseHeld;
   if (this->ring && now - this->ring->since >= kRingLimit) {
     this->ring.reset();
-    this->AskAll();
+    this->QueryAllPeers();
   }
-  if (!this->joined && (this->asked.empty() || now >= this->joinUntil)) {
+  if (!this->joined && (this->asked.empty() || now >= this->joinDeadline)) {
     this->Join();
   } else if (!this->joined && now >= this->nextAsk) {
     this->nextAsk = now + kAskInterval;
     for (const HostId& peer : this->asked) {
-      this->Send(peer, this->MakeMessage(ConfigMessageKind::Ask));
+      this->Send(peer, this->MakeMessage(ConfigMessageKind::Query));
     }
   }
 }
 
 void
-ConfigSpread::AskAll()
+ConfigDistributor::QueryAllPeers()
 {
   for (const HostId& peer : this->peers) {
-    this->Send(peer, this->MakeMessage(ConfigMessageKind::Ask));
+    this->Send(peer, this->MakeMessage(ConfigMessageKind::Query));
   }
 }
 
 std::vector<OutgoingConfigMessage>
-ConfigSpread::TakeOutgoing()
+ConfigDistributor::TakeOutgoing()
 {
   return std::exchange(this->outgoing, {});
 }
 
 Revision
-ConfigSpread::InForce() const
+ConfigDistributor::InForce() const
 {
   return this->joined ? this->tree.Current() : Revision();
 }
 
 Duration
-ConfigSpread::ConfirmedAge() const
+ConfigDistributor::ConfirmedAge() const
 {
   return this->clock.MonotonicNow() - this->confirmedAt;
 }
 
 std::optional<WallTime>
-ConfigSpread::TakeAcceptedAt()
+ConfigDistributor::TakeAcceptedAt()
 {
   return std::exchange(this->acceptedAt, std::nullopt);
 }
 
 void
-ConfigSpread::Send(const HostId& aTo, ConfigMessage aMessage)
+ConfigDistributor::Send(const HostId& aTo, ConfigMessage aMessage)
 {
   this->outgoing.push_back(OutgoingConfigMessage{ aTo, std::move(aMessage) });
 }
 
 ConfigMessage
-ConfigSpread::MakeMessage(ConfigMessageKind aKind) const
+ConfigDistributor::MakeMessage(ConfigMessageKind aKind) const
 {
   ConfigMessage message;
   message.kind = aKind;
@@ -212,7 +212,7 @@
 }
 
 void
-ConfigSpread::PassOn(const ConfigMessage& aDelta)
+ConfigDistributor::PassOn(const ConfigMessage& aDelta)
 {
   if (aDelta.revision <= this->passedOn) {
     return;
@@ -226,13 +226,13 @@
     this->Send(next, aDelta);
     return;
   }
-  ConfigMessage closed = this->MakeMessage(ConfigMessageKind::Closed);
+  ConfigMessage closed = this->MakeMessage(ConfigMessageKind::RingCompleted);
   closed.revision = aDelta.revision;
   this->Send(aDelta.origin, closed);
 }
 
 void
-ConfigSpread::TakeDelta(const HostId& aFrom, const ConfigMessage& aMessage)
+ConfigDistributor::HandleDelta(const HostId& aFrom, const ConfigMessage& aMessage)
 {
   auto change = UnpackChange(aMessage.body);
   if (!change) {
@@ -247,7 +247,7 @@
   }
   if (change.value().revision > this->tree.Current()) {
     // Changes before this one were lost on the way.
-    this->AskLimited(aFrom);
+    this->QueryRateLimited(aFrom);
   } else if (aMessage.revision == this->tree.Current()) {
     this->confirmedAt =
       std::max(this->confirmedAt, this->clock.MonotonicNow() - aMessage.confirmedAge);
@@ -255,7 +255,7 @@
 }
 
 void
-ConfigSpread::TakeDeltas(const ConfigMessage& aMessage)
+ConfigDistributor::HandleDeltas(const ConfigMessage& aMessage)
 {
   CompactReader reader(aMessage.body);
   const std::size_t count = reader.Count();
@@ -269,7 +269,7 @@
 }
 
 void
-ConfigSpread::TakeWhole(const ConfigMessage& aMessage)
+ConfigDistributor::HandleFullTree(const ConfigMessage& aMessage)
 {
   if (aMessage.revision <= this->tree.Current()) {
     return;
@@ -282,7 +282,7 @@
 }
 
 void
-ConfigSpread::Answer(const HostId& aFrom, Revision aHeld)
+ConfigDistributor::Answer(const HostId& aFrom, Revision aHeld)
 {
   if (aHeld >= this->tree.Current()) {
     ConfigMessage report = this->MakeMessage(ConfigMessageKind::Report);
@@ -291,7 +291,7 @@
     return;
   }
   if (!this->CanCatchUp(aHeld)) {
-    ConfigMessage whole = this->MakeMessage(ConfigMessageKind::Whole);
+    ConfigMessage whole = this->MakeMessage(ConfigMessageKind::FullTree);
     CompactWriter writer;
     this->tree.Pack(writer);
     whole.body = std::move(writer).Take();
@@ -315,13 +315,13 @@
 }
 
 bool
-ConfigSpread::CanCatchUp(Revision aHeld) const
+ConfigDistributor::CanCatchUp(Revision aHeld) const
 {
   return !this->recent.empty() && this->recent.front().revision <= aHeld.Next();
 }
 
 void
-ConfigSpread::Install(const TreeChange& aChange)
+ConfigDistributor::Install(const TreeChange& aChange)
 {
   if (aChange.revision <= this->tree.Current()) {
     return;
@@ -343,7 +343,7 @@
 }
 
 void
-ConfigSpread::InstallNext(const TreeChange& aChange)
+ConfigDistributor::InstallNext(const TreeChange& aChange)
 {
   const Subtree before = this->tree.Get(aChange.subtree.name);
   this->tree.Apply(aChange);
@@ -352,26 +352,26 @@
     this->recent.pop_front();
   }
   if (this->joined) {
-    this->observer.OnInstalled(this->tree, aChange, before);
+    this->observer.OnSubtreeChanged(this->tree, aChange, before);
   }
 }
 
 void
-ConfigSpread::AskLimited(const HostId& aPeer)
+ConfigDistributor::QueryRateLimited(const HostId& aPeer)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   if (now < this->nextAsk) {
     return;
   }
   this->nextAsk = now + kAskInterval;
-  this->Send(aPeer, this->MakeMessage(ConfigMessageKind::Ask));
+  this->Send(aPeer, this->MakeMessage(ConfigMessageKind::Query));
 }
 
 void
-ConfigSpread::Join()
+ConfigDistributor::Join()
 {
   this->joined = true;
-  this->observer.OnReplaced(this->tree);
+  this->observer.OnTreeReplaced(this->tree);
 }
 
 } // namespace damasklink
--- a/src/coordination/ConfigMachine.cpp
+++ b/src/coordination/ConfigStateMachine.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ConfigMachine.h"
+#include "damasklink/coordination/ConfigStateMachine.h"
 
 #include <set>
 
@@ -42,7 +42,7 @@
 }
 
 // What a change asks for, without its id and author: the same change sent again has the same.
-ChangeAnswers::Fingerprint
+ChangeAnswerCache::Fingerprint
 FingerprintOfChange(const ConfigChange& aChange)
 {
   CompactWriter writer;
@@ -54,13 +54,13 @@
 
 } // namespace
 
-ConfigMachine::ConfigMachine(ConfigListener* aListener)
+ConfigStateMachine::ConfigStateMachine(CommittedTreeObserver* aListener)
   : listener(aListener)
 {
 }
 
 std::string
-ConfigMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
+ConfigStateMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
 {
   CompactReader reader(aCommand);
   const std::uint64_t command = reader.Number();
@@ -85,7 +85,7 @@
 }
 
 std::string
-ConfigMachine::AnswerHistory(CompactReader& aQuery) const
+ConfigStateMachine::AnswerHistory(CompactReader& aQuery) const
 {
   const std::size_t most = aQuery.Number();
   std::optional<SubtreeName> name;
@@ -96,9 +96,9 @@
 }
 
 ChangeAnswer
-ConfigMachine::ApplyChange(const ApplyContext& aContext, const ConfigChange& aChange)
+ConfigStateMachine::ApplyChange(const ApplyContext& aContext, const ConfigChange& aChange)
 {
-  const ChangeAnswers::Fingerprint content = FingerprintOfChange(aChange);
+  const ChangeAnswerCache::Fingerprint content = FingerprintOfChange(aChange);
   if (auto kept = this->answers.Find(aChange.id, content)) {
     return *kept;
   }
@@ -125,10 +125,10 @@
 }
 
 ChangeAnswer
-ConfigMachine::ApplySeed(const ApplyContext& aContext,
-                         const ChangeId& aId,
-                         const std::string& aAuthor,
-                         RevisionedTree aTree)
+ConfigStateMachine::ApplySeed(const ApplyContext& aContext,
+                              const ChangeId& aId,
+                              const std::string& aAuthor,
+                              RevisionedTree aTree)
 {
   if (this->tree.Current() != Revision()) {
     return ChangeAnswer{ ChangeVerdict::Conflict,
@@ -138,7 +138,7 @@
   }
   this->tree = std::move(aTree);
   for (const SubtreeName& name : this->tree.Names()) {
-    this->HoldKeys(name, WorkspaceOf(this->tree.Get(name)));
+    this->RegisterKeys(name, WorkspaceOf(this->tree.Get(name)));
     this->Remember(
       HistoryEntry{ this->tree.VersionOf(name), aContext.proposedAt, aId, aAuthor, name, false });
   }
@@ -149,7 +149,7 @@
 }
 
 std::string
-ConfigMachine::FindProblem(const ConfigChange& aChange) const
+ConfigStateMachine::FindProblem(const ConfigChange& aChange) const
 {
   const SubtreeName& name = aChange.subtree.name;
   if (aChange.subtree.content == nullptr) {
@@ -172,7 +172,7 @@
 }
 
 std::string
-ConfigMachine::FindKeyProblem(const WorkspaceId& aId, const WorkspaceNode& aWorkspace) const
+ConfigStateMachine::FindKeyProblem(const WorkspaceId& aId, const WorkspaceNode& aWorkspace) const
 {
   std::set<DigestBytes> own;
   for (const auto& [teamId, team] : aWorkspace.teams) {
@@ -192,15 +192,15 @@
 }
 
 void
-ConfigMachine::Install(const ApplyContext& aContext, const ConfigChange& aChange)
+ConfigStateMachine::Install(const ApplyContext& aContext, const ConfigChange& aChange)
 {
   const SubtreeName& name = aChange.subtree.name;
   // The subtree keeps the old content alive while its keys are released.
   const Subtree before = this->tree.Get(name);
-  this->ReleaseKeys(WorkspaceOf(before));
+  this->UnregisterKeys(WorkspaceOf(before));
   const TreeChange accepted{ this->tree.Current().Next(), aChange.subtree };
   this->tree.Apply(accepted);
-  this->HoldKeys(name, WorkspaceOf(aChange.subtree));
+  this->RegisterKeys(name, WorkspaceOf(aChange.subtree));
   this->Remember(HistoryEntry{ accepted.revision,
                                aContext.proposedAt,
                                aChange.id,
@@ -213,7 +213,7 @@
 }
 
 void
-ConfigMachine::Remember(HistoryEntry aEntry)
+ConfigStateMachine::Remember(HistoryEntry aEntry)
 {
   this->history.push_back(std::move(aEntry));
   if (this->history.size() > kKeptHistory) {
@@ -222,7 +222,7 @@
 }
 
 void
-ConfigMachine::HoldKeys(const SubtreeName& aName, const WorkspaceNode* aWorkspace)
+ConfigStateMachine::RegisterKeys(const SubtreeName& aName, const WorkspaceNode* aWorkspace)
 {
   if (aWorkspace == nullptr) {
     return;
@@ -235,7 +235,7 @@
 }
 
 void
-ConfigMachine::ReleaseKeys(const WorkspaceNode* aWorkspace)
+ConfigStateMachine::UnregisterKeys(const WorkspaceNode* aWorkspace)
 {
   if (aWorkspace == nullptr) {
     return;
@@ -248,7 +248,7 @@
 }
 
 std::string
-ConfigMachine::Save() const
+ConfigStateMachine::Save() const
 {
   CompactWriter writer;
   writer.Number(kSnapshotVersion);
@@ -262,24 +262,24 @@
 }
 
 Result<void>
-ConfigMachine::Load(std::string_view aSnapshot)
+ConfigStateMachine::Load(std::string_view aSnapshot)
 {
   CompactReader reader(aSnapshot);
   const std::uint64_t version = reader.Number();
-  ConfigMachine loaded;
+  ConfigStateMachine loaded;
   loaded.tree = RevisionedTree::Unpack(reader);
   const std::size_t entries = reader.Count();
   for (std::size_t index = 0; index < entries && !reader.Bad(); ++index) {
     loaded.history.push_back(internal::UnpackHistoryEntry(reader));
   }
-  loaded.answers = ChangeAnswers::Unpack(reader);
+  loaded.answers = ChangeAnswerCache::Unpack(reader);
   if (version != kSnapshotVersion || !reader.AtCleanEnd()) {
     return Fail(ErrorKind::Corrupt,
                 Concat("a snapshot of the configuration, version ", version, ", cannot be read"),
                 "run the program version that wrote it, or repair this host from the group");
   }
   for (const SubtreeName& name : loaded.tree.Names()) {
-    loaded.HoldKeys(name, WorkspaceOf(loaded.tree.Get(name)));
+    loaded.RegisterKeys(name, WorkspaceOf(loaded.tree.Get(name)));
   }
   loaded.listener = this->listener;
   *this = std::move(loaded);
@@ -290,7 +290,7 @@
 }
 
 std::vector<HistoryEntry>
-ConfigMachine::History(const std::optional<SubtreeName>& aName, std::size_t aMost) const
+ConfigStateMachine::History(const std::optional<SubtreeName>& aName, std::size_t aMost) const
 {
   std::vector<HistoryEntry> found;
   for (auto entry = this->history.rbegin(); entry != this->history.rend(); ++entry) {
--- a/src/coordination/CrashLedger.cpp
+++ b/src/coordination/CrashLedger.cpp
@@ -36,9 +36,9 @@
 }
 
 void
-CrashLedger::TakeSound(const std::vector<SoundRun>& aRuns)
+CrashLedger::TakeSound(const std::vector<SuccessfulRun>& aRuns)
 {
-  for (const SoundRun& run : aRuns) {
+  for (const SuccessfulRun& run : aRuns) {
     const auto found = this->entries.find(run.request);
     if (found != this->entries.end()) {
       std::erase_if(found->second.ended,
--- a/src/coordination/CrashWatch.cpp
+++ b/src/coordination/CrashWatch.cpp
@@ -15,7 +15,7 @@
 }
 
 void
-CrashWatch::OnSound(const SoundRun& aRun)
+CrashWatch::OnSound(const SuccessfulRun& aRun)
 {
   const auto isOfRun = [&](const OwnReport& aOwn) {
     return aOwn.report.request == aRun.request && aOwn.report.service == aRun.service;
@@ -85,11 +85,11 @@
   return untold;
 }
 
-std::vector<SoundRun>
+std::vector<SuccessfulRun>
 CrashWatch::TakeSound()
 {
-  const std::set<SoundRun> taken = std::exchange(this->sound, {});
-  return std::vector<SoundRun>(taken.begin(), taken.end());
+  const std::set<SuccessfulRun> taken = std::exchange(this->sound, {});
+  return std::vector<SuccessfulRun>(taken.begin(), taken.end());
 }
 
 } // namespace damasklink
--- a/src/coordination/DocumentFetch.cpp
+++ b/src/coordination/DocumentFetcher.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/DocumentFetch.h"
+#include "damasklink/coordination/DocumentFetcher.h"
 
 #include <algorithm>
 
@@ -30,15 +30,15 @@
 
 } // namespace
 
-DocumentFetch::DocumentFetch(const Clock& aClock)
+DocumentFetcher::DocumentFetcher(const Clock& aClock)
   : clock(aClock)
   , patience(kStartPatience)
-  , pieceBytes(kStartPieceBytes)
+  , chunkBytes(kStartPieceBytes)
 {
 }
 
 void
-DocumentFetch::OnAnnounced(const HostId& aSource, Revision aVersion)
+DocumentFetcher::OnVersionAnnounced(const HostId& aSource, Revision aVersion)
 {
   this->sources[aSource] = aVersion;
   if (aVersion > this->newest) {
@@ -51,7 +51,7 @@
 }
 
 MonotonicTime
-DocumentFetch::AnnouncedAt(Revision aVersion) const
+DocumentFetcher::AnnouncedAt(Revision aVersion) const
 {
   MonotonicTime earliest = this->clock.MonotonicNow();
   for (auto item = this->announcedAt.lower_bound(aVersion); item != this->announcedAt.end();
@@ -62,7 +62,7 @@
 }
 
 void
-DocumentFetch::OnLost(const HostId& aSource)
+DocumentFetcher::OnLost(const HostId& aSource)
 {
   this->sources.erase(aSource);
   this->silent.erase(aSource);
@@ -72,7 +72,7 @@
 }
 
 void
-DocumentFetch::OnHeld(Revision aVersion)
+DocumentFetcher::OnVersionInstalled(Revision aVersion)
 {
   this->held = std::max(this->held, aVersion);
   this->wantsWhole = false;
@@ -80,7 +80,7 @@
 }
 
 void
-DocumentFetch::OnRefused(const TransferId& aTransfer)
+DocumentFetcher::OnUnpackFailed(const TransferId& aTransfer)
 {
   if (aTransfer.base == Revision()) {
     this->unreadable = aTransfer.version;
@@ -91,24 +91,24 @@
 
 // Returns the lowest version that is worth asking for.
 Revision
-DocumentFetch::LeastWanted() const
+DocumentFetcher::LowestWantedVersion() const
 {
   const Revision begun = this->transfer.version;
   return begun != Revision() ? begun : std::max(this->held, this->unreadable).Next();
 }
 
 bool
-DocumentFetch::AnyoneHasNewer() const
+DocumentFetcher::IsWantedVersionAvailable() const
 {
   return std::any_of(this->sources.begin(), this->sources.end(), [this](const auto& aSource) {
-    return aSource.second >= this->LeastWanted();
+    return aSource.second >= this->LowestWantedVersion();
   });
 }
 
 // A transfer that is begun goes on. Another one takes its place only at its beginning, from the
 // control host that was asked and does not have the one that is begun.
 bool
-DocumentFetch::IsWanted(const DocumentPiece& aPiece) const
+DocumentFetcher::IsWanted(const DocumentChunk& aPiece) const
 {
   const TransferId& offered = aPiece.transfer;
   const bool fits = offered.base == this->held && !this->wantsWhole;
@@ -122,7 +122,7 @@
 }
 
 std::optional<FetchedDocument>
-DocumentFetch::OnPiece(const HostId& aFrom, const DocumentPiece& aPiece)
+DocumentFetcher::OnChunk(const HostId& aFrom, const DocumentChunk& aPiece)
 {
   const bool wasAsked = this->asked && this->asked->source == aFrom;
   const bool begun = this->transfer.version != Revision();
@@ -131,7 +131,7 @@
     return std::nullopt;
   }
   if (another) {
-    this->GiveUpTransfer();
+    this->AbandonTransfer();
     this->transfer = aPiece.transfer;
   }
   this->received += aPiece.bytes;
@@ -141,26 +141,26 @@
     return std::nullopt;
   }
   FetchedDocument whole{ this->transfer, std::move(this->received) };
-  this->GiveUpTransfer();
+  this->AbandonTransfer();
   return whole;
 }
 
 void
-DocumentFetch::GiveUpTransfer()
+DocumentFetcher::AbandonTransfer()
 {
   this->transfer = TransferId();
   this->received.clear();
 }
 
 void
-DocumentFetch::OnProgress()
+DocumentFetcher::OnProgress()
 {
   if (this->asked) {
     const Duration took = this->clock.MonotonicNow() - this->asked->at;
     if (took < kSoon) {
-      this->pieceBytes = std::min(this->pieceBytes * 2, kMostPieceBytes);
+      this->chunkBytes = std::min(this->chunkBytes * 2, kMostChunkBytes);
     } else if (took > kLate) {
-      this->pieceBytes = std::max(this->pieceBytes / 2, kLeastPieceBytes);
+      this->chunkBytes = std::max(this->chunkBytes / 2, kLeastPieceBytes);
     }
   }
   this->asked.reset();
@@ -169,18 +169,18 @@
 }
 
 void
-DocumentFetch::OnSilence()
+DocumentFetcher::OnSilence()
 {
   this->silent.insert(this->asked->source);
   this->asked.reset();
-  this->pieceBytes = std::max(this->pieceBytes / 2, kLeastPieceBytes);
+  this->chunkBytes = std::max(this->chunkBytes / 2, kLeastPieceBytes);
 }
 
 // Prefers the one that answers soonest. Those that did not answer for this piece come last.
 std::optional<HostId>
-DocumentFetch::ChooseSource() const
+DocumentFetcher::ChooseSource() const
 {
-  const Revision least = this->LeastWanted();
+  const Revision least = this->LowestWantedVersion();
   const auto can = [&](const HostId& aHost, Revision aVersion) {
     return aVersion >= least && !this->silent.contains(aHost);
   };
@@ -201,7 +201,7 @@
 
 // Returns whom to ask; those that did not answer are tried again once nobody else is left.
 std::optional<HostId>
-DocumentFetch::ChooseAnySource()
+DocumentFetcher::ChooseSourceOrRetry()
 {
   std::optional<HostId> source = this->ChooseSource();
   if (!source && !this->silent.empty()) {
@@ -212,14 +212,14 @@
   return source;
 }
 
-std::optional<DocumentAsk>
-DocumentFetch::Next()
+std::optional<OutgoingDocumentRequest>
+DocumentFetcher::Next()
 {
-  if (!this->AnyoneHasNewer()) {
+  if (!this->IsWantedVersionAvailable()) {
     // Nobody has what was begun any more; what others have may still be newer than what is held.
-    this->GiveUpTransfer();
+    this->AbandonTransfer();
   }
-  if (!this->AnyoneHasNewer()) {
+  if (!this->IsWantedVersionAvailable()) {
     this->asked.reset();
     return std::nullopt;
   }
@@ -232,17 +232,17 @@
     missing = this->asked->source;
     this->OnSilence();
   }
-  const std::optional<HostId> source = this->ChooseAnySource();
+  const std::optional<HostId> source = this->ChooseSourceOrRetry();
   if (!source) {
     return std::nullopt;
   }
   this->asked = Asked{ *source, now };
-  DocumentQuestion question;
+  DocumentRequest question;
   question.held = this->wantsWhole ? Revision() : this->held;
   question.transfer = this->transfer;
   question.offset = this->received.size();
-  question.mostBytes = this->pieceBytes;
-  return DocumentAsk{ *source, question, missing };
+  question.mostBytes = this->chunkBytes;
+  return OutgoingDocumentRequest{ *source, question, missing };
 }
 
 } // namespace damasklink
--- a/src/coordination/DocumentSource.cpp
+++ b/src/coordination/DocumentPublisher.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/DocumentSource.h"
+#include "damasklink/coordination/DocumentPublisher.h"
 
 #include <algorithm>
 #include <string_view>
@@ -19,7 +19,7 @@
 } // namespace
 
 void
-DocumentSource::Publish(Revision aVersion, const std::string& aDocument)
+DocumentPublisher::Publish(Revision aVersion, const std::string& aDocument)
 {
   const Revision newest = this->documents.empty() ? Revision() : this->documents.rbegin()->first;
   if (aVersion <= newest) {
@@ -34,7 +34,7 @@
 }
 
 void
-DocumentSource::DropOldest()
+DocumentPublisher::DropOldest()
 {
   const auto oldest = this->documents.begin();
   const Revision version = oldest->first;
@@ -47,8 +47,8 @@
 
 // Returns the transfer, packed now if need be; null when the version is not kept. A base that is
 // not kept stands for none.
-const DocumentSource::Packed*
-DocumentSource::Find(Revision aVersion, Revision aBase)
+const DocumentPublisher::Packed*
+DocumentPublisher::Find(Revision aVersion, Revision aBase)
 {
   const auto document = this->documents.find(aVersion);
   if (document == this->documents.end()) {
@@ -68,22 +68,22 @@
   return &packed;
 }
 
-std::optional<DocumentPiece>
-DocumentSource::Answer(const DocumentQuestion& aQuestion)
+std::optional<DocumentChunk>
+DocumentPublisher::Answer(const DocumentRequest& aQuestion)
 {
   const TransferId& begun = aQuestion.transfer;
-  const std::uint64_t most = std::min(aQuestion.mostBytes, kMostPieceBytes);
+  const std::uint64_t most = std::min(aQuestion.mostBytes, kMostChunkBytes);
   if (begun.version != Revision()) {
     const Packed* found = this->Find(begun.version, begun.base);
     if (found != nullptr && found->id == begun && aQuestion.offset < begun.bytes) {
-      return DocumentPiece{ begun, aQuestion.offset, found->bytes.substr(aQuestion.offset, most) };
+      return DocumentChunk{ begun, aQuestion.offset, found->bytes.substr(aQuestion.offset, most) };
     }
   }
   if (this->documents.empty() || this->documents.rbegin()->first <= aQuestion.held) {
     return std::nullopt;
   }
   const Packed* newest = this->Find(this->documents.rbegin()->first, aQuestion.held);
-  return DocumentPiece{ newest->id, 0, newest->bytes.substr(0, most) };
+  return DocumentChunk{ newest->id, 0, newest->bytes.substr(0, most) };
 }
 
 } // namespace damasklink
--- a/src/coordination/Evacuations.cpp
+++ b/src/coordination/EvacuationRegistry.cpp
@@ -1,14 +1,14 @@
-#include "damasklink/coordination/Evacuations.h"
+#include "damasklink/coordination/EvacuationRegistry.h"
 
 namespace damasklink {
 
 EvacuationResult
-Evacuations::Apply(const SetEvacuation& aOrder)
+EvacuationRegistry::Apply(const SetEvacuation& aOrder)
 {
   const auto found = this->zones.find(aOrder.zone);
   const ZoneEvacuation held = found == this->zones.end() ? ZoneEvacuation() : found->second;
   if (held.evacuated == aOrder.evacuated) {
-    return EvacuationResult::AlreadySo;
+    return EvacuationResult::NoChange;
   }
   if (aOrder.seenChanges < held.changes) {
     return EvacuationResult::Superseded;
@@ -18,14 +18,14 @@
 }
 
 std::uint64_t
-Evacuations::ChangesOf(const ZoneId& aZone) const
+EvacuationRegistry::ChangesOf(const ZoneId& aZone) const
 {
   const auto found = this->zones.find(aZone);
   return found == this->zones.end() ? 0 : found->second.changes;
 }
 
 EvacuatedZones
-Evacuations::Current() const
+EvacuationRegistry::Current() const
 {
   EvacuatedZones current;
   for (const auto& [zone, state] : this->zones) {
--- a/src/coordination/HubChoice.cpp
+++ b/src/coordination/HubSelector.cpp
@@ -1,21 +1,21 @@
-#include "damasklink/coordination/HubChoice.h"
+#include "damasklink/coordination/HubSelector.h"
 
 namespace damasklink {
 
 int
-HubChoice::RankOf(const HubCandidate& aCandidate) const
+HubSelector::RankOf(const HubCandidate& aCandidate) const
 {
   const int speaks = this->quiet.contains(aCandidate.host) ? 0 : 4;
-  const int good = aCandidate.good ? 2 : 0;
+  const int good = aCandidate.hearsLeader ? 2 : 0;
   const int near = aCandidate.zone == this->zone ? 1 : 0;
   return speaks + good + near;
 }
 
 std::optional<HostId>
-HubChoice::Choose(const std::vector<HubCandidate>& aCandidates)
+HubSelector::Choose(const std::vector<HubCandidate>& aCandidates)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  if (this->hub && this->owesSince && now - *this->owesSince >= kPatience) {
+  if (this->hub && this->awaitingReplySince && now - *this->awaitingReplySince >= kReplyTimeout) {
     this->quiet.insert(*this->hub);
   }
   std::optional<HostId> best;
@@ -29,35 +29,35 @@
   }
   if (best != this->hub) {
     this->hub = best;
-    this->owesSince.reset();
+    this->awaitingReplySince.reset();
   }
   return this->hub;
 }
 
 void
-HubChoice::OnTold()
+HubSelector::OnReportSent()
 {
-  if (!this->owesSince) {
-    this->owesSince = this->clock.MonotonicNow();
+  if (!this->awaitingReplySince) {
+    this->awaitingReplySince = this->clock.MonotonicNow();
   }
 }
 
 void
-HubChoice::OnHeard(const HostId& aHost)
+HubSelector::OnMessageFrom(const HostId& aHost)
 {
   this->quiet.erase(aHost);
   if (this->hub == aHost) {
-    this->owesSince.reset();
+    this->awaitingReplySince.reset();
   }
 }
 
 void
-HubChoice::OnLost(const HostId& aHost)
+HubSelector::OnLost(const HostId& aHost)
 {
   this->quiet.erase(aHost);
   if (this->hub == aHost) {
     this->hub.reset();
-    this->owesSince.reset();
+    this->awaitingReplySince.reset();
   }
 }
 
--- a/src/coordination/OrdersMachine.cpp
+++ b/src/coordination/OrdersMachine.cpp
@@ -1,6 +1,6 @@
 #include "damasklink/coordination/OrdersMachine.h"
 
-#include "damasklink/coordination/ChangeAnswers.h"
+#include "damasklink/coordination/ChangeAnswerCache.h"
 #include "damasklink/state/CompactCodec.h"
 
 namespace damasklink {
--- a/src/coordination/RecentHosts.cpp
+++ b/src/coordination/RecentHosts.cpp
@@ -3,14 +3,14 @@
 namespace damasklink {
 
 void
-RecentHosts::Note(const std::set<HostId>& aHosts, MonotonicTime aNow)
+RecentHosts::Update(const std::set<HostId>& aHosts, MonotonicTime aNow)
 {
   for (const HostId& host : aHosts) {
     this->seen[host] = aNow;
     this->hosts.insert(host);
   }
   std::erase_if(this->seen, [&](const auto& aItem) {
-    const bool gone = aNow - aItem.second > kMemory;
+    const bool gone = aNow - aItem.second > kRetention;
     if (gone) {
       this->hosts.erase(aItem.first);
     }
--- a/src/coordination/HomeRegions.cpp
+++ b/src/coordination/RegionRestriction.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/HomeRegions.h"
+#include "damasklink/coordination/RegionRestriction.h"
 
 #include <algorithm>
 
@@ -13,9 +13,9 @@
 
 } // namespace
 
-HomeRegions::HomeRegions(const std::vector<RegionId>& aOfRoute,
-                         const std::vector<RegionId>& aOfWorkspace,
-                         const ZoneRegions& aRegions)
+RegionRestriction::RegionRestriction(const std::vector<RegionId>& aOfRoute,
+                                     const std::vector<RegionId>& aOfWorkspace,
+                                     const ZoneRegions& aRegions)
   : binds(!aOfRoute.empty() || !aOfWorkspace.empty())
 {
   if (!this->binds) {
--- a/src/coordination/SendsHub.cpp
+++ b/src/coordination/SendsHub.cpp
@@ -5,20 +5,20 @@
 namespace damasklink {
 
 void
-SendsHub::Untold::Add(const SendsNews& aNews)
+SendsHub::Untold::Add(const LoadReport& aNews)
 {
-  for (const TargetSendsNow& told : aNews.sends) {
+  for (const InFlightLoad& told : aNews.sends) {
     std::vector<SizedPart>& parts = this->sends[told.target];
     parts.insert(parts.end(), told.parts.begin(), told.parts.end());
   }
-  for (const StoreExcess& told : aNews.excesses) {
-    StoreExcess& excess = this->excesses[told.store];
+  for (const StoreFetchDelay& told : aNews.excesses) {
+    StoreFetchDelay& excess = this->excesses[told.store];
     excess.store = told.store;
     excess.count += told.count;
     excess.total += told.total;
   }
-  for (const TargetFindings& told : aNews.findings) {
-    TargetFindings& found = this->findings[told.target];
+  for (const TargetReachabilityReport& told : aNews.findings) {
+    TargetReachabilityReport& found = this->findings[told.target];
     found.target = told.target;
     found.gone += told.gone;
     found.back += told.back;
@@ -26,7 +26,7 @@
 }
 
 void
-SendsHub::Untold::MoveFindings(SendsNews& aTo)
+SendsHub::Untold::MoveFindings(LoadReport& aTo)
 {
   for (auto& [store, excess] : std::exchange(this->excesses, {})) {
     aTo.excesses.push_back(std::move(excess));
@@ -37,7 +37,7 @@
 }
 
 void
-SendsHub::Take(const SendsNews& aNews, MonotonicTime aNow)
+SendsHub::Take(const LoadReport& aNews, MonotonicTime aNow)
 {
   if (aNews.last) {
     this->Forget(aNews.host);
@@ -50,7 +50,7 @@
 }
 
 void
-SendsHub::TakeSum(const SendsNews& aNews, MonotonicTime aNow)
+SendsHub::TakeSum(const LoadReport& aNews, MonotonicTime aNow)
 {
   this->sumsOfOthers.Take(aNews, aNow);
   this->totals.Add(aNews);
@@ -95,10 +95,10 @@
 
 // Moves what was not told yet into news in the name of aSelf; aLoadOf gives a target's figures now.
 template<typename Untold, typename LoadOf>
-SendsNews
+LoadReport
 TellAll(Untold& aUntold, const HostId& aSelf, LoadOf aLoadOf)
 {
-  SendsNews news;
+  LoadReport news;
   news.host = aSelf;
   for (auto& [target, parts] : std::exchange(aUntold.sends, {})) {
     news.sends.push_back(StateSends(target, aLoadOf(target), std::move(parts)));
@@ -109,27 +109,27 @@
 
 } // namespace
 
-SendsNews
+LoadReport
 SendsHub::TakeChanges(const HostId& aSelf)
 {
   return TellAll(
     this->changes, aSelf, [this](const TargetId& aTarget) { return this->sum.Of(aTarget); });
 }
 
-SendsNews
+LoadReport
 SendsHub::TakeTotals(const HostId& aSelf)
 {
   return TellAll(
     this->totals, aSelf, [this](const TargetId& aTarget) { return this->TotalOf(aTarget); });
 }
 
-SendsNews
+LoadReport
 SendsHub::AllTotals(const HostId& aSelf) const
 {
   std::set<TargetId> targets;
   this->sum.AddTargets(targets);
   this->sumsOfOthers.AddTargets(targets);
-  SendsNews news;
+  LoadReport news;
   news.host = aSelf;
   for (const TargetId& target : targets) {
     news.sends.push_back(StateSends(target, this->TotalOf(target), {}));
--- a/src/coordination/SendsSum.cpp
+++ b/src/coordination/SendsSum.cpp
@@ -24,11 +24,11 @@
 }
 
 void
-SendsSum::Take(const SendsNews& aNews, MonotonicTime aNow)
+SendsSum::Take(const LoadReport& aNews, MonotonicTime aNow)
 {
   Host& host = this->hosts[aNews.host];
   host.heard = aNow;
-  for (const TargetSendsNow& sends : aNews.sends) {
+  for (const InFlightLoad& sends : aNews.sends) {
     const SentLoad now{ sends.requests, sends.unread.Value(), sends.memory.Value() };
     SentLoad& load = host.loads[sends.target];
     SentLoad& sum = this->sums[sends.target];
@@ -104,10 +104,10 @@
   return found == this->sums.end() ? SentLoad() : found->second;
 }
 
-TargetSendsNow
+InFlightLoad
 StateSends(const TargetId& aTarget, const SentLoad& aLoad, std::vector<SizedPart> aParts)
 {
-  TargetSendsNow sends;
+  InFlightLoad sends;
   sends.target = aTarget;
   sends.requests = aLoad.requests;
   sends.unread = TokenCount(aLoad.unread);
--- a/src/coordination/ServingConfig.cpp
+++ b/src/coordination/ServingConfig.cpp
@@ -136,14 +136,15 @@
 CheckRegions(const ServingConfig& aConfig, const std::set<RegionId>& aRegions)
 {
   for (const ServingRoute& route : aConfig.routes) {
-    if (auto checked = CheckHomes(route.homes, Concat("route '", route.name, "'"), aRegions);
+    if (auto checked =
+          CheckHomes(route.allowedRegions, Concat("route '", route.name, "'"), aRegions);
         !checked) {
       return checked;
     }
   }
   for (const WorkspaceEntry& workspace : aConfig.workspaces) {
     const std::string owner = Concat("workspace '", workspace.name.Value(), "'");
-    if (auto checked = CheckHomes(workspace.homes, owner, aRegions); !checked) {
+    if (auto checked = CheckHomes(workspace.allowedRegions, owner, aRegions); !checked) {
       return checked;
     }
   }
--- a/src/coordination/ServingMachine.cpp
+++ b/src/coordination/ServingStateMachine.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ServingMachine.h"
+#include "damasklink/coordination/ServingStateMachine.h"
 
 #include <algorithm>
 #include <optional>
@@ -12,8 +12,8 @@
 enum class CommandTag : std::uint8_t
 {
   PutDocument = 1,
-  NameWeights = 2,
-  ReadMarker = 3,
+  SetWeightVersion = 2,
+  ReadBarrier = 3,
   RefuseRequest = 4,
   ReleaseRequest = 5,
   SetEvacuation = 6,
@@ -84,13 +84,13 @@
       command = PutDocument{ version, reader.Text() };
       break;
     }
-    case CommandTag::NameWeights: {
+    case CommandTag::SetWeightVersion: {
       const ModelName model(reader.Text());
-      command = NameWeights{ model, reader.Number() };
+      command = SetWeightVersion{ model, reader.Number() };
       break;
     }
-    case CommandTag::ReadMarker:
-      command = ReadMarker{};
+    case CommandTag::ReadBarrier:
+      command = ReadBarrier{};
       break;
     case CommandTag::RefuseRequest: {
       const RequestFingerprint request(reader.Number());
@@ -120,16 +120,16 @@
     this->writer.Text(aCommand.document);
   }
 
-  void operator()(const NameWeights& aCommand)
+  void operator()(const SetWeightVersion& aCommand)
   {
-    this->writer.Byte(static_cast<std::uint8_t>(CommandTag::NameWeights));
+    this->writer.Byte(static_cast<std::uint8_t>(CommandTag::SetWeightVersion));
     this->writer.Text(aCommand.model.Value());
     this->writer.Number(aCommand.version);
   }
 
-  void operator()(const ReadMarker& /*aCommand*/)
+  void operator()(const ReadBarrier& /*aCommand*/)
   {
-    this->writer.Byte(static_cast<std::uint8_t>(CommandTag::ReadMarker));
+    this->writer.Byte(static_cast<std::uint8_t>(CommandTag::ReadBarrier));
   }
 
   void operator()(const RefuseRequest& aCommand)
@@ -174,11 +174,11 @@
   return writer.Take();
 }
 
-Result<ServingStanding>
-DecodeServingStanding(std::string_view aAnswer)
+Result<ServingCommandResult>
+DecodeServingCommandResult(std::string_view aAnswer)
 {
   ByteReader reader(aAnswer);
-  ServingStanding standing;
+  ServingCommandResult standing;
   standing.version = Revision(reader.Number());
   const auto outcome = static_cast<Outcome>(reader.Byte());
   standing.understood = outcome != Outcome::NotUnderstood;
@@ -190,7 +190,7 @@
 }
 
 std::string
-ServingMachine::Apply(const ApplyContext& /*aContext*/, std::string_view aCommand)
+ServingStateMachine::Apply(const ApplyContext& /*aContext*/, std::string_view aCommand)
 {
   std::optional<ServingCommand> command = DecodeCommand(aCommand);
   if (!command) {
@@ -202,7 +202,7 @@
       this->document = std::move(put->document);
       ++this->changes;
     }
-  } else if (const auto* named = std::get_if<NameWeights>(&*command); named != nullptr) {
+  } else if (const auto* named = std::get_if<SetWeightVersion>(&*command); named != nullptr) {
     std::uint64_t& held = this->weights[named->model];
     if (named->version > held) {
       held = named->version;
@@ -223,7 +223,7 @@
 }
 
 void
-ServingMachine::Refuse(const RefuseRequest& aCommand)
+ServingStateMachine::Refuse(const RefuseRequest& aCommand)
 {
   if (!this->refused.try_emplace(aCommand.request, aCommand.facts).second) {
     return;
@@ -239,7 +239,7 @@
 }
 
 std::string
-ServingMachine::Save() const
+ServingStateMachine::Save() const
 {
   ByteWriter writer;
   writer.Number(this->version.Value());
@@ -272,7 +272,7 @@
 }
 
 Result<void>
-ServingMachine::Load(std::string_view aSnapshot)
+ServingStateMachine::Load(std::string_view aSnapshot)
 {
   ByteReader reader(aSnapshot);
   const Revision loadedVersion(reader.Number());
--- a/src/coordination/StoreFeed.cpp
+++ b/src/coordination/StoreFeed.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 TokenCount
-StoreStatement::Tokens() const
+StoreUpdate::Tokens() const
 {
   std::uint64_t tokens = 0;
   for (const SizedPart& part : this->added) {
@@ -88,23 +88,23 @@
   this->changed = true;
 }
 
-std::optional<StoreStatement>
+std::optional<StoreUpdate>
 StoreFeed::TakeChanges()
 {
   if (!std::exchange(this->changed, false)) {
     return std::nullopt;
   }
-  StoreStatement taken = std::exchange(this->changes, StoreStatement{});
+  StoreUpdate taken = std::exchange(this->changes, StoreUpdate{});
   taken.store = this->store;
   taken.live = this->live;
   taken.reserved = this->Reserved();
   return taken;
 }
 
-StoreStatement
+StoreUpdate
 StoreFeed::All() const
 {
-  StoreStatement all;
+  StoreUpdate all;
   all.store = this->store;
   all.live = this->live;
   all.whole = true;
--- a/src/coordination/StorePace.cpp
+++ b/src/coordination/StorePace.cpp
@@ -11,7 +11,7 @@
 StorePace::Note(const std::string& aStore, double aExcess)
 {
   const double excess = std::max(aExcess, 0.0);
-  StoreExcess& note = this->untold[aStore];
+  StoreFetchDelay& note = this->untold[aStore];
   note.store = aStore;
   ++note.count;
   note.total += excess;
@@ -29,10 +29,10 @@
   mean.seen = std::min(mean.seen + aCount, kLeastSeen);
 }
 
-std::vector<StoreExcess>
+std::vector<StoreFetchDelay>
 StorePace::TakeNotes()
 {
-  std::vector<StoreExcess> notes;
+  std::vector<StoreFetchDelay> notes;
   for (auto& [store, note] : std::exchange(this->untold, {})) {
     notes.push_back(std::move(note));
   }
@@ -40,9 +40,9 @@
 }
 
 void
-StorePace::Take(const std::vector<StoreExcess>& aNotes)
+StorePace::Take(const std::vector<StoreFetchDelay>& aNotes)
 {
-  for (const StoreExcess& note : aNotes) {
+  for (const StoreFetchDelay& note : aNotes) {
     if (note.count > 0) {
       this->Add(note.store, note.count, note.total);
     }
--- a/src/coordination/StoredParts.cpp
+++ b/src/coordination/StoredParts.cpp
@@ -69,7 +69,7 @@
 }
 
 void
-StoredParts::Take(const StoreStatement& aStatement)
+StoredParts::Take(const StoreUpdate& aStatement)
 {
   const auto found = this->stores.find(FormatEndpoint(aStatement.store));
   if (found == this->stores.end()) {
--- a/src/coordination/TargetBoard.cpp
+++ b/src/coordination/TargetBoard.cpp
@@ -24,7 +24,7 @@
 } // namespace
 
 void
-TargetBoard::Take(const HostId& aFrom, const TargetStatement& aStatement)
+TargetBoard::Take(const HostId& aFrom, const TargetUpdate& aStatement)
 {
   const auto [position, isNew] = this->entries.try_emplace(aStatement.record.id);
   Entry& entry = position->second;
@@ -34,7 +34,7 @@
   if (!isNew && aStatement.record.incarnation > entry.record.incarnation) {
     this->BeginNewStart(aStatement, entry);
   }
-  if (isNew && aStatement.standing == TargetStanding::Usable) {
+  if (isNew && aStatement.standing == TargetAvailability::Usable) {
     this->appeared.push_back(aStatement.record);
   }
   if (aStatement.record.sequence >= entry.record.sequence) {
@@ -45,14 +45,14 @@
     KeepNewerWeights(aStatement.record.models, entry.record.models);
   }
   entry.words[aFrom] = Word{ aStatement.record.sequence, aStatement.standing, aStatement.paused };
-  if (aStatement.standing == TargetStanding::Leaving) {
+  if (aStatement.standing == TargetAvailability::Leaving) {
     this->MarkGone(aStatement.record.id, entry);
   }
   this->Changed();
 }
 
 void
-TargetBoard::BeginNewStart(const TargetStatement& aStatement, Entry& aEntry)
+TargetBoard::BeginNewStart(const TargetUpdate& aStatement, Entry& aEntry)
 {
   const TargetId& target = aStatement.record.id;
   if (aEntry.gone) {
@@ -160,7 +160,7 @@
   bool spoken = false;
   bool lastWord = false;
   for (const auto& [host, word] : aEntry.words) {
-    const bool usable = word.standing == TargetStanding::Usable;
+    const bool usable = word.standing == TargetAvailability::Usable;
     if (this->connected.contains(host)) {
       if (usable) {
         return true;
--- a/src/coordination/TargetHealth.cpp
+++ b/src/coordination/TargetHealth.cpp
@@ -21,7 +21,7 @@
     const auto found = this->entries.find(aTarget);
     if (found != this->entries.end()) {
       if (found->second.believedGone) {
-        TargetFindings& findings = this->untold[aTarget];
+        TargetReachabilityReport& findings = this->untold[aTarget];
         findings.target = aTarget;
         findings.back = 1;
       }
@@ -41,7 +41,7 @@
   entry.probing = false;
   const bool alreadyOut = this->clock.MonotonicNow() < entry.ejectedUntil;
   if (aSign == HealthSign::Gone && !alreadyOut && this->untold.size() < kMostUntold) {
-    TargetFindings& findings = this->untold[aTarget];
+    TargetReachabilityReport& findings = this->untold[aTarget];
     findings.target = aTarget;
     findings.gone = 1;
   }
@@ -72,10 +72,10 @@
   ++aEntry.ejections;
 }
 
-std::vector<TargetFindings>
+std::vector<TargetReachabilityReport>
 TargetHealth::TakeFindings()
 {
-  std::vector<TargetFindings> findings;
+  std::vector<TargetReachabilityReport> findings;
   for (const auto& [target, found] : std::exchange(this->untold, {})) {
     findings.push_back(found);
   }
@@ -83,9 +83,9 @@
 }
 
 void
-TargetHealth::Take(const std::vector<TargetFindings>& aFindings)
+TargetHealth::Take(const std::vector<TargetReachabilityReport>& aFindings)
 {
-  for (const TargetFindings& found : aFindings) {
+  for (const TargetReachabilityReport& found : aFindings) {
     if (found.back > 0) {
       std::erase_if(this->entries, [&](const auto& aItem) {
         return aItem.first == found.target && aItem.second.believedGone;
@@ -97,7 +97,7 @@
 }
 
 void
-TargetHealth::TakeGone(const TargetFindings& aFound)
+TargetHealth::TakeGone(const TargetReachabilityReport& aFound)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   Entry& entry = this->entries[aFound.target];
--- a/src/coordination/TargetPicker.cpp
+++ b/src/coordination/TargetPicker.cpp
@@ -39,7 +39,7 @@
 }
 
 TargetPicker::TargetPicker(const TargetHealth& aHealth,
-                           const ZoneReach& aReach,
+                           const ZoneReachability& aReach,
                            std::uint64_t aSeed,
                            PickCosts aCosts)
   : health(aHealth)
@@ -64,7 +64,7 @@
     if (tooOld || aQuestion.excluded.contains(target.id) || aQuestion.limited.contains(target.id)) {
       continue;
     }
-    if (this->reach.IsOut(target.zone)) {
+    if (this->reach.IsUnreachable(target.zone)) {
       outOfReach.push_back(&target);
     } else {
       (this->health.IsOut(target.id) ? ejected : fit).push_back(&target);
@@ -281,10 +281,10 @@
   }
 }
 
-std::vector<TargetSendsNow>
+std::vector<InFlightLoad>
 TargetPicker::TakeSends()
 {
-  std::vector<TargetSendsNow> sends;
+  std::vector<InFlightLoad> sends;
   this->urgent = false;
   for (auto& [target, parts] : std::exchange(this->untold, {})) {
     const auto found = this->loads.find(target);
@@ -309,10 +309,10 @@
 }
 
 void
-TargetPicker::TakeSum(const SendsNews& aNews, MonotonicTime aNow)
+TargetPicker::TakeSum(const LoadReport& aNews, MonotonicTime aNow)
 {
   this->told.Take(aNews, aNow);
-  for (const TargetSendsNow& sends : aNews.sends) {
+  for (const InFlightLoad& sends : aNews.sends) {
     if (!sends.parts.empty()) {
       this->held.OnRead(sends.target, sends.parts);
     }
@@ -327,7 +327,8 @@
   const TargetRecord* found = nullptr;
   for (const TargetRecord& target : aTargets) {
     const bool holds = target.id != aFor.id && !this->health.IsOut(target.id) &&
-                       !this->reach.IsOut(target.zone) && this->held.Holds(target.id, aPart.key);
+                       !this->reach.IsUnreachable(target.zone) &&
+                       this->held.Holds(target.id, aPart.key);
     if (holds && (found == nullptr || target.zone == aFor.zone)) {
       found = &target;
     }
--- a/src/coordination/ZoneReach.cpp
+++ b/src/coordination/ZoneReachability.cpp
@@ -1,9 +1,9 @@
-#include "damasklink/coordination/ZoneReach.h"
+#include "damasklink/coordination/ZoneReachability.h"
 
 namespace damasklink {
 
 void
-ZoneReach::OnStart(const ZoneId& aZone)
+ZoneReachability::OnStart(const ZoneId& aZone)
 {
   const auto found = this->entries.find(aZone);
   if (found != this->entries.end() && found->second.doubted) {
@@ -12,7 +12,7 @@
 }
 
 void
-ZoneReach::OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSign aSign)
+ZoneReachability::OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSign aSign)
 {
   if (aSign == HealthSign::Good) {
     this->entries.erase(aZone);
@@ -27,26 +27,26 @@
   const MonotonicTime now = this->clock.MonotonicNow();
   Entry& entry = this->entries[aZone];
   entry.trying = false;
-  if (entry.gone.empty() || now - entry.goneSince > kGoneWithin) {
+  if (entry.gone.empty() || now - entry.goneSince > kDetectionWindow) {
     entry.gone.clear();
     entry.goneSince = now;
   }
   entry.gone.insert(aTarget);
-  if (entry.doubted || entry.gone.size() >= kTargetsGone) {
+  if (entry.doubted || entry.gone.size() >= kUnreachableTargets) {
     this->PutOut(entry);
   }
 }
 
 void
-ZoneReach::PutOut(Entry& aEntry)
+ZoneReachability::PutOut(Entry& aEntry)
 {
-  std::uniform_int_distribution<std::int64_t> jitter(0, kOutFor.count() / 4);
-  aEntry.outUntil = this->clock.MonotonicNow() + kOutFor + Duration(jitter(this->random));
+  std::uniform_int_distribution<std::int64_t> jitter(0, kRetryDelay.count() / 4);
+  aEntry.outUntil = this->clock.MonotonicNow() + kRetryDelay + Duration(jitter(this->random));
   aEntry.doubted = true;
 }
 
 bool
-ZoneReach::IsOut(const ZoneId& aZone) const
+ZoneReachability::IsUnreachable(const ZoneId& aZone) const
 {
   const auto found = this->entries.find(aZone);
   if (found == this->entries.end() || !found->second.doubted) {
--- a/src/program/ConfigurationApi.cpp
+++ b/src/program/ConfigurationApi.cpp
@@ -236,7 +236,7 @@
 {
   auto status = AskControl<HostStatus>(
     this->context.control, kReadTimeout, [this](const ControlReply<HostStatus>& aReply) {
-      const ConfigSpread& spread = this->module.Spread();
+      const ConfigDistributor& spread = this->module.Spread();
       const GroupStatus group = this->module.ControlStatus();
       HostStatus status;
       status.host = this->context.settings.host;
@@ -276,7 +276,7 @@
       [this, wanted = Revision(revision.value())](const ControlReply<InForceReport>& aReply) {
         InForceReport made = this->MakeInForceReport(wanted);
         if (!made.missing.empty()) {
-          this->module.Spread().AskAll();
+          this->module.Spread().QueryAllPeers();
         }
         aReply(std::move(made));
       });
@@ -293,7 +293,7 @@
 InForceReport
 ConfigurationApi::MakeInForceReport(Revision aRevision) const
 {
-  const ConfigSpread& spread = this->module.Spread();
+  const ConfigDistributor& spread = this->module.Spread();
   InForceReport report;
   report.revision = aRevision;
   for (const PeerSettings& peer : this->context.settings.peers) {
--- a/src/program/ConfigurationFeed.cpp
+++ b/src/program/ConfigurationFeed.cpp
@@ -29,9 +29,9 @@
 }
 
 void
-ConfigurationFeed::OnPicture(const HostId& aFrom, const Picture& aPicture)
+ConfigurationFeed::OnPicture(const HostId& aFrom, const ServingUpdate& aPicture)
 {
-  this->fetch.OnAnnounced(aFrom, aPicture.documentVersion);
+  this->fetch.OnVersionAnnounced(aFrom, aPicture.documentVersion);
   this->Step();
 }
 
@@ -43,13 +43,13 @@
 }
 
 void
-ConfigurationFeed::OnPiece(const HostId& aFrom, const DocumentPiece& aPiece)
+ConfigurationFeed::OnPiece(const HostId& aFrom, const DocumentChunk& aPiece)
 {
   if (this->reading) {
     // Late, of the transfer that is being read.
     return;
   }
-  if (std::optional<FetchedDocument> fetched = this->fetch.OnPiece(aFrom, aPiece)) {
+  if (std::optional<FetchedDocument> fetched = this->fetch.OnChunk(aFrom, aPiece)) {
     this->StartReading(aFrom, std::move(*fetched));
   }
   this->Step();
@@ -98,7 +98,7 @@
       .With("base", transfer.base)
       .With("from", aReading.from)
       .With("error", aReading.routes.error());
-    this->fetch.OnRefused(transfer);
+    this->fetch.OnUnpackFailed(transfer);
     this->Step();
     return;
   }
@@ -112,7 +112,7 @@
     .With("since_announced_ms", WholeMilliseconds(since))
     .With("read_ms", WholeMilliseconds(aReading.took));
   this->document = aReading.document;
-  this->fetch.OnHeld(transfer.version);
+  this->fetch.OnVersionInstalled(transfer.version);
   this->picture.PutInForce(std::move(aReading.routes.value()));
   this->metrics.Add(Counter::ConfigChanges, MetricKey{}, 1);
   this->metrics.Observe(Sample::ConfigSpread, MetricKey{}, since);
@@ -126,11 +126,11 @@
   if (this->reading) {
     return;
   }
-  const std::optional<DocumentAsk> ask = this->fetch.Next();
+  const std::optional<OutgoingDocumentRequest> ask = this->fetch.Next();
   if (!ask) {
     return;
   }
-  const DocumentQuestion& question = ask->question;
+  const DocumentRequest& question = ask->question;
   // Not for each piece: a transfer that goes on as it began needs no line.
   if (question.offset == 0 || ask->silent) {
     LogEvent(LogLevel::Info, "configuration_asked")
--- a/src/program/ConfigurationFeed.h
+++ b/src/program/ConfigurationFeed.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "EntryPicture.h"
-#include "damasklink/coordination/DocumentFetch.h"
+#include "damasklink/coordination/DocumentFetcher.h"
 #include "damasklink/state/Metrics.h"
 #include "damasklink/transport/EventLoop.h"
 #include "damasklink/transport/PeerNetwork.h"
@@ -28,10 +28,10 @@
                     std::function<void()> aInForce);
 
   // A control host told a picture.
-  void OnPicture(const HostId& aFrom, const Picture& aPicture);
+  void OnPicture(const HostId& aFrom, const ServingUpdate& aPicture);
 
   // A control host answered.
-  void OnPiece(const HostId& aFrom, const DocumentPiece& aPiece);
+  void OnPiece(const HostId& aFrom, const DocumentChunk& aPiece);
 
   void OnLost(const HostId& aHost);
 
@@ -67,7 +67,7 @@
   PeerSender& peers;
   Metrics& metrics;
   std::function<void()> inForce;
-  DocumentFetch fetch;
+  DocumentFetcher fetch;
   // What is in force, for the next version to be unpacked against.
   TextPtr document;
   // While one is read nothing is asked for: the next one is packed against it.
--- a/src/program/ConfigurationModule.h
+++ b/src/program/ConfigurationModule.h
@@ -6,7 +6,7 @@
 #include "HostContext.h"
 #include "TreeKeeper.h"
 #include "damasklink/coordination/CallerIndex.h"
-#include "damasklink/coordination/ConfigMachine.h"
+#include "damasklink/coordination/ConfigStateMachine.h"
 #include "damasklink/coordination/Replication.h"
 
 namespace damasklink {
@@ -15,7 +15,7 @@
 // what the replicator does before the loop starts.
 class ConfigurationModule final
   : public ControlModule
-  , public ConfigListener
+  , public CommittedTreeObserver
 {
 public:
   ConfigurationModule(const HostContext& aContext,
@@ -42,8 +42,8 @@
                    std::size_t aMost,
                    std::function<void(Result<std::vector<HistoryEntry>>)> aDone);
 
-  ConfigSpread& Spread() { return this->spread; }
-  const ConfigSpread& Spread() const { return this->spread; }
+  ConfigDistributor& Spread() { return this->spread; }
+  const ConfigDistributor& Spread() const { return this->spread; }
   GroupStatus ControlStatus() const { return this->groups.Status(ControlGroupId()); }
 
 private:
@@ -55,8 +55,8 @@
   const HostContext& context;
   Replicator& groups;
   CallerIndex index;
-  ConfigSpread spread;
-  ConfigMachine machine;
+  ConfigDistributor spread;
+  ConfigStateMachine machine;
   std::optional<RevisionedTree> initialTree;
   // Null on a host without a disk.
   std::unique_ptr<TreeKeeper> keeper;
--- a/src/program/ControlCalls.cpp
+++ b/src/program/ControlCalls.cpp
@@ -157,7 +157,7 @@
 }
 
 HttpAnswerMessage
-ControlCalls::AnswerCommit(const Result<ServingStanding>& aStanding) const
+ControlCalls::AnswerCommit(const Result<ServingCommandResult>& aStanding) const
 {
   return aStanding ? this->dialect.Acknowledgement()
                    : this->dialect.ControlFailure(aStanding.error());
@@ -193,7 +193,7 @@
 Awaitable<HttpAnswerMessage>
 ControlCalls::TakeWeights(const WeightsNamed& aNamed)
 {
-  const ServingCommand command = NameWeights{ aNamed.model, aNamed.version };
+  const ServingCommand command = SetWeightVersion{ aNamed.model, aNamed.version };
   auto standing = co_await this->group.Commit(command);
   LogEvent(LogLevel::Info, standing ? "weights_acknowledged" : "weights_not_committed")
     .With("model", aNamed.model)
@@ -245,9 +245,9 @@
 Awaitable<HttpAnswerMessage>
 ControlCalls::AnswerQuestion()
 {
-  const ServingMachine& state = this->group.State();
+  const ServingStateMachine& state = this->group.State();
   if (!this->group.HoldsLease()) {
-    const ServingCommand command = ReadMarker{};
+    const ServingCommand command = ReadBarrier{};
     auto standing = co_await this->group.Commit(command);
     if (!standing) {
       co_return this->dialect.ControlFailure(standing.error());
--- a/src/program/ControlCalls.h
+++ b/src/program/ControlCalls.h
@@ -40,7 +40,7 @@
   HttpAnswerMessage TakeHeartbeat(const TargetHeartbeat& aHeartbeat);
   HttpAnswerMessage TakeDeparture(const TargetDeparture& aDeparture);
   HttpAnswerMessage AnswerTarget() const;
-  HttpAnswerMessage AnswerCommit(const Result<ServingStanding>& aStanding) const;
+  HttpAnswerMessage AnswerCommit(const Result<ServingCommandResult>& aStanding) const;
 
   const Clock& clock;
   const ServingSettings& settings;
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -10,7 +10,7 @@
 #include "StoreWatcher.h"
 #include "WeightsDesk.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
-#include "damasklink/coordination/SettledWeights.h"
+#include "damasklink/coordination/StableWeightVersions.h"
 #include "damasklink/protocol/ServingCodec.h"
 #include "damasklink/state/MetricsRegistry.h"
 #include "damasklink/transport/ChannelListener.h"
@@ -139,7 +139,7 @@
   ControlPicture picture;
   StoreWatcher stores;
   WeightsDesk weights;
-  SettledWeights settled{ this->clock, kSettling };
+  StableWeightVersions settled{ this->clock, kSettling };
   HostRoster roster{ this->settings.host, this->settings.zone };
   CrashLedger crashes{ this->clock };
   RefusalDesk refusals{ this->loop, this->group, this->crashes };
@@ -179,9 +179,9 @@
     return;
   }
   this->nextFreeing = this->clock.MonotonicNow() + kFreeInterval;
-  this->settled.Note(this->picture.RemainingEngines());
+  this->settled.Update(this->picture.RemainingEngines());
   if (this->group.HoldsLease()) {
-    this->stores.FreeUnused(this->settled.Least());
+    this->stores.FreeUnused(this->settled.MinimumVersions());
   }
 }
 
@@ -297,7 +297,7 @@
 void
 ControlHost::Impl::PushDocument()
 {
-  const ServingMachine& state = this->group.State();
+  const ServingStateMachine& state = this->group.State();
   LogEvent(LogLevel::Info, "configuration_applied")
     .With("version", state.Version())
     .With("entry_hosts", this->roster.EntryHosts().size());
@@ -323,7 +323,7 @@
   }
   this->stores.Follow(config.value().services);
   std::set<ServiceName> services;
-  std::map<ServiceName, ColdTraits> cold;
+  std::map<ServiceName, ColdStartSpec> cold;
   for (const ServingService& service : config.value().services) {
     services.insert(service.name);
     if (service.cold) {
@@ -411,14 +411,14 @@
 {
   if (const auto* greeting = std::get_if<Greeting>(&aMessage)) {
     this->TakeGreeting(aPeer, *greeting);
-  } else if (const auto* news = std::get_if<SendsNews>(&aMessage)) {
+  } else if (const auto* news = std::get_if<LoadReport>(&aMessage)) {
     this->teller.TakeSends(aPeer, *news);
-  } else if (const auto* question = std::get_if<DocumentQuestion>(&aMessage)) {
+  } else if (const auto* question = std::get_if<DocumentRequest>(&aMessage)) {
     this->teller.Answer(aPeer, *question);
   } else if (const auto* list = std::get_if<EntryHostList>(&aMessage)) {
     this->roster.TakeList(aPeer, *list);
-  } else if (const auto* told = std::get_if<Picture>(&aMessage)) {
-    for (const TargetStatement& statement : told->targets) {
+  } else if (const auto* told = std::get_if<ServingUpdate>(&aMessage)) {
+    for (const TargetUpdate& statement : told->targets) {
       this->picture.HearSecondHand(statement.record);
     }
   }
--- a/src/program/ControlPicture.cpp
+++ b/src/program/ControlPicture.cpp
@@ -88,10 +88,10 @@
   }
 }
 
-TargetStatement
+TargetUpdate
 ControlPicture::StatementOn(const TargetRecord& aRecord) const
 {
-  TargetStatement statement;
+  TargetUpdate statement;
   statement.record = aRecord;
   statement.paused = this->paused.contains(aRecord.id);
   for (ServedModel& served : statement.record.models) {
@@ -101,9 +101,9 @@
     }
   }
   if (aRecord.leaving) {
-    statement.standing = TargetStanding::Leaving;
+    statement.standing = TargetAvailability::Leaving;
   } else if (!this->registry.IsUsable(aRecord.id)) {
-    statement.standing = TargetStanding::Silent;
+    statement.standing = TargetAvailability::Silent;
   }
   return statement;
 }
@@ -119,8 +119,8 @@
     if (record == nullptr) {
       continue;
     }
-    TargetStatement statement = this->StatementOn(*record);
-    TargetStatement& before = this->stated[target];
+    TargetUpdate statement = this->StatementOn(*record);
+    TargetUpdate& before = this->stated[target];
     // A heartbeat that says the same again is no news to an entry host.
     before.record.sequence = record->sequence;
     before.record.load = record->load;
@@ -141,11 +141,11 @@
   }
 }
 
-std::vector<TargetStatement>
+std::vector<TargetUpdate>
 ControlPicture::TakeChanges()
 {
   this->FindChanges();
-  std::vector<TargetStatement> changes;
+  std::vector<TargetUpdate> changes;
   for (const TargetId& target : std::exchange(this->untold, {})) {
     changes.push_back(this->stated.at(target));
   }
@@ -186,10 +186,10 @@
     if (statement.record.kind != TargetKind::Engine) {
       continue;
     }
-    if (statement.standing == TargetStanding::Usable) {
+    if (statement.standing == TargetAvailability::Usable) {
       this->usableEngines.push_back(statement.record);
     }
-    if (statement.standing != TargetStanding::Leaving) {
+    if (statement.standing != TargetAvailability::Leaving) {
       this->remainingEngines.push_back(statement.record);
     }
   }
@@ -223,20 +223,20 @@
   this->reported = aReported;
 }
 
-std::vector<TargetStatement>
+std::vector<TargetUpdate>
 ControlPicture::TakeNews()
 {
-  std::vector<TargetStatement> statements;
+  std::vector<TargetUpdate> statements;
   for (const auto& [id, record] : std::exchange(this->news, {})) {
     statements.push_back(this->StatementOn(record));
   }
   return statements;
 }
 
-std::vector<TargetStatement>
+std::vector<TargetUpdate>
 ControlPicture::All() const
 {
-  std::vector<TargetStatement> statements;
+  std::vector<TargetUpdate> statements;
   for (const TargetRecord& record : this->registry.All()) {
     statements.push_back(this->StatementOn(record));
   }
--- a/src/program/ControlPicture.h
+++ b/src/program/ControlPicture.h
@@ -9,7 +9,7 @@
 
 #include "damasklink/coordination/LimitBook.h"
 #include "damasklink/coordination/ServingConfig.h"
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/coordination/TargetRegistry.h"
 
 namespace damasklink {
@@ -40,7 +40,7 @@
   void SetServices(std::set<ServiceName> aServices) { this->services = std::move(aServices); }
 
   // Takes the services whose targets bear only a few requests while they are cold.
-  void SetColdTraits(std::map<ServiceName, ColdTraits> aTraits)
+  void SetColdTraits(std::map<ServiceName, ColdStartSpec> aTraits)
   {
     this->coldTraits = std::move(aTraits);
   }
@@ -54,13 +54,13 @@
 
   // Returns the statements that differ from what TakeChanges() returned before. Requires to be
   // called now and then, since silence is a change too. Costs little where nothing has changed.
-  std::vector<TargetStatement> TakeChanges();
+  std::vector<TargetUpdate> TakeChanges();
 
   // Returns the records that were heard directly since the last call.
-  std::vector<TargetStatement> TakeNews();
+  std::vector<TargetUpdate> TakeNews();
 
   // Returns the statements on all targets.
-  std::vector<TargetStatement> All() const;
+  std::vector<TargetUpdate> All() const;
 
   // Rises whenever anything has changed that TakeChanges() tells.
   std::uint64_t ChangeCount();
@@ -81,7 +81,7 @@
   const TargetRegistry& Registry() const { return this->registry; }
 
 private:
-  TargetStatement StatementOn(const TargetRecord& aRecord) const;
+  TargetUpdate StatementOn(const TargetRecord& aRecord) const;
   bool Merge(const TargetRecord& aRecord);
   void NoteCold(const TargetRecord& aRecord, Duration aColdFor);
   void FindChanges();
@@ -89,7 +89,7 @@
 
   TargetRegistry registry;
   std::optional<std::set<ServiceName>> services;
-  std::map<ServiceName, ColdTraits> coldTraits;
+  std::map<ServiceName, ColdStartSpec> coldTraits;
   std::vector<ColdTarget> cold;
   std::set<TargetId> paused;
   std::map<std::pair<TargetId, ModelName>, std::uint64_t> reported;
@@ -97,7 +97,7 @@
   // what these do, not what all targets would.
   std::set<TargetId> touched;
   // As of the last look for changes.
-  std::map<TargetId, TargetStatement> stated;
+  std::map<TargetId, TargetUpdate> stated;
   std::uint64_t changeCount = 0;
   // Those that have changed since they were told.
   std::set<TargetId> untold;
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -10,7 +10,7 @@
 #include "Exchange.h"
 #include "MetricsPage.h"
 #include "damasklink/coordination/ControlLinks.h"
-#include "damasklink/coordination/HubChoice.h"
+#include "damasklink/coordination/HubSelector.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
 #include "damasklink/protocol/ServingCodec.h"
 #include "damasklink/state/MetricsRegistry.h"
@@ -125,15 +125,15 @@
   std::vector<HubCandidate> HubCandidates() const;
   void ShareSends();
   void TellWhatChanged(bool aHubIsNew);
-  void TellSends(const HostId& aTo, const SendsNews& aNews);
+  void TellSends(const HostId& aTo, const LoadReport& aNews);
   void KnowSeeds(const std::vector<HostId>& aSeeds);
   void KeepControlLinks();
-  void TakePicture(const HostId& aPeer, const Picture& aTold);
-  void TakeLimits(const SendsNews& aNews);
-  std::optional<ColdTraits> ColdTraitsOf(const ServiceName& aService) const;
-  void TakeCold(const std::vector<TargetStatement>& aTold);
+  void TakePicture(const HostId& aPeer, const ServingUpdate& aTold);
+  void TakeLimits(const LoadReport& aNews);
+  std::optional<ColdStartSpec> ColdTraitsOf(const ServiceName& aService) const;
+  void TakeCold(const std::vector<TargetUpdate>& aTold);
   void FollowEvacuations();
-  void ProveEnds(const Picture& aTold);
+  void ProveEnds(const ServingUpdate& aTold);
   void ReportEnded(const std::vector<CrashReport>& aReports, std::string_view aProof);
   void TakeCrashing(const HostId& aPeer, const CrashingRequests& aTold);
   void NoteReady();
@@ -150,7 +150,7 @@
   FirstConfiguration firstConfiguration;
   RetryShares retries;
   TargetHealth health;
-  ZoneReach reach;
+  ZoneReachability reach;
   TargetPicker picker;
   TargetChannelPool pool;
   StorePace pace;
@@ -172,7 +172,7 @@
   Channels open;
   ControlLinks links{ this->settings.host, this->settings.zone };
   // The control host that is told what this host has where.
-  HubChoice hub{ this->clock, this->settings.zone };
+  HubSelector hub{ this->clock, this->settings.zone };
   bool wasReady = false;
 };
 
@@ -359,7 +359,7 @@
   const bool changed = chosen != before;
   if (changed && before && this->picture.HasSpoken(*before)) {
     // It must not count this host any more, should the connection stand yet.
-    SendsNews farewell;
+    LoadReport farewell;
     farewell.host = this->settings.host;
     farewell.last = true;
     this->TellSends(*before, farewell);
@@ -390,7 +390,7 @@
 EntryHost::Impl::TellWhatChanged(bool aHubIsNew)
 {
   // Taken in any case: without a hub it would pile up, and the next one is told all anew.
-  SendsNews news;
+  LoadReport news;
   news.host = this->settings.host;
   news.urgent = this->picker.HasUrgentSends();
   news.sends = this->picker.TakeSends();
@@ -404,13 +404,13 @@
   if (this->hub.Hub() && (aHubIsNew || anything)) {
     this->TellSends(*this->hub.Hub(), news);
     if (!news.sends.empty()) {
-      this->hub.OnTold();
+      this->hub.OnReportSent();
     }
   }
 }
 
 void
-EntryHost::Impl::TellSends(const HostId& aTo, const SendsNews& aNews)
+EntryHost::Impl::TellSends(const HostId& aTo, const LoadReport& aNews)
 {
   this->mesh.Send(aTo, PeerMessage{ Channel::Serving, GroupId(), EncodeServingMessage(aNews) });
 }
@@ -466,7 +466,7 @@
 void
 EntryHost::Impl::OnPeerMessage(const HostId& aPeer, PeerMessage aMessage)
 {
-  this->hub.OnHeard(aPeer);
+  this->hub.OnMessageFrom(aPeer);
   auto message = DecodeServingMessage(aMessage.payload);
   if (!message) {
     LogEvent(LogLevel::Warning, "picture_refused")
@@ -474,7 +474,7 @@
       .With("error", message.error());
     return;
   }
-  if (const auto* news = std::get_if<SendsNews>(&message.value())) {
+  if (const auto* news = std::get_if<LoadReport>(&message.value())) {
     // The totals of two control hosts speak of the same calls.
     if (this->hub.Hub() == aPeer) {
       this->picker.TakeSum(*news, this->clock.MonotonicNow());
@@ -484,17 +484,17 @@
     this->health.Take(news->findings);
     return;
   }
-  if (const auto* piece = std::get_if<DocumentPiece>(&message.value())) {
+  if (const auto* piece = std::get_if<DocumentChunk>(&message.value())) {
     this->configuration.OnPiece(aPeer, *piece);
     return;
   }
-  if (const auto* told = std::get_if<Picture>(&message.value())) {
+  if (const auto* told = std::get_if<ServingUpdate>(&message.value())) {
     this->TakePicture(aPeer, *told);
   }
 }
 
 void
-EntryHost::Impl::TakePicture(const HostId& aPeer, const Picture& aTold)
+EntryHost::Impl::TakePicture(const HostId& aPeer, const ServingUpdate& aTold)
 {
   const bool wasGood = this->picture.IsGood(aPeer);
   this->picture.Take(aPeer, aTold);
@@ -525,14 +525,15 @@
 // Finds out from the picture which targets had ended when their answers broke off. Where most of a
 // zone falls silent at once, that is no word of its targets.
 void
-EntryHost::Impl::ProveEnds(const Picture& aTold)
+EntryHost::Impl::ProveEnds(const ServingUpdate& aTold)
 {
   for (const TargetRecord& target : this->picture.Targets().TakeAppeared()) {
     this->ReportEnded(this->broken.TakeEndedBy(target), "replaced");
   }
-  for (const TargetStatement& statement : aTold.targets) {
+  for (const TargetUpdate& statement : aTold.targets) {
     const TargetRecord& record = statement.record;
-    const bool ended = statement.standing == TargetStanding::Silent && !this->broken.IsEmpty() &&
+    const bool ended = statement.standing == TargetAvailability::Silent &&
+                       !this->broken.IsEmpty() &&
                        !this->picture.Targets().IsMostlySilent(record.zone);
     if (ended) {
       this->ReportEnded(this->broken.TakeSilent(record), "silent");
@@ -554,7 +555,7 @@
 }
 
 // Nothing where a cold target of the service bears as much as a warm one.
-std::optional<ColdTraits>
+std::optional<ColdStartSpec>
 EntryHost::Impl::ColdTraitsOf(const ServiceName& aService) const
 {
   const RoutesPtr& routes = this->picture.Routes();
@@ -564,10 +565,10 @@
 }
 
 void
-EntryHost::Impl::TakeCold(const std::vector<TargetStatement>& aTold)
+EntryHost::Impl::TakeCold(const std::vector<TargetUpdate>& aTold)
 {
   const bool unconfigured = this->picture.Routes() == nullptr;
-  for (const TargetStatement& statement : aTold) {
+  for (const TargetUpdate& statement : aTold) {
     const TargetRecord& record = statement.record;
     if (record.coldFor <= Duration::zero()) {
       continue;
@@ -596,7 +597,7 @@
   }
   for (const ZoneId& zone : this->picture.TakeReturned()) {
     for (const TargetRecord& target : this->picture.Targets().InZone(zone)) {
-      if (const std::optional<ColdTraits> cold = this->ColdTraitsOf(target.service)) {
+      if (const std::optional<ColdStartSpec> cold = this->ColdTraitsOf(target.service)) {
         this->limits.OnCold(target, cold->lasts);
       }
     }
@@ -605,7 +606,7 @@
 }
 
 void
-EntryHost::Impl::TakeLimits(const SendsNews& aNews)
+EntryHost::Impl::TakeLimits(const LoadReport& aNews)
 {
   if (!aNews.limits) {
     return;
--- a/src/program/EntryPicture.cpp
+++ b/src/program/EntryPicture.cpp
@@ -20,7 +20,7 @@
 }
 
 void
-EntryPicture::Take(const HostId& aFrom, const Picture& aPicture)
+EntryPicture::Take(const HostId& aFrom, const ServingUpdate& aPicture)
 {
   if (this->connected.contains(aFrom) && this->spoken.insert(aFrom).second) {
     this->targets.OnLink(aFrom, true);
@@ -36,7 +36,7 @@
         .With("from", aFrom);
     }
   }
-  for (const TargetStatement& statement : aPicture.targets) {
+  for (const TargetUpdate& statement : aPicture.targets) {
     this->targets.Take(aFrom, statement);
     LogEvent(LogLevel::Debug, "target_stated")
       .With("target", statement.record.id)
@@ -48,7 +48,7 @@
     this->TakeEvacuated(aFrom, *aPicture.evacuated);
   }
   if (aFrom == this->hub) {
-    for (const StoreStatement& statement : aPicture.stores) {
+    for (const StoreUpdate& statement : aPicture.stores) {
       this->stored.Take(statement);
     }
   }
--- a/src/program/EntryPicture.h
+++ b/src/program/EntryPicture.h
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "damasklink/coordination/RouteTable.h"
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/coordination/StoredParts.h"
 #include "damasklink/coordination/TargetBoard.h"
 #include "damasklink/protocol/ServingDialect.h"
@@ -34,7 +34,7 @@
   }
 
   // Takes what a control host told.
-  void Take(const HostId& aFrom, const Picture& aPicture);
+  void Take(const HostId& aFrom, const ServingUpdate& aPicture);
 
   // Puts the configuration in force unless a newer one is.
   void PutInForce(RoutesPtr aRoutes);
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -131,15 +131,16 @@
 Exchange::FindHomes()
 {
   static const std::vector<RegionId> kAnywhere;
-  const bool bound =
-    !this->route->homes.empty() || (this->workspace != nullptr && !this->workspace->homes.empty());
+  const bool bound = !this->route->allowedRegions.empty() ||
+                     (this->workspace != nullptr && !this->workspace->allowedRegions.empty());
   if (!bound) {
     return std::nullopt;
   }
-  this->homes = HomeRegions(this->route->homes,
-                            this->workspace == nullptr ? kAnywhere : this->workspace->homes,
-                            this->context.settings.regions);
-  if (this->homes.AllowsNothing()) {
+  this->homes =
+    RegionRestriction(this->route->allowedRegions,
+                      this->workspace == nullptr ? kAnywhere : this->workspace->allowedRegions,
+                      this->context.settings.regions);
+  if (this->homes.AllowsNoZone()) {
     return Refusal(ErrorKind::NotPermitted,
                    "the route and the workspace have no home region in common",
                    "use another route, or ask the operator for a common region");
--- a/src/program/ExchangeChoice.cpp
+++ b/src/program/ExchangeChoice.cpp
@@ -102,7 +102,7 @@
 Exchange::Targets()
 {
   const std::vector<TargetRecord>& usable = this->context.picture.Targets().Usable(this->service);
-  if (!this->homes.Binds()) {
+  if (!this->homes.IsRestricted()) {
     return usable;
   }
   this->atHome.clear();
--- a/src/program/ExchangeRecord.cpp
+++ b/src/program/ExchangeRecord.cpp
@@ -25,9 +25,9 @@
     this->context.reach.OnBytes(aTarget.zone);
     return;
   }
-  const bool before = this->context.reach.IsOut(aTarget.zone);
+  const bool before = this->context.reach.IsUnreachable(aTarget.zone);
   this->context.reach.OnEnd(aTarget.zone, aTarget.id, aSign);
-  if (!before && this->context.reach.IsOut(aTarget.zone)) {
+  if (!before && this->context.reach.IsUnreachable(aTarget.zone)) {
     LogEvent(LogLevel::Warning, "zone_out_of_reach")
       .With("zone", aTarget.zone)
       .With("target", aTarget.id)
@@ -115,7 +115,7 @@
 Exchange::NoteSound()
 {
   if (this->ranWell && this->context.crashes.IsActive()) {
-    this->context.crashes.OnSound(SoundRun{ this->Fingerprint(), this->service });
+    this->context.crashes.OnSound(SuccessfulRun{ this->Fingerprint(), this->service });
   }
 }
 
--- a/src/program/MembershipModule.cpp
+++ b/src/program/MembershipModule.cpp
@@ -7,7 +7,7 @@
 
 MembershipModule::MembershipModule(const HostContext& aContext,
                                    HostMembership& aMembership,
-                                   ConfigSpread& aSpread)
+                                   ConfigDistributor& aSpread)
   : context(aContext)
   , membership(aMembership)
   , spread(aSpread)
--- a/src/program/MembershipModule.h
+++ b/src/program/MembershipModule.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "HostContext.h"
-#include "damasklink/coordination/ConfigSpread.h"
+#include "damasklink/coordination/ConfigDistributor.h"
 
 namespace damasklink {
 
@@ -10,7 +10,9 @@
 class MembershipModule final : public ControlModule
 {
 public:
-  MembershipModule(const HostContext& aContext, HostMembership& aMembership, ConfigSpread& aSpread);
+  MembershipModule(const HostContext& aContext,
+                   HostMembership& aMembership,
+                   ConfigDistributor& aSpread);
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage) override;
   void OnTick(MonotonicTime aNow) override;
@@ -22,7 +24,7 @@
 
   const HostContext& context;
   HostMembership& membership;
-  ConfigSpread& spread;
+  ConfigDistributor& spread;
 };
 
 } // namespace damasklink
--- a/src/program/OrdersModule.cpp
+++ b/src/program/OrdersModule.cpp
@@ -38,7 +38,7 @@
 
 OrdersModule::OrdersModule(const HostContext& aContext,
                            Replicator& aGroups,
-                           const ConfigSpread& aSpread,
+                           const ConfigDistributor& aSpread,
                            const TargetRegistry& aTargets)
   : context(aContext)
   , groups(aGroups)
--- a/src/program/OrdersModule.h
+++ b/src/program/OrdersModule.h
@@ -3,7 +3,7 @@
 
 #include "HostContext.h"
 #include "OrderSender.h"
-#include "damasklink/coordination/ConfigSpread.h"
+#include "damasklink/coordination/ConfigDistributor.h"
 #include "damasklink/coordination/Replication.h"
 #include "damasklink/protocol/OperatorApi.h"
 
@@ -15,7 +15,7 @@
 public:
   OrdersModule(const HostContext& aContext,
                Replicator& aGroups,
-               const ConfigSpread& aSpread,
+               const ConfigDistributor& aSpread,
                const TargetRegistry& aTargets);
 
   void Start() { this->sender.Start(); }
@@ -33,7 +33,7 @@
 
   const HostContext& context;
   Replicator& groups;
-  const ConfigSpread& spread;
+  const ConfigDistributor& spread;
   const TargetRegistry& targets;
   OrdersMachine machine;
   TargetOrders orders;
--- a/src/program/PictureTeller.cpp
+++ b/src/program/PictureTeller.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kRosterGathers = std::chrono::milliseconds(1000);
 
 bool
-HasAnything(const SendsNews& aNews)
+HasAnything(const LoadReport& aNews)
 {
   return !aNews.sends.empty() || !aNews.excesses.empty() || !aNews.findings.empty() ||
          !aNews.crashes.empty() || !aNews.sound.empty() || !aNews.limitReports.empty() ||
@@ -53,7 +53,7 @@
 PictureTeller::TellChanges()
 {
   const WorkTimer timer(this->account, Work::Pictures);
-  Picture changes = this->BarePicture();
+  ServingUpdate changes = this->BarePicture();
   changes.targets = this->picture.TakeChanges();
   changes.entryHosts = this->roster.CountEntryHosts();
   const bool named = this->roster.TakeControlHostsChanged();
@@ -77,7 +77,7 @@
   if (this->roster.TakeEntryHostsChanged()) {
     this->TellControlHosts(Work::Hosts, this->roster.OwnList());
   }
-  Picture news;
+  ServingUpdate news;
   news.targets = this->picture.TakeNews();
   if (!news.targets.empty()) {
     this->TellControlHosts(Work::Pictures, news);
@@ -85,19 +85,19 @@
 }
 
 // What stands in every picture.
-Picture
+ServingUpdate
 PictureTeller::BarePicture() const
 {
-  Picture bare;
+  ServingUpdate bare;
   bare.documentVersion = this->group.State().Version();
   bare.isolated = !this->group.HearsLeader();
   return bare;
 }
 
-Picture
+ServingUpdate
 PictureTeller::BasePicture() const
 {
-  Picture base = this->BarePicture();
+  ServingUpdate base = this->BarePicture();
   base.weights = this->group.State().Weights();
   base.entryHosts = this->roster.CountEntryHosts();
   base.controlHosts = this->roster.AllControlHosts();
@@ -113,7 +113,7 @@
 {
   const WorkTimer timer(this->account, Work::Pictures);
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
-  Picture standing = this->BarePicture();
+  ServingUpdate standing = this->BarePicture();
   if (this->toldWeights != this->group.State().Weights()) {
     this->toldWeights = this->group.State().Weights();
     standing.weights = this->toldWeights;
@@ -127,19 +127,19 @@
 }
 
 void
-PictureTeller::Answer(const HostId& aEntryHost, const DocumentQuestion& aQuestion)
+PictureTeller::Answer(const HostId& aEntryHost, const DocumentRequest& aQuestion)
 {
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
-  if (const std::optional<DocumentPiece> piece = this->document.Answer(aQuestion)) {
+  if (const std::optional<DocumentChunk> piece = this->document.Answer(aQuestion)) {
     this->Tell(Work::Documents, aEntryHost, *piece);
   }
 }
 
 void
-PictureTeller::TellStores(const std::vector<StoreStatement>& aStatements)
+PictureTeller::TellStores(const std::vector<StoreUpdate>& aStatements)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
-  Picture told = this->BarePicture();
+  ServingUpdate told = this->BarePicture();
   told.stores = aStatements;
   this->TellTellers(Work::StoredParts, told);
 }
@@ -159,7 +159,7 @@
 void
 PictureTeller::TellAllReports(const HostId& aControlHost)
 {
-  SendsNews news;
+  LoadReport news;
   news.host = this->settings.host;
   news.crashes = this->crashes.All();
   news.limitReports = this->limits.All();
@@ -181,11 +181,11 @@
 PictureTeller::TellAllTargets(const HostId& aHost)
 {
   const WorkTimer timer(this->account, Work::Pictures);
-  const Picture base = this->BarePicture();
+  const ServingUpdate base = this->BarePicture();
   const std::uint64_t revision = this->picture.ChangeCount();
   const bool current = base == this->allTargetsBase && revision == this->allTargetsRevision;
   if (!current || this->allTargets.empty()) {
-    Picture all = base;
+    ServingUpdate all = base;
     all.targets = this->picture.All();
     this->allTargets = EncodePacked(all);
     this->allTargetsBase = base;
@@ -200,13 +200,13 @@
 PictureTeller::TellAllStores(const HostId& aEntryHost)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
-  Picture told = this->BarePicture();
+  ServingUpdate told = this->BarePicture();
   told.stores = this->stores.All();
   this->Tell(Work::StoredParts, aEntryHost, told);
 }
 
 void
-PictureTeller::TakeSends(const HostId& aFrom, const SendsNews& aNews)
+PictureTeller::TakeSends(const HostId& aFrom, const LoadReport& aNews)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const bool ofOwnHost = this->roster.EntryHosts().contains(aFrom);
@@ -219,7 +219,7 @@
     this->sends.Take(aNews, now);
     if (!known && this->sends.Tellers().contains(aFrom)) {
       this->TellAllStores(aFrom);
-      SendsNews totals = this->sends.AllTotals(this->settings.host);
+      LoadReport totals = this->sends.AllTotals(this->settings.host);
       totals.limits = this->LimitShares();
       this->Tell(Work::Totals, aFrom, totals);
     }
@@ -230,7 +230,7 @@
 }
 
 void
-PictureTeller::TakeCrashes(const SendsNews& aNews, bool aOfOwnHost)
+PictureTeller::TakeCrashes(const LoadReport& aNews, bool aOfOwnHost)
 {
   this->crashes.Take(aNews.crashes);
   this->crashes.TakeSound(aNews.sound);
@@ -242,7 +242,7 @@
 }
 
 void
-PictureTeller::TakeLimits(const SendsNews& aNews, bool aOfOwnHost)
+PictureTeller::TakeLimits(const LoadReport& aNews, bool aOfOwnHost)
 {
   this->limits.Take(aNews.limitReports);
   if (aOfOwnHost) {
@@ -263,7 +263,7 @@
 PictureTeller::TellLimits()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  this->recentHosts.Note(this->roster.AllEntryHosts(), now);
+  this->recentHosts.Update(this->roster.AllEntryHosts(), now);
   for (const ColdTarget& cold : this->picture.TakeCold()) {
     this->limits.TakeCold(cold, now);
   }
@@ -289,7 +289,7 @@
       .With("hosts", limit.hosts.size())
       .With("share_per_second", limit.share.perSecond);
   }
-  SendsNews news;
+  LoadReport news;
   news.host = this->settings.host;
   news.limits = this->toldLimits;
   const std::string payload = EncodePacked(news);
@@ -320,7 +320,7 @@
 {
   const WorkTimer timer(this->account, Work::Loads);
   this->sends.ForgetSumsBefore(this->clock.MonotonicNow() - SendsSum::kMemory);
-  SendsNews own = this->sends.TakeChanges(this->settings.host);
+  LoadReport own = this->sends.TakeChanges(this->settings.host);
   own.urgent = std::exchange(this->ownUrgentWaits, false);
   own.crashes = std::exchange(this->untoldCrashes, {});
   own.sound = std::exchange(this->untoldSound, {});
@@ -338,7 +338,7 @@
   const WorkTimer timer(this->account, Work::Totals);
   this->urgentWaits = this->ownUrgentWaits;
   this->toldTotals = this->clock.MonotonicNow();
-  const SendsNews totals = this->sends.TakeTotals(this->settings.host);
+  const LoadReport totals = this->sends.TakeTotals(this->settings.host);
   if (HasAnything(totals)) {
     this->TellTellers(Work::Totals, totals);
   }
--- a/src/program/PictureTeller.h
+++ b/src/program/PictureTeller.h
@@ -11,7 +11,7 @@
 #include "StoreWatcher.h"
 #include "WorkAccount.h"
 #include "damasklink/coordination/CrashLedger.h"
-#include "damasklink/coordination/DocumentSource.h"
+#include "damasklink/coordination/DocumentPublisher.h"
 #include "damasklink/coordination/HostRoster.h"
 #include "damasklink/coordination/LimitBook.h"
 #include "damasklink/coordination/RecentHosts.h"
@@ -42,10 +42,10 @@
   void TellStanding();
 
   // Gives an entry host the next piece of the configuration document.
-  void Answer(const HostId& aEntryHost, const DocumentQuestion& aQuestion);
+  void Answer(const HostId& aEntryHost, const DocumentRequest& aQuestion);
 
   // Tells changes in stores to the entry hosts that listen to this control host for them.
-  void TellStores(const std::vector<StoreStatement>& aStatements);
+  void TellStores(const std::vector<StoreUpdate>& aStatements);
 
   // Tells a control host that was just connected who this one is and what it knows.
   void GreetControlHost(const HostId& aPeer);
@@ -54,7 +54,7 @@
   void TellAll(const HostId& aEntryHost);
 
   // Takes what an entry host has at targets, or the sum of another control host.
-  void TakeSends(const HostId& aFrom, const SendsNews& aNews);
+  void TakeSends(const HostId& aFrom, const LoadReport& aNews);
 
   // Tells the sums of this host to the other control hosts, and the totals to the entry hosts that
   // tell this one what they have.
@@ -67,8 +67,8 @@
   void OnLost(const HostId& aHost) { this->sends.Forget(aHost); }
 
 private:
-  Picture BarePicture() const;
-  Picture BasePicture() const;
+  ServingUpdate BarePicture() const;
+  ServingUpdate BasePicture() const;
   void TellAllStores(const HostId& aEntryHost);
   void TellAllTargets(const HostId& aHost);
   void Tell(Work aWork, const HostId& aTo, const ServingMessage& aMessage);
@@ -78,9 +78,9 @@
   void Send(Work aWork, const HostId& aTo, std::string aPayload);
   void TellTotals();
   void TakeUrgent(bool aOfOwnHosts);
-  void TakeCrashes(const SendsNews& aNews, bool aOfOwnHost);
+  void TakeCrashes(const LoadReport& aNews, bool aOfOwnHost);
   void TellAllReports(const HostId& aControlHost);
-  void TakeLimits(const SendsNews& aNews, bool aOfOwnHost);
+  void TakeLimits(const LoadReport& aNews, bool aOfOwnHost);
   std::vector<TargetLimit> LimitShares() const;
   void TellLimits();
 
@@ -94,7 +94,7 @@
   PeerMesh& mesh;
   WorkAccount& account;
   SendsHub sends;
-  DocumentSource document;
+  DocumentPublisher document;
   // When entry hosts were told totals last.
   MonotonicTime toldTotals;
   // An urgent word of an entry host, or of any host, waits for the next telling.
@@ -103,7 +103,7 @@
   // All targets as they are told to who connects, and what that was made of: hundreds of hosts
   // connect at once, and each is told the same.
   std::string allTargets;
-  Picture allTargetsBase;
+  ServingUpdate allTargetsBase;
   std::uint64_t allTargetsRevision = 0;
   // What entry hosts were told last.
   std::uint64_t toldEntryHosts = 0;
@@ -113,7 +113,7 @@
   CrashingRequests toldCrashing;
   // What own entry hosts reported, for the other control hosts.
   std::vector<CrashReport> untoldCrashes;
-  std::vector<SoundRun> untoldSound;
+  std::vector<SuccessfulRun> untoldSound;
   // Since when this host has heard others tell of entry hosts.
   MonotonicTime startedAt;
   RecentHosts recentHosts;
--- a/src/program/ServingGroup.cpp
+++ b/src/program/ServingGroup.cpp
@@ -117,7 +117,7 @@
   }
 }
 
-Awaitable<Result<ServingStanding>>
+Awaitable<Result<ServingCommandResult>>
 ServingGroup::Commit(const ServingCommand& aCommand)
 {
   const auto answered = std::make_shared<Answered>(this->loop);
@@ -136,7 +136,7 @@
   if (!*answered->result) {
     co_return Fail(answered->result->error());
   }
-  auto standing = DecodeServingStanding(answered->result->value());
+  auto standing = DecodeServingCommandResult(answered->result->value());
   if (standing && !standing.value().understood) {
     co_return Fail(ErrorKind::Internal,
                    "the replicated log did not understand the command",
--- a/src/program/ServingGroup.h
+++ b/src/program/ServingGroup.h
@@ -6,7 +6,7 @@
 
 #include "AgreementModule.h"
 #include "WeightsDesk.h"
-#include "damasklink/coordination/ServingMachine.h"
+#include "damasklink/coordination/ServingStateMachine.h"
 #include "damasklink/state/ServingSettings.h"
 #include "damasklink/transport/EventLoop.h"
 
@@ -32,10 +32,10 @@
 
   // Commits a command and returns what is in force after it. Fails with Unavailable, NotLeader or
   // DeadlineExceeded; after the last it may be committed all the same.
-  Awaitable<Result<ServingStanding>> Commit(const ServingCommand& aCommand);
+  Awaitable<Result<ServingCommandResult>> Commit(const ServingCommand& aCommand);
 
   // What is committed, as far as this host has applied it.
-  const ServingMachine& State() const { return this->machine; }
+  const ServingStateMachine& State() const { return this->machine; }
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage);
   void KnowHost(const HostId& aHost) { this->agreement.KnowHost(aHost); }
@@ -69,7 +69,7 @@
   const Clock& clock;
   const ServingSettings& settings;
   std::function<void()> applied;
-  ServingMachine machine;
+  ServingStateMachine machine;
   AgreementModule agreement;
   std::uint64_t seenChanges = 0;
   // When the data folder is tried again, nothing once it is open.
--- a/src/program/StoreWatcher.cpp
+++ b/src/program/StoreWatcher.cpp
@@ -98,10 +98,10 @@
   this->stores = std::move(followed);
 }
 
-std::vector<StoreStatement>
+std::vector<StoreUpdate>
 StoreWatcher::All() const
 {
-  std::vector<StoreStatement> all;
+  std::vector<StoreUpdate> all;
   for (const auto& [address, store] : this->stores) {
     all.push_back(store->feed.All());
   }
@@ -196,7 +196,7 @@
     }
     LogUnreadableRows(aStore.endpoint, list.value().unreadable);
     aStore.feed.TakeList(list.value(), now);
-    const StoreStatement all = aStore.feed.All();
+    const StoreUpdate all = aStore.feed.All();
     LogEvent(LogLevel::Info, "store_listed")
       .With("store", FormatEndpoint(aStore.endpoint))
       .With("epoch", list.value().epoch)
@@ -250,9 +250,9 @@
 void
 StoreWatcher::TellChanges()
 {
-  std::vector<StoreStatement> statements;
+  std::vector<StoreUpdate> statements;
   for (const auto& [address, store] : this->stores) {
-    if (std::optional<StoreStatement> changes = store->feed.TakeChanges()) {
+    if (std::optional<StoreUpdate> changes = store->feed.TakeChanges()) {
       statements.push_back(std::move(*changes));
     }
   }
--- a/src/program/StoreWatcher.h
+++ b/src/program/StoreWatcher.h
@@ -20,7 +20,7 @@
 public:
   // Called with what has changed of stores since the last call: at once when one is lost or
   // regained, else by TellChanges().
-  using Told = std::function<void(const std::vector<StoreStatement>&)>;
+  using Told = std::function<void(const std::vector<StoreUpdate>&)>;
 
   StoreWatcher(asio::io_context& aLoop,
                const Clock& aClock,
@@ -38,10 +38,10 @@
   void TellChanges();
 
   // Returns the whole of what is known.
-  std::vector<StoreStatement> All() const;
+  std::vector<StoreUpdate> All() const;
 
   // Orders the stores to drop parts that were made by weights older than these, and those whose
-  // writers broke off. Requires that nobody can be reading the former (SettledWeights.h).
+  // writers broke off. Requires that nobody can be reading the former (StableWeightVersions.h).
   void FreeUnused(const std::map<ModelName, std::uint64_t>& aWeights);
 
 private:
--- a/src/program/WorkAccount.cpp
+++ b/src/program/WorkAccount.cpp
@@ -25,11 +25,11 @@
 struct MessageWork
 {
   Work operator()(const Greeting& /*aGreeting*/) const { return Work::Hosts; }
-  Work operator()(const Picture& /*aPicture*/) const { return Work::Pictures; }
-  Work operator()(const SendsNews& /*aNews*/) const { return Work::Loads; }
+  Work operator()(const ServingUpdate& /*aPicture*/) const { return Work::Pictures; }
+  Work operator()(const LoadReport& /*aNews*/) const { return Work::Loads; }
   Work operator()(const EntryHostList& /*aList*/) const { return Work::Hosts; }
-  Work operator()(const DocumentQuestion& /*aQuestion*/) const { return Work::Documents; }
-  Work operator()(const DocumentPiece& /*aPiece*/) const { return Work::Documents; }
+  Work operator()(const DocumentRequest& /*aQuestion*/) const { return Work::Documents; }
+  Work operator()(const DocumentChunk& /*aPiece*/) const { return Work::Documents; }
 };
 
 } // namespace
--- a/src/program/WorkAccount.h
+++ b/src/program/WorkAccount.h
@@ -17,7 +17,7 @@
 #include <optional>
 #include <string_view>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 #include "damasklink/state/Metrics.h"
 
--- a/src/protocol/ConfigWire.cpp
+++ b/src/protocol/ConfigWire.cpp
@@ -47,7 +47,7 @@
   const auto* frame = internal::VerifiedRoot<wire::ConfigFrame>(aBytes);
   const bool known = frame != nullptr &&
                      frame->kind() >= static_cast<std::uint8_t>(ConfigMessageKind::Delta) &&
-                     frame->kind() <= static_cast<std::uint8_t>(ConfigMessageKind::Closed);
+                     frame->kind() <= static_cast<std::uint8_t>(ConfigMessageKind::RingCompleted);
   if (!known) {
     return Fail(internal::UnreadableMessage());
   }
--- a/src/protocol/ServingCodec.cpp
+++ b/src/protocol/ServingCodec.cpp
@@ -14,11 +14,11 @@
 enum class FrameKind : std::uint8_t
 {
   Greeting = 1,
-  Picture = 2,
-  SendsNews = 3,
+  ServingUpdate = 2,
+  LoadReport = 3,
   EntryHostList = 4,
-  DocumentQuestion = 5,
-  DocumentPiece = 6,
+  DocumentRequest = 5,
+  DocumentChunk = 6,
   // Another message, packed.
   Packed = 7,
 };
@@ -60,7 +60,7 @@
 }
 
 std::unique_ptr<wire::TargetRowT>
-RowOf(const TargetStatement& aStatement)
+RowOf(const TargetUpdate& aStatement)
 {
   const TargetRecord& record = aStatement.record;
   auto row = std::make_unique<wire::TargetRowT>();
@@ -85,10 +85,10 @@
 }
 
 bool
-ReadRow(const wire::TargetRowT& aRow, TargetStatement& aTo)
+ReadRow(const wire::TargetRowT& aRow, TargetUpdate& aTo)
 {
-  const bool known = aRow.standing >= static_cast<std::uint8_t>(TargetStanding::Usable) &&
-                     aRow.standing <= static_cast<std::uint8_t>(TargetStanding::Leaving);
+  const bool known = aRow.standing >= static_cast<std::uint8_t>(TargetAvailability::Usable) &&
+                     aRow.standing <= static_cast<std::uint8_t>(TargetAvailability::Leaving);
   if (!known) {
     return false;
   }
@@ -106,8 +106,8 @@
     const WeightVersion version(std::to_string(model->version));
     record.models.push_back(ServedModel{ ModelName(model->model), version, {} });
   }
-  aTo.standing = static_cast<TargetStanding>(aRow.standing);
-  record.leaving = aTo.standing == TargetStanding::Leaving;
+  aTo.standing = static_cast<TargetAvailability>(aRow.standing);
+  record.leaving = aTo.standing == TargetAvailability::Leaving;
   aTo.paused = aRow.paused;
   return true;
 }
@@ -135,7 +135,7 @@
 }
 
 std::unique_ptr<wire::StoreRowT>
-RowOf(const StoreStatement& aStatement)
+RowOf(const StoreUpdate& aStatement)
 {
   auto row = std::make_unique<wire::StoreRowT>();
   row->address = aStatement.store.address;
@@ -150,10 +150,10 @@
   return row;
 }
 
-StoreStatement
+StoreUpdate
 ReadRow(const wire::StoreRowT& aRow)
 {
-  StoreStatement statement;
+  StoreUpdate statement;
   statement.store = Endpoint{ aRow.address, aRow.port };
   statement.live = aRow.live;
   statement.whole = aRow.whole;
@@ -178,7 +178,7 @@
 }
 
 std::unique_ptr<wire::SoundRowT>
-RowOf(const SoundRun& aRun)
+RowOf(const SuccessfulRun& aRun)
 {
   auto row = std::make_unique<wire::SoundRowT>();
   row->request = aRun.request.Value();
@@ -266,9 +266,9 @@
     this->FillControlHosts(aGreeting.controlHosts);
   }
 
-  void operator()(const Picture& aPicture)
+  void operator()(const ServingUpdate& aPicture)
   {
-    this->frame.kind = static_cast<std::uint8_t>(FrameKind::Picture);
+    this->frame.kind = static_cast<std::uint8_t>(FrameKind::ServingUpdate);
     this->frame.document_version = aPicture.documentVersion.Value();
     for (const auto& [model, version] : aPicture.weights) {
       auto row = std::make_unique<wire::NamedWeightsRowT>();
@@ -276,10 +276,10 @@
       row->version = version;
       this->frame.weights.push_back(std::move(row));
     }
-    for (const TargetStatement& statement : aPicture.targets) {
+    for (const TargetUpdate& statement : aPicture.targets) {
       this->frame.targets.push_back(RowOf(statement));
     }
-    for (const StoreStatement& statement : aPicture.stores) {
+    for (const StoreUpdate& statement : aPicture.stores) {
       this->frame.stores.push_back(RowOf(statement));
     }
     this->frame.entry_hosts = static_cast<std::uint32_t>(aPicture.entryHosts);
@@ -299,13 +299,13 @@
     this->FillControlHosts(aPicture.controlHosts);
   }
 
-  void operator()(const SendsNews& aNews)
+  void operator()(const LoadReport& aNews)
   {
-    this->frame.kind = static_cast<std::uint8_t>(FrameKind::SendsNews);
+    this->frame.kind = static_cast<std::uint8_t>(FrameKind::LoadReport);
     this->frame.host = aNews.host.Value();
     this->frame.last = aNews.last;
     this->frame.urgent = aNews.urgent;
-    for (const TargetSendsNow& sends : aNews.sends) {
+    for (const InFlightLoad& sends : aNews.sends) {
       auto row = std::make_unique<wire::SendsRowT>();
       row->target = sends.target.Value();
       row->requests = static_cast<std::uint32_t>(sends.requests);
@@ -314,14 +314,14 @@
       row->parts = EntriesOf(sends.parts);
       this->frame.sends.push_back(std::move(row));
     }
-    for (const StoreExcess& excess : aNews.excesses) {
+    for (const StoreFetchDelay& excess : aNews.excesses) {
       auto row = std::make_unique<wire::ExcessRowT>();
       row->store = excess.store;
       row->count = static_cast<std::uint32_t>(excess.count);
       row->total = excess.total;
       this->frame.excesses.push_back(std::move(row));
     }
-    for (const TargetFindings& findings : aNews.findings) {
+    for (const TargetReachabilityReport& findings : aNews.findings) {
       auto row = std::make_unique<wire::FindingsRowT>();
       row->target = findings.target.Value();
       row->gone = static_cast<std::uint32_t>(findings.gone);
@@ -331,7 +331,7 @@
     for (const CrashReport& crash : aNews.crashes) {
       this->frame.crashes.push_back(RowOf(crash));
     }
-    for (const SoundRun& run : aNews.sound) {
+    for (const SuccessfulRun& run : aNews.sound) {
       this->frame.sound.push_back(RowOf(run));
     }
     for (const LimitReport& report : aNews.limitReports) {
@@ -349,18 +349,18 @@
     this->frame.entry_host_names = TextsOf(aList.hosts);
   }
 
-  void operator()(const DocumentQuestion& aQuestion)
+  void operator()(const DocumentRequest& aQuestion)
   {
-    this->frame.kind = static_cast<std::uint8_t>(FrameKind::DocumentQuestion);
+    this->frame.kind = static_cast<std::uint8_t>(FrameKind::DocumentRequest);
     this->frame.held = aQuestion.held.Value();
     this->frame.transfer = std::make_unique<wire::DocumentTransferId>(IdOf(aQuestion.transfer));
     this->frame.offset = aQuestion.offset;
     this->frame.most_bytes = aQuestion.mostBytes;
   }
 
-  void operator()(const DocumentPiece& aPiece)
+  void operator()(const DocumentChunk& aPiece)
   {
-    this->frame.kind = static_cast<std::uint8_t>(FrameKind::DocumentPiece);
+    this->frame.kind = static_cast<std::uint8_t>(FrameKind::DocumentChunk);
     this->frame.transfer = std::make_unique<wire::DocumentTransferId>(IdOf(aPiece.transfer));
     this->frame.offset = aPiece.offset;
     this->frame.piece.assign(aPiece.bytes.begin(), aPiece.bytes.end());
@@ -402,7 +402,7 @@
 Result<ServingMessage>
 ReadPicture(const wire::ServingFrameT& aFrame)
 {
-  Picture picture;
+  ServingUpdate picture;
   picture.documentVersion = Revision(aFrame.document_version);
   for (const auto& row : aFrame.weights) {
     picture.weights[ModelName(row->model)] = row->version;
@@ -462,10 +462,10 @@
                       Incarnation(aRow.incarnation()) };
 }
 
-SoundRun
+SuccessfulRun
 ReadRow(const wire::SoundRow& aRow)
 {
-  return SoundRun{ RequestFingerprint(aRow.request()), ServiceName(TextOf(aRow.service())) };
+  return SuccessfulRun{ RequestFingerprint(aRow.request()), ServiceName(TextOf(aRow.service())) };
 }
 
 LimitReport
@@ -513,32 +513,32 @@
 }
 
 // Read where they lie: an entry host takes tens of these a second, with a row for each target.
-SendsNews
+LoadReport
 ReadSends(const wire::ServingFrame& aFrame)
 {
-  SendsNews news;
+  LoadReport news;
   news.host = HostId(TextOf(aFrame.host()));
   news.last = aFrame.last();
   news.urgent = aFrame.urgent();
   if (const auto* rows = aFrame.sends()) {
     news.sends.reserve(rows->size());
     for (const wire::SendsRow* row : *rows) {
-      news.sends.push_back(TargetSendsNow{ TargetId(TextOf(row->target())),
-                                           row->requests(),
-                                           TokenCount(row->unread()),
-                                           TokenCount(row->memory()),
-                                           PartsOf(row->parts()) });
+      news.sends.push_back(InFlightLoad{ TargetId(TextOf(row->target())),
+                                         row->requests(),
+                                         TokenCount(row->unread()),
+                                         TokenCount(row->memory()),
+                                         PartsOf(row->parts()) });
     }
   }
   if (const auto* rows = aFrame.excesses()) {
     for (const wire::ExcessRow* row : *rows) {
-      news.excesses.push_back(StoreExcess{ TextOf(row->store()), row->count(), row->total() });
+      news.excesses.push_back(StoreFetchDelay{ TextOf(row->store()), row->count(), row->total() });
     }
   }
   if (const auto* rows = aFrame.findings()) {
     for (const wire::FindingsRow* row : *rows) {
       news.findings.push_back(
-        TargetFindings{ TargetId(TextOf(row->target())), row->gone(), row->back() });
+        TargetReachabilityReport{ TargetId(TextOf(row->target())), row->gone(), row->back() });
     }
   }
   ReadRows(aFrame.crashes(), news.crashes);
@@ -566,7 +566,7 @@
 DecodePlain(const wire::ServingFrame& aRoot)
 {
   const auto kind = static_cast<FrameKind>(aRoot.kind());
-  if (kind == FrameKind::SendsNews) {
+  if (kind == FrameKind::LoadReport) {
     return ServingMessage(ReadSends(aRoot));
   }
   wire::ServingFrameT frame;
@@ -574,18 +574,18 @@
   switch (kind) {
     case FrameKind::Greeting:
       return ReadGreeting(frame);
-    case FrameKind::Picture:
+    case FrameKind::ServingUpdate:
       return ReadPicture(frame);
-    case FrameKind::SendsNews:
+    case FrameKind::LoadReport:
     case FrameKind::Packed:
       break;
     case FrameKind::EntryHostList:
       return ServingMessage(EntryHostList{ HostsOf(frame.entry_host_names) });
-    case FrameKind::DocumentQuestion:
-      return ServingMessage(DocumentQuestion{
+    case FrameKind::DocumentRequest:
+      return ServingMessage(DocumentRequest{
         Revision(frame.held), ReadId(frame.transfer.get()), frame.offset, frame.most_bytes });
-    case FrameKind::DocumentPiece:
-      return ServingMessage(DocumentPiece{ ReadId(frame.transfer.get()),
+    case FrameKind::DocumentChunk:
+      return ServingMessage(DocumentChunk{ ReadId(frame.transfer.get()),
                                            frame.offset,
                                            std::string(frame.piece.begin(), frame.piece.end()) });
   }
--- a/test/coordination/CallerIndexTest.cpp
+++ b/test/coordination/CallerIndexTest.cpp
@@ -14,11 +14,11 @@
   const Subtree before = aTree.Get(aSubtree.name);
   const TreeChange change{ aTree.Current().Next(), aSubtree };
   aTree.Apply(change);
-  aIndex.OnInstalled(aTree, change, before);
+  aIndex.OnSubtreeChanged(aTree, change, before);
 }
 
 // One change at a time, or all at once: callers are the same.
-RC_GTEST_PROP(CallerIndexTest, FollowsEveryChangeAsIfBuiltAnew, ())
+RC_GTEST_PROP(CallerIndexTest, IncrementalUpdatesMatchFullRebuild, ())
 {
   RevisionedTree tree;
   CallerIndex index;
@@ -39,7 +39,7 @@
               deleted ? nullptr : std::make_shared<const SubtreeContent>(AnyWorkspace(name)) });
   }
   CallerIndex anew;
-  anew.OnReplaced(tree);
+  anew.OnTreeReplaced(tree);
   RC_ASSERT(index.Directory().Size() == anew.Directory().Size());
   RC_ASSERT(index.Directory().ServiceLevels() == anew.Directory().ServiceLevels());
   for (const char* name : { "a", "b", "c" }) {
--- a/test/coordination/ConfigSpreadTest.cpp
+++ b/test/coordination/ConfigDistributorTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ConfigSpread.h"
+#include "damasklink/coordination/ConfigDistributor.h"
 
 #include <set>
 
@@ -45,11 +45,11 @@
 class RisingObserver final : public TreeObserver
 {
 public:
-  void OnInstalled(const RevisionedTree& aTree, const TreeChange&, const Subtree&) override
+  void OnSubtreeChanged(const RevisionedTree& aTree, const TreeChange&, const Subtree&) override
   {
     this->Rise(aTree);
   }
-  void OnReplaced(const RevisionedTree& aTree) override { this->Rise(aTree); }
+  void OnTreeReplaced(const RevisionedTree& aTree) override { this->Rise(aTree); }
 
   bool wentBack = false;
 
@@ -76,7 +76,7 @@
   HostSettings settings;
   HostMembership membership;
   RisingObserver observer;
-  ConfigSpread spread;
+  ConfigDistributor spread;
 };
 
 // Hosts, and the messages between them that a test may lose, delay, repeat and cut.
@@ -177,7 +177,7 @@
 
   static std::size_t IndexOf(const HostId& aHost) { return std::stoul(aHost.Value().substr(1)); }
 
-  ConfigSpread& At(std::size_t aIndex) { return this->nodes[aIndex]->spread; }
+  ConfigDistributor& At(std::size_t aIndex) { return this->nodes[aIndex]->spread; }
 
   struct Sent
   {
@@ -204,7 +204,7 @@
     }));
 }
 
-TEST(ConfigSpreadTest, ChangeCostsOneCopyAHostAndEntersAZoneOnce)
+TEST(ConfigDistributorTest, SendsOneCopyPerHostAndEntersEachZoneOnce)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5));
@@ -226,7 +226,7 @@
 }
 
 std::size_t
-CountOutgoingDeltas(ConfigSpread& aSpread)
+CountOutgoingDeltas(ConfigDistributor& aSpread)
 {
   const auto outgoing = aSpread.TakeOutgoing();
   return static_cast<std::size_t>(
@@ -235,7 +235,7 @@
     }));
 }
 
-TEST(ConfigSpreadTest, ChangeIsPassedOnOnceAlsoWhenTheOwnLogHadItFirst)
+TEST(ConfigDistributorTest, ForwardsDeltaOnceWhenAlreadyCommittedLocally)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5));
@@ -252,19 +252,19 @@
   EXPECT_EQ(CountOutgoingDeltas(hosts.At(3)), 0U);
 }
 
-TEST(ConfigSpreadTest, DeadHostInTheRingDelaysTheOthersByTheRingLimitOnly)
+TEST(ConfigDistributorTest, ReachesOtherHostsWithinRingLimitWhenOneIsUnreachable)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5));
   hosts.cut = { 4 };
   hosts.Commit();
-  hosts.Run(ConfigSpread::kRingLimit + std::chrono::milliseconds(200));
+  hosts.Run(ConfigDistributor::kRingLimit + std::chrono::milliseconds(200));
   for (std::size_t host = 0; host < kHosts; ++host) {
     EXPECT_EQ(hosts.At(host).Tree().Current(), Revision(host == 4 ? 0 : 1)) << host;
   }
 }
 
-TEST(ConfigSpreadTest, CutOffZoneServesTheLastRevisionAndKnowsItIsStale)
+TEST(ConfigDistributorTest, PartitionedZoneKeepsLastRevisionAndReportsStale)
 {
   FakeHosts hosts;
   hosts.Commit();
@@ -273,7 +273,7 @@
   hosts.cut = { 6, 7, 8 };
   hosts.Run(std::chrono::seconds(5));
   hosts.Commit();
-  hosts.Run(ConfigSpread::kStaleAfter);
+  hosts.Run(ConfigDistributor::kStaleAfter);
   EXPECT_EQ(hosts.At(8).Tree().Current(), Revision(1));
   EXPECT_TRUE(hosts.At(8).Stale());
   EXPECT_FALSE(hosts.At(1).Stale());
@@ -283,7 +283,7 @@
   EXPECT_FALSE(hosts.At(8).Stale());
 }
 
-TEST(ConfigSpreadTest, RestartWithEmptyMemoryInACutOffZoneTakesTheZonesRevision)
+TEST(ConfigDistributorTest, RestartedHostInPartitionedZoneTakesRevisionOfItsZone)
 {
   FakeHosts hosts;
   hosts.Commit();
@@ -291,12 +291,12 @@
   hosts.cut = { 6, 7, 8 };
   hosts.Restart(7);
   EXPECT_FALSE(hosts.At(7).Joined()) << "serves nobody before it has asked";
-  hosts.Run(ConfigSpread::kJoinLimit + kStep);
+  hosts.Run(ConfigDistributor::kJoinLimit + kStep);
   EXPECT_TRUE(hosts.At(7).Joined());
   EXPECT_EQ(hosts.At(7).Tree().Current(), Revision(1));
 }
 
-TEST(ConfigSpreadTest, OldTreeFromDiskIsNotPutInForceBeforePeersWereAsked)
+TEST(ConfigDistributorTest, QueriesPeersBeforeTreeFromDiskComesIntoForce)
 {
   FakeHosts hosts;
   for (int change = 0; change < 3; ++change) {
@@ -313,14 +313,14 @@
   EXPECT_EQ(hosts.At(5).Tree().Current(), Revision(3));
 }
 
-TEST(ConfigSpreadTest, QuestionOfAPeerIsNotItsAnswer)
+TEST(ConfigDistributorTest, QueryFromPeerDoesNotCountAsItsReply)
 {
   FakeHosts hosts;
   RevisionedTree old;
   old.Apply(ChangeAt(3));
   hosts.At(3).OnTree(old);
   ConfigMessage ask;
-  ask.kind = ConfigMessageKind::Ask;
+  ask.kind = ConfigMessageKind::Query;
   ask.revision = Revision(9);
   for (std::size_t peer = 0; peer < kHosts; ++peer) {
     hosts.At(3).OnMessage(HostName(peer), ask);
@@ -330,7 +330,7 @@
   EXPECT_EQ(hosts.At(3).InForce(), Revision());
 }
 
-TEST(ConfigSpreadTest, LowerTreeAndLowerChangeAreNeverInstalled)
+TEST(ConfigDistributorTest, IgnoresTreesAndChangesOfLowerRevision)
 {
   FakeHosts hosts;
   hosts.Commit();
@@ -340,7 +340,7 @@
   old.Apply(ChangeAt(1));
   hosts.At(3).OnTree(old);
   ConfigMessage whole;
-  whole.kind = ConfigMessageKind::Whole;
+  whole.kind = ConfigMessageKind::FullTree;
   whole.revision = Revision(9);
   CompactWriter writer;
   old.Pack(writer);
@@ -354,7 +354,7 @@
 
 // Changes, lost and repeated messages, restarts with empty memory and cuts, in any order: no host
 // goes back, and once all is well every host has what the group accepted.
-RC_GTEST_PROP(ConfigSpreadTest, EveryHostEndsWithWhatWasAcceptedAndNoneGoesBack, ())
+RC_GTEST_PROP(ConfigDistributorTest, HostsConvergeOnAcceptedTreeAndNeverGoBack, ())
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(1));
--- a/test/coordination/ConfigMachineTest.cpp
+++ b/test/coordination/ConfigStateMachineTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ConfigMachine.h"
+#include "damasklink/coordination/ConfigStateMachine.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -26,7 +26,7 @@
 }
 
 ChangeAnswer
-Apply(ConfigMachine& aMachine, const ConfigChange& aChange)
+Apply(ConfigStateMachine& aMachine, const ConfigChange& aChange)
 {
   const ApplyContext context{ ControlGroupId(), LogIndex(1),    Term(1),
                               WallTime(),       Incarnation(1), WallTime() };
@@ -34,13 +34,13 @@
 }
 
 ChangeVerdict
-VerdictOf(ConfigMachine& aMachine, const ConfigChange& aChange)
+VerdictOf(ConfigStateMachine& aMachine, const ConfigChange& aChange)
 {
   return Apply(aMachine, aChange).verdict;
 }
 
 void
-ApplyMany(ConfigMachine& aMachine, std::size_t aCount)
+ApplyMany(ConfigStateMachine& aMachine, std::size_t aCount)
 {
   for (std::size_t index = 0; index < aCount; ++index) {
     const std::string name = "other-" + std::to_string(index);
@@ -48,9 +48,9 @@
   }
 }
 
-TEST(ConfigMachineTest, OfChangesFromOneVersionExactlyOneWins)
+TEST(ConfigStateMachineTest, AcceptsOnlyOneOfSeveralChangesFromTheSameVersion)
 {
-  ConfigMachine machine;
+  ConfigStateMachine machine;
   EXPECT_EQ(VerdictOf(machine, MakeChange("c1", "w", 0)), ChangeVerdict::Accepted);
   const ChangeAnswer second = Apply(machine, MakeChange("c2", "w", 0));
   EXPECT_EQ(second.verdict, ChangeVerdict::Conflict);
@@ -59,13 +59,13 @@
   EXPECT_FALSE(ErrorOf(second).remedy.empty());
 }
 
-TEST(ConfigMachineTest, ResendGetsTheFirstAnswerAfterManyChangesAndASnapshot)
+TEST(ConfigStateMachineTest, ReturnsFirstAnswerForResentChangeAfterSnapshotRestore)
 {
-  ConfigMachine machine;
+  ConfigStateMachine machine;
   const ChangeAnswer first = Apply(machine, MakeChange("c1", "w", 0));
   const ChangeAnswer lost = Apply(machine, MakeChange("c2", "w", 0));
   ApplyMany(machine, 500);
-  ConfigMachine restarted;
+  ConfigStateMachine restarted;
   ASSERT_TRUE(restarted.Load(machine.Save()));
   const Revision before = restarted.Tree().Current();
   EXPECT_EQ(Apply(restarted, MakeChange("c1", "w", 0)), first);
@@ -73,17 +73,17 @@
   EXPECT_EQ(restarted.Tree().Current(), before) << "a resend changes nothing";
 }
 
-TEST(ConfigMachineTest, ChangeIdWithOtherContentIsRefused)
+TEST(ConfigStateMachineTest, RejectsReusedChangeIdWithDifferentContent)
 {
-  ConfigMachine machine;
+  ConfigStateMachine machine;
   Apply(machine, MakeChange("c1", "w", 0));
   EXPECT_EQ(VerdictOf(machine, MakeChange("c1", "other", 0)), ChangeVerdict::IdReused);
   EXPECT_EQ(VerdictOf(machine, MakeChange("c1", "w", 1)), ChangeVerdict::IdReused);
 }
 
-TEST(ConfigMachineTest, KeyOfAnotherWorkspaceIsRefusedUntilItIsFree)
+TEST(ConfigStateMachineTest, RejectsKeyOfAnotherWorkspaceUntilReleased)
 {
-  ConfigMachine machine;
+  ConfigStateMachine machine;
   Apply(machine, MakeChange("c1", "w", 0));
   ConfigChange taken = MakeChange("c2", "thief", 0);
   taken.subtree.content = WorkspaceWithKey("w");
@@ -95,9 +95,9 @@
   EXPECT_EQ(VerdictOf(machine, taken), ChangeVerdict::Accepted);
 }
 
-TEST(ConfigMachineTest, ChangeFromBeforeADeletionConflicts)
+TEST(ConfigStateMachineTest, ReportsConflictForChangeMadeBeforeDeletion)
 {
-  ConfigMachine machine;
+  ConfigStateMachine machine;
   Apply(machine, MakeChange("c1", "w", 0));
   ConfigChange deletion = MakeChange("c2", "w", 1);
   deletion.subtree.content = nullptr;
@@ -107,9 +107,9 @@
   EXPECT_EQ(VerdictOf(machine, MakeChange("c5", "w", 2)), ChangeVerdict::Accepted);
 }
 
-TEST(ConfigMachineTest, WideningChildIsRefused)
+TEST(ConfigStateMachineTest, RejectsWorkspaceThatWidensDefaults)
 {
-  ConfigMachine machine;
+  ConfigStateMachine machine;
   SubtreePolicy defaults;
   defaults.limits.promptTokens = 10;
   Apply(machine,
@@ -127,14 +127,14 @@
   EXPECT_NE(answer.problem.find("limits.prompt_tokens"), std::string::npos);
 }
 
-TEST(ConfigMachineTest, SeedFillsOnlyAnEmptyTree)
+TEST(ConfigStateMachineTest, AppliesSeedOnlyToEmptyTree)
 {
   RevisionedTree seed;
   seed.Apply({ Revision(7), { WorkspaceSubtree(WorkspaceId("w")), WorkspaceWithKey("w") } });
   const ApplyContext context{ ControlGroupId(), LogIndex(1),    Term(1),
                               WallTime(),       Incarnation(1), WallTime() };
   const std::string command = PackConfigSeed(ChangeId("initial"), "host", seed);
-  ConfigMachine machine;
+  ConfigStateMachine machine;
   const auto first = UnpackChangeAnswer(machine.Apply(context, command));
   EXPECT_EQ(first.value().verdict, ChangeVerdict::Accepted);
   EXPECT_EQ(machine.Tree().Current(), Revision(7));
@@ -142,9 +142,9 @@
   EXPECT_EQ(second.value().verdict, ChangeVerdict::Conflict);
 }
 
-TEST(ConfigMachineTest, HistoryTellsWhoWhatAndWhichChange)
+TEST(ConfigStateMachineTest, HistoryRecordsAuthorSubtreeAndChangeId)
 {
-  ConfigMachine machine;
+  ConfigStateMachine machine;
   Apply(machine, MakeChange("c1", "a", 0));
   Apply(machine, MakeChange("c2", "b", 0));
   const auto all = machine.History(std::nullopt, 10);
@@ -155,10 +155,10 @@
 }
 
 // Any commands, in any order, with a snapshot in the middle: replicas stay the same byte for byte.
-RC_GTEST_PROP(ConfigMachineTest, ReplicaFromASnapshotGoesOnAlike, ())
+RC_GTEST_PROP(ConfigStateMachineTest, ReplicaRestoredFromSnapshotStaysIdentical, ())
 {
-  ConfigMachine machine;
-  ConfigMachine replica;
+  ConfigStateMachine machine;
+  ConfigStateMachine replica;
   const int count = *rc::gen::inRange(1, 30);
   const int cut = *rc::gen::inRange(0, count);
   for (int index = 0; index < count; ++index) {
@@ -178,13 +178,13 @@
   RC_ASSERT(machine.Save() == replica.Save());
 }
 
-RC_GTEST_PROP(ConfigMachineTest, DamagedSnapshotIsRefusedWhole, ())
+RC_GTEST_PROP(ConfigStateMachineTest, RejectsTruncatedSnapshotAndKeepsState, ())
 {
-  ConfigMachine machine;
+  ConfigStateMachine machine;
   Apply(machine, MakeChange("c1", "w", 0));
   const std::string snapshot = machine.Save();
   const auto cut = *rc::gen::inRange<std::size_t>(0, snapshot.size());
-  ConfigMachine other;
+  ConfigStateMachine other;
   const std::string before = other.Save();
   RC_ASSERT(!other.Load(snapshot.substr(0, cut)));
   RC_ASSERT(other.Save() == before);
--- a/test/coordination/CrashLedgerTest.cpp
+++ b/test/coordination/CrashLedgerTest.cpp
@@ -8,7 +8,7 @@
 const RequestFingerprint kGuilty(7);
 const WorkspaceId kWorkspace("w");
 const ServiceName kService("s");
-const SoundRun kSound{ kGuilty, kService };
+const SuccessfulRun kSound{ kGuilty, kService };
 
 CrashReport
 Crash(const std::string& aTarget, RequestFingerprint aRequest = kGuilty, std::uint64_t aStart = 1)
@@ -68,7 +68,7 @@
 TEST_F(CrashLedgerTest, SoundRunAtAnotherServiceClearsNothing)
 {
   this->ledger.Take({ Crash("a"), Crash("b"), Crash("c") });
-  this->ledger.TakeSound({ SoundRun{ kGuilty, ServiceName("another") } });
+  this->ledger.TakeSound({ SuccessfulRun{ kGuilty, ServiceName("another") } });
   this->Settle();
   EXPECT_TRUE(this->IsRefused());
 }
--- a/test/coordination/CrashModelTest.cpp
+++ b/test/coordination/CrashModelTest.cpp
@@ -112,7 +112,7 @@
   {
     MonotonicTime at;
     std::size_t to = 0;
-    SendsNews news;
+    LoadReport news;
     bool fromEntry = false;
     std::optional<CrashingRequests> word;
     HostId from;
@@ -245,7 +245,7 @@
                                            Incarnation(this->targets[target].start) });
         this->waiting.push_back(request);
       } else {
-        entry.Watch().OnSound(SoundRun{ request, {} });
+        entry.Watch().OnSound(SuccessfulRun{ request, {} });
       }
     }
   }
@@ -259,7 +259,7 @@
       if (entry.Watch().IsRefused(kShared)) {
         ++this->sharedRefused;
       } else {
-        entry.Watch().OnSound(SoundRun{ kShared, {} });
+        entry.Watch().OnSound(SuccessfulRun{ kShared, {} });
       }
     }
   }
@@ -318,7 +318,7 @@
       if (this->IsUp(entry) && !entry.greeted) {
         this->Greet(entry);
       }
-      SendsNews news;
+      LoadReport news;
       news.crashes = entry.Watch().TakeReports();
       news.sound = entry.Watch().TakeSound();
       if (this->IsUp(entry) && (!news.crashes.empty() || !news.sound.empty())) {
@@ -359,7 +359,7 @@
   std::vector<TargetState> targets;
   std::vector<Message> messages;
   std::vector<RequestFingerprint> waiting;
-  ServingMachine log;
+  ServingStateMachine log;
   std::uint64_t next = 0;
   int guiltyCrashes = 0;
   std::optional<MonotonicTime> thirdCrash;
--- a/test/coordination/CrashWatchTest.cpp
+++ b/test/coordination/CrashWatchTest.cpp
@@ -7,7 +7,7 @@
 
 const RequestFingerprint kRequest(7);
 const ServiceName kService("s");
-const SoundRun kSound{ kRequest, kService };
+const SuccessfulRun kSound{ kRequest, kService };
 const HostId kOne("control-1");
 const HostId kTwo("control-2");
 const CrashReport kReport{ kRequest, WorkspaceId("w"), kService, TargetId("t"), Incarnation(1) };
@@ -46,12 +46,12 @@
 {
   this->watch.OnCrash(kReport);
   this->watch.OnSound(kSound);
-  EXPECT_EQ(this->watch.TakeSound(), std::vector<SoundRun>{ kSound });
-  const SoundRun suspected{ RequestFingerprint(8), kService };
+  EXPECT_EQ(this->watch.TakeSound(), std::vector<SuccessfulRun>{ kSound });
+  const SuccessfulRun suspected{ RequestFingerprint(8), kService };
   this->watch.Take(kOne, CrashingRequests{ {}, { suspected.request } });
   this->watch.OnSound(suspected);
-  this->watch.OnSound(SoundRun{ RequestFingerprint(9), kService });
-  EXPECT_EQ(this->watch.TakeSound(), std::vector<SoundRun>{ suspected });
+  this->watch.OnSound(SuccessfulRun{ RequestFingerprint(9), kService });
+  EXPECT_EQ(this->watch.TakeSound(), std::vector<SuccessfulRun>{ suspected });
 }
 
 TEST_F(CrashWatchTest, OneControlHostIsEnoughToRefuse)
--- a/test/coordination/DocumentFetchTest.cpp
+++ b/test/coordination/DocumentFetcherTest.cpp
@@ -1,7 +1,7 @@
 // How an entry host gets a configuration from control hosts of which some fall silent, are cut off,
 // start again or are behind. The pattern: thousands of routes come at once, more follow before they
 // have arrived, and the link is full of calls.
-#include "damasklink/coordination/DocumentFetch.h"
+#include "damasklink/coordination/DocumentFetcher.h"
 
 #include <algorithm>
 #include <random>
@@ -10,7 +10,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "damasklink/coordination/DocumentSource.h"
+#include "damasklink/coordination/DocumentPublisher.h"
 #include "damasklink/state/PackedText.h"
 
 namespace damasklink {
@@ -33,7 +33,7 @@
   return text;
 }
 
-class DocumentFetchTest : public ::testing::Test
+class DocumentFetcherTest : public ::testing::Test
 {
 protected:
   // Control hosts with the same document of several pieces.
@@ -45,7 +45,7 @@
 
   void Announce(const HostId& aHost, std::uint64_t aVersion)
   {
-    this->fetch.OnAnnounced(aHost, Revision(aVersion));
+    this->fetch.OnVersionAnnounced(aHost, Revision(aVersion));
   }
 
   // Asks and answers until the transfer is whole, and returns how many pieces that took.
@@ -57,7 +57,7 @@
         return 0;
       }
       const auto answer = this->source.Answer(ask->question);
-      if (const auto whole = this->fetch.OnPiece(ask->source, *answer)) {
+      if (const auto whole = this->fetch.OnChunk(ask->source, *answer)) {
         this->got = whole;
         return pieces;
       }
@@ -67,20 +67,20 @@
   std::string Unpacked() const { return UnpackText(this->got->packed, "", kMost).value(); }
 
   ManualClock clock;
-  DocumentSource source;
-  DocumentFetch fetch{ this->clock };
+  DocumentPublisher source;
+  DocumentFetcher fetch{ this->clock };
   std::string text;
   std::optional<FetchedDocument> got;
 };
 
-TEST_F(DocumentFetchTest, NothingIsAskedBeforeAnythingIsAnnounced)
+TEST_F(DocumentFetcherTest, RequestsNothingBeforeAnnouncement)
 {
   EXPECT_FALSE(this->fetch.Next());
   this->Announce(kFirst, 0);
   EXPECT_FALSE(this->fetch.Next());
 }
 
-TEST_F(DocumentFetchTest, WhatIsAnnouncedIsFetchedPieceByPieceFromTheFirstToAnnounceIt)
+TEST_F(DocumentFetcherTest, FetchesAnnouncedVersionInChunksFromFirstAnnouncer)
 {
   this->Publish(7);
   this->Announce(kSecond, 7);
@@ -90,26 +90,26 @@
   this->fetch.OnLost(kSecond);
   EXPECT_GT(this->Finish(), 1);
   EXPECT_EQ(this->Unpacked(), this->text);
-  this->fetch.OnHeld(Revision(7));
+  this->fetch.OnVersionInstalled(Revision(7));
   EXPECT_FALSE(this->fetch.Next());
 }
 
-TEST_F(DocumentFetchTest, LowerOrEqualVersionsAreNotAskedFor)
+TEST_F(DocumentFetcherTest, DoesNotRequestLowerOrEqualVersions)
 {
-  this->fetch.OnHeld(Revision(7));
+  this->fetch.OnVersionInstalled(Revision(7));
   this->Announce(kFirst, 7);
   this->Announce(kSecond, 5);
   EXPECT_FALSE(this->fetch.Next());
 }
 
-TEST_F(DocumentFetchTest, TransferGoesOnElsewhereWhenItsSourceFallsSilentHalfway)
+TEST_F(DocumentFetcherTest, ResumesTransferAtAnotherSourceAfterTimeout)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
   this->Announce(kSecond, 7);
   const auto begun = this->fetch.Next();
   EXPECT_EQ(begun->source, kFirst);
-  EXPECT_FALSE(this->fetch.OnPiece(kFirst, *this->source.Answer(begun->question)));
+  EXPECT_FALSE(this->fetch.OnChunk(kFirst, *this->source.Answer(begun->question)));
   EXPECT_EQ(this->fetch.Next()->source, kFirst);
   this->clock.Advance(milliseconds(499));
   EXPECT_FALSE(this->fetch.Next());
@@ -120,7 +120,7 @@
   EXPECT_EQ(again->question.offset, begun->question.mostBytes) << "what has come is not sent again";
 }
 
-TEST_F(DocumentFetchTest, TheOneThatAnswersIsAskedForTheRestAndNotTheOneThatIsSilent)
+TEST_F(DocumentFetcherTest, PrefersSourceThatAnsweredOverSilentOne)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -129,11 +129,11 @@
   this->clock.Advance(milliseconds(500));
   const auto ask = this->fetch.Next();
   ASSERT_EQ(ask->source, kSecond);
-  this->fetch.OnPiece(kSecond, *this->source.Answer(ask->question));
+  this->fetch.OnChunk(kSecond, *this->source.Answer(ask->question));
   EXPECT_EQ(this->fetch.Next()->source, kSecond);
 }
 
-TEST_F(DocumentFetchTest, TwoSilentSourcesOfThreeCostASecond)
+TEST_F(DocumentFetcherTest, ReachesThirdSourceWithinASecondWhenTwoAreSilent)
 {
   const HostId third("control-3");
   this->Publish(7);
@@ -151,7 +151,7 @@
   EXPECT_LE(this->clock.MonotonicNow() - begun, milliseconds(1010));
 }
 
-TEST_F(DocumentFetchTest, LatePieceOfASilentSourceCounts)
+TEST_F(DocumentFetcherTest, AcceptsLateChunkFromSourceThatTimedOut)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -160,13 +160,13 @@
   this->clock.Advance(milliseconds(500));
   const auto second = this->fetch.Next();
   ASSERT_EQ(second->source, kSecond);
-  this->fetch.OnPiece(kFirst, *this->source.Answer(first->question));
+  this->fetch.OnChunk(kFirst, *this->source.Answer(first->question));
   EXPECT_GT(this->fetch.Next()->question.offset, 0U);
-  this->fetch.OnPiece(kSecond, *this->source.Answer(second->question));
+  this->fetch.OnChunk(kSecond, *this->source.Answer(second->question));
   EXPECT_FALSE(this->fetch.Next()) << "the same piece once more is no answer";
 }
 
-TEST_F(DocumentFetchTest, OnlySourceIsAskedAgainAndAgainMoreAndMoreSeldom)
+TEST_F(DocumentFetcherTest, RetriesOnlySourceWithBackoff)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -181,23 +181,23 @@
   EXPECT_GT(this->Finish(), 0);
 }
 
-TEST_F(DocumentFetchTest, NewerVersionWaitsUntilWhatIsBegunIsThere)
+TEST_F(DocumentFetcherTest, CompletesStartedTransferBeforeNewerVersion)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
   const auto begun = this->fetch.Next();
-  this->fetch.OnPiece(kFirst, *this->source.Answer(begun->question));
+  this->fetch.OnChunk(kFirst, *this->source.Answer(begun->question));
   const std::string seventh = this->text;
   this->Publish(9);
   this->Announce(kFirst, 9);
   EXPECT_GT(this->Finish(), 0);
   EXPECT_EQ(this->got->transfer.version, Revision(7));
   EXPECT_EQ(this->Unpacked(), seventh);
-  this->fetch.OnHeld(Revision(7));
+  this->fetch.OnVersionInstalled(Revision(7));
   EXPECT_EQ(this->fetch.Next()->question.held, Revision(7));
 }
 
-TEST_F(DocumentFetchTest, TheTimeOfAVersionCountsFromItsFirstAnnouncement)
+TEST_F(DocumentFetcherTest, AnnouncedAtReturnsTimeOfFirstAnnouncement)
 {
   const MonotonicTime begun = this->clock.MonotonicNow();
   this->Announce(kFirst, 7);
@@ -206,16 +206,16 @@
   this->Announce(kSecond, 9);
   EXPECT_EQ(this->fetch.AnnouncedAt(Revision(7)), begun);
   EXPECT_EQ(this->fetch.AnnouncedAt(Revision(9)), begun + milliseconds(30));
-  this->fetch.OnHeld(Revision(7));
+  this->fetch.OnVersionInstalled(Revision(7));
   EXPECT_EQ(this->fetch.AnnouncedAt(Revision(8)), begun + milliseconds(30));
 }
 
-TEST_F(DocumentFetchTest, WhatNobodyHasAnyMoreIsGivenUpForWhatOthersHave)
+TEST_F(DocumentFetcherTest, AbandonsTransferThatNoSourceCanContinue)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
   const auto begun = this->fetch.Next();
-  this->fetch.OnPiece(kFirst, *this->source.Answer(begun->question));
+  this->fetch.OnChunk(kFirst, *this->source.Answer(begun->question));
   this->Announce(kSecond, 5);
   this->fetch.OnLost(kFirst);
   const auto ask = this->fetch.Next();
@@ -225,79 +225,79 @@
   EXPECT_EQ(ask->question.transfer, TransferId());
 }
 
-TEST_F(DocumentFetchTest, SourceThatCannotContinueBeginsAnew)
+TEST_F(DocumentFetcherTest, RestartsTransferWhenSourceCannotContinueIt)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
   this->Announce(kSecond, 7);
-  this->fetch.OnPiece(kFirst, *this->source.Answer(this->fetch.Next()->question));
+  this->fetch.OnChunk(kFirst, *this->source.Answer(this->fetch.Next()->question));
   this->fetch.OnLost(kFirst);
-  DocumentSource other;
+  DocumentPublisher other;
   other.Publish(Revision(7), "packed by another program");
   const auto ask = this->fetch.Next();
   ASSERT_EQ(ask->source, kSecond);
-  const auto whole = this->fetch.OnPiece(kSecond, *other.Answer(ask->question));
+  const auto whole = this->fetch.OnChunk(kSecond, *other.Answer(ask->question));
   ASSERT_TRUE(whole);
   EXPECT_EQ(UnpackText(whole->packed, "", kMost).value(), "packed by another program");
 }
 
-TEST_F(DocumentFetchTest, PieceThatNobodyAskedForDoesNotDisturbATransfer)
+TEST_F(DocumentFetcherTest, IgnoresUnrequestedChunkOfAnotherTransfer)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
-  this->fetch.OnPiece(kFirst, *this->source.Answer(this->fetch.Next()->question));
-  DocumentSource other;
+  this->fetch.OnChunk(kFirst, *this->source.Answer(this->fetch.Next()->question));
+  DocumentPublisher other;
   other.Publish(Revision(8), "not asked for");
-  EXPECT_FALSE(this->fetch.OnPiece(kSecond, *other.Answer(DocumentQuestion{ {}, {}, 0, kMost })));
+  EXPECT_FALSE(this->fetch.OnChunk(kSecond, *other.Answer(DocumentRequest{ {}, {}, 0, kMost })));
   EXPECT_GT(this->Finish(), 0);
   EXPECT_EQ(this->Unpacked(), this->text);
 }
 
-TEST_F(DocumentFetchTest, PieceThatCannotBeOfItsTransferIsLeftOut)
+TEST_F(DocumentFetcherTest, RejectsChunkThatExceedsItsTransfer)
 {
   this->Announce(kFirst, 7);
   this->fetch.Next();
   const TransferId small{ Revision(7), Revision(), 3, 1 };
-  EXPECT_FALSE(this->fetch.OnPiece(kFirst, DocumentPiece{ small, 0, "more than three" }));
+  EXPECT_FALSE(this->fetch.OnChunk(kFirst, DocumentChunk{ small, 0, "more than three" }));
   const TransferId endless{ Revision(7), Revision(), std::uint64_t{ 1 } << 60U, 1 };
-  EXPECT_FALSE(this->fetch.OnPiece(kFirst, DocumentPiece{ endless, 0, "abc" }));
-  EXPECT_FALSE(this->fetch.OnPiece(kFirst, DocumentPiece{ endless, ~std::uint64_t{ 0 }, "abc" }));
-  EXPECT_TRUE(this->fetch.OnPiece(kFirst, DocumentPiece{ small, 0, "abc" }));
+  EXPECT_FALSE(this->fetch.OnChunk(kFirst, DocumentChunk{ endless, 0, "abc" }));
+  EXPECT_FALSE(this->fetch.OnChunk(kFirst, DocumentChunk{ endless, ~std::uint64_t{ 0 }, "abc" }));
+  EXPECT_TRUE(this->fetch.OnChunk(kFirst, DocumentChunk{ small, 0, "abc" }));
 }
 
-TEST_F(DocumentFetchTest, WhatWasPackedAgainstAnotherBaseIsAskedForWhole)
+TEST_F(DocumentFetcherTest, RequestsFullDocumentWhenDeltaCannotBeUnpacked)
 {
-  this->fetch.OnHeld(Revision(6));
+  this->fetch.OnVersionInstalled(Revision(6));
   this->source.Publish(Revision(6), RandomText(1000, 6));
   this->Publish(7);
   this->Announce(kFirst, 7);
   EXPECT_GT(this->Finish(), 0);
   EXPECT_EQ(this->got->transfer.base, Revision(6));
-  this->fetch.OnRefused(this->got->transfer);
+  this->fetch.OnUnpackFailed(this->got->transfer);
   EXPECT_GT(this->Finish(), 0);
   EXPECT_EQ(this->got->transfer.base, Revision());
   EXPECT_EQ(this->Unpacked(), this->text);
 }
 
-TEST_F(DocumentFetchTest, WholeOneThatCannotBeReadIsNotAskedForAgainButTheNextOneIs)
+TEST_F(DocumentFetcherTest, SkipsUnreadableVersionUntilTheNextOne)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
   EXPECT_GT(this->Finish(), 0);
-  this->fetch.OnRefused(this->got->transfer);
+  this->fetch.OnUnpackFailed(this->got->transfer);
   EXPECT_FALSE(this->fetch.Next());
   this->Announce(kFirst, 8);
   EXPECT_TRUE(this->fetch.Next());
 }
 
-TEST_F(DocumentFetchTest, PiecesGrowOnAFastLinkAndShrinkOnASlowOne)
+TEST_F(DocumentFetcherTest, AdaptsChunkSizeToLinkSpeed)
 {
   this->Publish(7, 1'000'000);
   this->Announce(kFirst, 7);
   const auto pieceAfter = [&](milliseconds aTook) {
     const auto ask = this->fetch.Next();
     this->clock.Advance(aTook);
-    this->fetch.OnPiece(kFirst, *this->source.Answer(ask->question));
+    this->fetch.OnChunk(kFirst, *this->source.Answer(ask->question));
     return ask->question.mostBytes;
   };
   const std::uint64_t begun = pieceAfter(milliseconds(2));
@@ -350,7 +350,7 @@
 private:
   struct Host
   {
-    DocumentSource source;
+    DocumentPublisher source;
     bool connected = false;
     bool suspended = false;
   };
@@ -359,7 +359,7 @@
   {
     MonotonicTime at;
     int from = 0;
-    DocumentPiece piece;
+    DocumentChunk piece;
   };
 
   static HostId Name(int aHost) { return HostId("control-" + std::to_string(aHost)); }
@@ -374,7 +374,7 @@
     }
     host.connected = aUp;
     if (aUp) {
-      this->fetch.OnAnnounced(Name(aHost), this->newest);
+      this->fetch.OnVersionAnnounced(Name(aHost), this->newest);
     } else {
       this->fetch.OnLost(Name(aHost));
       std::erase_if(this->way, [&](const OnItsWay& aItem) { return aItem.from == aHost; });
@@ -396,7 +396,7 @@
       if (this->Chance(2)) {
         // Started again: it knows the newest version alone.
         this->SetConnected(index, false);
-        this->hosts.at(index).source = DocumentSource();
+        this->hosts.at(index).source = DocumentPublisher();
         this->hosts.at(index).source.Publish(this->newest, this->newestText);
       }
     }
@@ -412,7 +412,7 @@
       Host& host = this->hosts.at(index);
       host.source.Publish(this->newest, this->newestText);
       if (host.connected) {
-        this->fetch.OnAnnounced(Name(index), this->newest);
+        this->fetch.OnVersionAnnounced(Name(index), this->newest);
       }
     }
   }
@@ -436,7 +436,7 @@
     }
   }
 
-  void Ask(int aHost, const DocumentQuestion& aQuestion)
+  void Ask(int aHost, const DocumentRequest& aQuestion)
   {
     Host& host = this->hosts.at(aHost);
     if (!host.connected || host.suspended) {
@@ -451,26 +451,26 @@
 
   void Arrive(const OnItsWay& aItem)
   {
-    const auto whole = this->fetch.OnPiece(Name(aItem.from), aItem.piece);
+    const auto whole = this->fetch.OnChunk(Name(aItem.from), aItem.piece);
     if (!whole) {
       return;
     }
     const std::string base = whole->transfer.base == Revision() ? "" : this->text;
     const auto unpacked = UnpackText(whole->packed, base, kMost);
     if (!unpacked) {
-      this->fetch.OnRefused(whole->transfer);
+      this->fetch.OnUnpackFailed(whole->transfer);
       return;
     }
     this->wentBack = this->wentBack || whole->transfer.version <= this->held;
     this->held = whole->transfer.version;
     this->text = unpacked.value();
-    this->fetch.OnHeld(this->held);
+    this->fetch.OnVersionInstalled(this->held);
   }
 
   ManualClock clock;
   std::mt19937 random;
   std::array<Host, kHosts> hosts;
-  DocumentFetch fetch{ this->clock };
+  DocumentFetcher fetch{ this->clock };
   std::vector<OnItsWay> way;
   MonotonicTime freeAt;
   Revision newest;
@@ -480,7 +480,7 @@
   bool wentBack = false;
 };
 
-RC_GTEST_PROP(DocumentFetchProperty, NewestVersionIsHeldSoonAfterAllIsWellAndNoneGoesBack, ())
+RC_GTEST_PROP(DocumentFetcherProperty, ObtainsNewestVersionAfterFaultsAndNeverGoesBack, ())
 {
   Deployment deployment(*rc::gen::arbitrary<std::uint32_t>());
   deployment.Play(*rc::gen::inRange(1, 600));
--- a/test/coordination/DocumentSourceTest.cpp
+++ b/test/coordination/DocumentPublisherTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/DocumentSource.h"
+#include "damasklink/coordination/DocumentPublisher.h"
 
 #include <gtest/gtest.h>
 
@@ -9,16 +9,16 @@
 
 constexpr std::uint64_t kMany = 1'000'000;
 
-DocumentQuestion
+DocumentRequest
 Holding(std::uint64_t aVersion, std::uint64_t aMostBytes = kMany)
 {
-  DocumentQuestion question;
+  DocumentRequest question;
   question.held = Revision(aVersion);
   question.mostBytes = aMostBytes;
   return question;
 }
 
-class DocumentSourceTest : public ::testing::Test
+class DocumentPublisherTest : public ::testing::Test
 {
 protected:
   void Publish(std::uint64_t aVersion, const std::string& aText)
@@ -26,17 +26,17 @@
     this->source.Publish(Revision(aVersion), aText);
   }
 
-  DocumentSource source;
+  DocumentPublisher source;
 };
 
-TEST_F(DocumentSourceTest, NothingIsSentBeforeThereIsAny)
+TEST_F(DocumentPublisherTest, SendsNothingBeforeFirstVersion)
 {
   EXPECT_FALSE(this->source.Answer(Holding(0)));
   this->Publish(0, "");
   EXPECT_FALSE(this->source.Answer(Holding(0)));
 }
 
-TEST_F(DocumentSourceTest, HostWithoutAnyGetsItWhole)
+TEST_F(DocumentPublisherTest, SendsFullDocumentToHostWithoutOne)
 {
   this->Publish(7, "seven");
   const auto piece = this->source.Answer(Holding(0));
@@ -47,7 +47,7 @@
   EXPECT_EQ(UnpackText(piece->bytes, "", kMany).value(), "seven");
 }
 
-TEST_F(DocumentSourceTest, HostWithAnEarlierOneGetsWhatChanged)
+TEST_F(DocumentPublisherTest, SendsDeltaToHostWithEarlierVersion)
 {
   this->Publish(7, "seven");
   this->Publish(9, "nine");
@@ -57,14 +57,14 @@
   EXPECT_EQ(UnpackText(piece->bytes, "seven", kMany).value(), "nine");
 }
 
-TEST_F(DocumentSourceTest, HostWithTheNewestOneGetsNothing)
+TEST_F(DocumentPublisherTest, SendsNothingToHostWithNewestVersion)
 {
   this->Publish(7, "seven");
   EXPECT_FALSE(this->source.Answer(Holding(7)));
   EXPECT_FALSE(this->source.Answer(Holding(8)));
 }
 
-TEST_F(DocumentSourceTest, LowerVersionTakesNoPlace)
+TEST_F(DocumentPublisherTest, IgnoresLowerOrRepeatedVersion)
 {
   this->Publish(7, "seven");
   this->Publish(5, "five");
@@ -73,12 +73,12 @@
   EXPECT_EQ(UnpackText(piece->bytes, "", kMany).value(), "seven");
 }
 
-TEST_F(DocumentSourceTest, TransferThatIsUnderWayGoesOnThoughThereIsANewerVersion)
+TEST_F(DocumentPublisherTest, ContinuesStartedTransferAfterNewerVersion)
 {
   this->Publish(7, "a text of more than a few bytes");
   const auto first = this->source.Answer(Holding(0, 10));
   this->Publish(8, "another");
-  DocumentQuestion more = Holding(0);
+  DocumentRequest more = Holding(0);
   more.transfer = first->transfer;
   more.offset = 10;
   const auto rest = this->source.Answer(more);
@@ -89,10 +89,10 @@
             "a text of more than a few bytes");
 }
 
-TEST_F(DocumentSourceTest, OtherHostsBytesOfATransferAreNotContinued)
+TEST_F(DocumentPublisherTest, RestartsTransferWithUnknownChecksum)
 {
   this->Publish(7, "seven");
-  DocumentQuestion more = Holding(0);
+  DocumentRequest more = Holding(0);
   more.transfer = TransferId{ Revision(7), Revision(), 1000, 1 };
   more.offset = 500;
   const auto piece = this->source.Answer(more);
@@ -101,7 +101,7 @@
   EXPECT_EQ(piece->offset, 0U);
 }
 
-TEST_F(DocumentSourceTest, HostThatIsFarBehindGetsItWholeAndMemoryStaysBounded)
+TEST_F(DocumentPublisherTest, SendsFullDocumentWhenBaseWasEvicted)
 {
   const std::string large(3'000'000, 'x');
   for (std::uint64_t version = 1; version <= 6; ++version) {
@@ -111,7 +111,7 @@
   EXPECT_EQ(this->source.Answer(Holding(5))->transfer.base, Revision(5));
 }
 
-TEST_F(DocumentSourceTest, NewestVersionIsKeptHoweverLargeItIs)
+TEST_F(DocumentPublisherTest, KeepsNewestVersionBeyondMemoryLimit)
 {
   this->Publish(1, "small");
   this->Publish(2, std::string(20'000'000, 'x'));
