--- a/test/coordination/EvacuationsTest.cpp
+++ b/test/coordination/EvacuationRegistryTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/Evacuations.h"
+#include "damasklink/coordination/EvacuationRegistry.h"
 
 #include <gtest/gtest.h>
 
@@ -13,9 +13,9 @@
   return SetEvacuation{ kZone, aEvacuated, aSeenChanges, WallTime() };
 }
 
-TEST(EvacuationsTest, OrderAndItsWithdrawalAreApplied)
+TEST(EvacuationRegistryTest, AppliesOrderAndItsWithdrawal)
 {
-  Evacuations evacuations;
+  EvacuationRegistry evacuations;
   EXPECT_EQ(evacuations.Apply(Order(true, 0)), EvacuationResult::Applied);
   EXPECT_EQ(evacuations.Current().zones, std::set<ZoneId>{ kZone });
   EXPECT_EQ(evacuations.Apply(Order(false, 1)), EvacuationResult::Applied);
@@ -23,18 +23,18 @@
   EXPECT_EQ(evacuations.Current().revision, 2U);
 }
 
-TEST(EvacuationsTest, OrderThatIsSentAgainChangesNothing)
+TEST(EvacuationRegistryTest, RepeatedOrderChangesNothing)
 {
-  Evacuations evacuations;
+  EvacuationRegistry evacuations;
   evacuations.Apply(Order(true, 0));
-  EXPECT_EQ(evacuations.Apply(Order(true, 0)), EvacuationResult::AlreadySo);
+  EXPECT_EQ(evacuations.Apply(Order(true, 0)), EvacuationResult::NoChange);
   EXPECT_EQ(evacuations.Current().revision, 1U);
 }
 
 // Guards against a copy of an order that was given up on and is committed after its withdrawal.
-TEST(EvacuationsTest, LateCopyOfAWithdrawnOrderDoesNothing)
+TEST(EvacuationRegistryTest, LateCopyOfWithdrawnOrderIsSuperseded)
 {
-  Evacuations evacuations;
+  EvacuationRegistry evacuations;
   evacuations.Apply(Order(true, 0));
   evacuations.Apply(Order(false, 1));
   EXPECT_EQ(evacuations.Apply(Order(true, 0)), EvacuationResult::Superseded);
@@ -42,16 +42,16 @@
   EXPECT_EQ(evacuations.Apply(Order(true, 2)), EvacuationResult::Applied);
 }
 
-TEST(EvacuationsTest, WithdrawalByAHostThatHasNotSeenTheOrderIsNotAcknowledgedAsDone)
+TEST(EvacuationRegistryTest, WithdrawalThatHasNotSeenTheOrderIsSuperseded)
 {
-  Evacuations evacuations;
+  EvacuationRegistry evacuations;
   evacuations.Apply(Order(true, 0));
   EXPECT_EQ(evacuations.Apply(Order(false, 0)), EvacuationResult::Superseded);
 }
 
-TEST(EvacuationsTest, ZonesAreIndependent)
+TEST(EvacuationRegistryTest, ZonesAreIndependent)
 {
-  Evacuations evacuations;
+  EvacuationRegistry evacuations;
   evacuations.Apply(Order(true, 0));
   const SetEvacuation other{ ZoneId("other"), true, 0, WallTime() };
   EXPECT_EQ(evacuations.Apply(other), EvacuationResult::Applied);
--- a/test/coordination/HubChoiceTest.cpp
+++ b/test/coordination/HubSelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/HubChoice.h"
+#include "damasklink/coordination/HubSelector.h"
 
 #include <gtest/gtest.h>
 
@@ -9,62 +9,62 @@
 const HubCandidate kNear{ HostId("near"), kOwn, true };
 const HubCandidate kFar{ HostId("far"), ZoneId("z2"), true };
 
-class HubChoiceTest : public ::testing::Test
+class HubSelectorTest : public ::testing::Test
 {
 protected:
   ManualClock clock;
-  HubChoice choice{ this->clock, kOwn };
+  HubSelector choice{ this->clock, kOwn };
 };
 
-TEST_F(HubChoiceTest, ControlHostOfTheOwnZoneIsChosen)
+TEST_F(HubSelectorTest, PrefersControlHostOfOwnZone)
 {
   EXPECT_EQ(this->choice.Choose({}), std::nullopt);
   EXPECT_EQ(this->choice.Choose({ kFar, kNear }), kNear.host);
 }
 
-TEST_F(HubChoiceTest, OneThatHearsALeaderGoesFirst)
+TEST_F(HubSelectorTest, PrefersControlHostThatHearsALeader)
 {
   HubCandidate isolated = kNear;
-  isolated.good = false;
+  isolated.hearsLeader = false;
   EXPECT_EQ(this->choice.Choose({ isolated, kFar }), kFar.host);
 }
 
 // The load: a control host is suspended for seven seconds. Its entry hosts must hear of each
 // other's long prompts from another one after half a second, and not come back to it while it is
 // silent.
-TEST_F(HubChoiceTest, HubThatDoesNotAnswerIsLeftUntilItSpeaks)
+TEST_F(HubSelectorTest, AvoidsUnresponsiveHubUntilItSendsAgain)
 {
   this->choice.Choose({ kNear, kFar });
-  this->choice.OnTold();
-  this->clock.Advance(HubChoice::kPatience / 2);
-  this->choice.OnTold();
+  this->choice.OnReportSent();
+  this->clock.Advance(HubSelector::kReplyTimeout / 2);
+  this->choice.OnReportSent();
   EXPECT_EQ(this->choice.Choose({ kNear, kFar }), kNear.host);
-  this->clock.Advance(HubChoice::kPatience / 2);
+  this->clock.Advance(HubSelector::kReplyTimeout / 2);
   EXPECT_EQ(this->choice.Choose({ kNear, kFar }), kFar.host);
-  this->choice.OnTold();
-  this->choice.OnHeard(kFar.host);
+  this->choice.OnReportSent();
+  this->choice.OnMessageFrom(kFar.host);
   this->clock.Advance(std::chrono::seconds(6));
   EXPECT_EQ(this->choice.Choose({ kNear, kFar }), kFar.host);
-  this->choice.OnHeard(kNear.host);
+  this->choice.OnMessageFrom(kNear.host);
   EXPECT_EQ(this->choice.Choose({ kNear, kFar }), kNear.host);
 }
 
-TEST_F(HubChoiceTest, HubThatWasToldNothingOwesNothing)
+TEST_F(HubSelectorTest, KeepsHubThatWasSentNoReport)
 {
   this->choice.Choose({ kNear, kFar });
   this->clock.Advance(std::chrono::minutes(1));
   EXPECT_EQ(this->choice.Choose({ kNear, kFar }), kNear.host);
 }
 
-TEST_F(HubChoiceTest, QuietHubIsBetterThanNone)
+TEST_F(HubSelectorTest, KeepsUnresponsiveHubWhenThereIsNoOther)
 {
   this->choice.Choose({ kNear });
-  this->choice.OnTold();
-  this->clock.Advance(HubChoice::kPatience);
+  this->choice.OnReportSent();
+  this->clock.Advance(HubSelector::kReplyTimeout);
   EXPECT_EQ(this->choice.Choose({ kNear }), kNear.host);
 }
 
-TEST_F(HubChoiceTest, LostHubIsChosenAnewWhenItIsBack)
+TEST_F(HubSelectorTest, SelectsHubAgainAfterReconnect)
 {
   this->choice.Choose({ kNear });
   this->choice.OnLost(kNear.host);
--- a/test/coordination/LimitModelTest.cpp
+++ b/test/coordination/LimitModelTest.cpp
@@ -101,7 +101,7 @@
   {
     MonotonicTime at;
     std::size_t to = 0;
-    SendsNews news;
+    LoadReport news;
     // From a control host, for an entry host that hears it while it is its hub.
     std::optional<std::size_t> fromControl;
     bool fromEntry = false;
@@ -216,7 +216,7 @@
   void Tell()
   {
     for (Entry& entry : this->entries) {
-      SendsNews news;
+      LoadReport news;
       news.limitReports = entry.held->TakeReports();
       if (this->IsUp(entry) && !news.limitReports.empty()) {
         this->Post(Message{ {}, entry.hub, std::move(news), std::nullopt, true });
@@ -233,7 +233,7 @@
         const bool greets = this->IsUp(entry) && !entry.greeted;
         if (entry.hub == index && (changed || greets)) {
           entry.greeted = entry.greeted || greets;
-          SendsNews news;
+          LoadReport news;
           news.limits = shares;
           this->Post(Message{ {}, to, std::move(news), index, false });
         }
--- a/test/coordination/RecentHostsTest.cpp
+++ b/test/coordination/RecentHostsTest.cpp
@@ -5,18 +5,18 @@
 namespace damasklink {
 namespace {
 
-TEST(RecentHostsTest, AHostThatIsOutOfTouchKeepsItsPlaceForAWhile)
+TEST(RecentHostsTest, KeepsUnseenHostForRetentionTime)
 {
   const HostId near("near");
   const HostId far("far");
   ManualClock clock;
   RecentHosts recent;
-  recent.Note({ near, far }, clock.MonotonicNow());
-  clock.Advance(RecentHosts::kMemory);
-  recent.Note({ near }, clock.MonotonicNow());
+  recent.Update({ near, far }, clock.MonotonicNow());
+  clock.Advance(RecentHosts::kRetention);
+  recent.Update({ near }, clock.MonotonicNow());
   EXPECT_EQ(recent.All(), (std::set<HostId>{ near, far }));
   clock.Advance(std::chrono::milliseconds(1));
-  recent.Note({ near }, clock.MonotonicNow());
+  recent.Update({ near }, clock.MonotonicNow());
   EXPECT_EQ(recent.All(), std::set<HostId>{ near });
 }
 
--- a/test/coordination/RouteTableTest.cpp
+++ b/test/coordination/RouteTableTest.cpp
@@ -41,13 +41,13 @@
   ServingConfig config;
 };
 
-TEST_F(RouteTableTest, LongestPrefixGoesFirst)
+TEST_F(RouteTableTest, ChoosesLongestPrefix)
 {
   EXPECT_EQ(this->Found("shop.example", "/a/b/c"), "long");
   EXPECT_EQ(this->Found("shop.example", "/a/c"), "short");
 }
 
-TEST_F(RouteTableTest, PrefixEndsAtASlash)
+TEST_F(RouteTableTest, PrefixMatchesOnlyUpToASlash)
 {
   EXPECT_EQ(this->Found("shop.example", "/a/b"), "short");
   EXPECT_EQ(this->Found("shop.example", "/a/bc/"), "short");
@@ -55,23 +55,23 @@
   EXPECT_EQ(this->Found("shop.example", "/a"), "");
 }
 
-TEST_F(RouteTableTest, PrefixItselfIsInside)
+TEST_F(RouteTableTest, PathEqualToPrefixMatches)
 {
   EXPECT_EQ(this->Found("shop.example", "/a/b/"), "long");
 }
 
-TEST_F(RouteTableTest, HostIsComparedWithoutCaseAndPort)
+TEST_F(RouteTableTest, IgnoresCaseAndPortOfHost)
 {
   EXPECT_EQ(this->Found("Shop.Example:8080", "/a/x"), "short");
   EXPECT_EQ(this->Found("nobody.example", "/a/x"), "");
 }
 
-TEST_F(RouteTableTest, HostCannotReachIntoThePath)
+TEST_F(RouteTableTest, HostIsNotTakenFromPath)
 {
   EXPECT_EQ(this->Found("", "shop.example/a/x"), "");
 }
 
-TEST_F(RouteTableTest, KeyNamesItsWorkspace)
+TEST_F(RouteTableTest, FindsWorkspaceByKey)
 {
   const RouteTable table(std::make_shared<const ServingConfig>(this->config));
   ASSERT_NE(table.FindWorkspace("key-2"), nullptr);
@@ -80,7 +80,7 @@
   EXPECT_EQ(table.FindWorkspace(""), nullptr);
 }
 
-TEST(ChooseServiceTest, SharesFollowTheWeights)
+TEST(ChooseServiceTest, DistributesCallsByWeight)
 {
   ServingRoute route;
   route.shares = { ServiceShare{ ServiceName("a"), 90 }, ServiceShare{ ServiceName("b"), 10 } };
@@ -91,7 +91,7 @@
   EXPECT_EQ(b, 100);
 }
 
-TEST(ChooseServiceTest, ServiceWithoutWeightGetsNothing)
+TEST(ChooseServiceTest, SkipsServiceWithZeroWeight)
 {
   ServingRoute route;
   route.shares = { ServiceShare{ ServiceName("a"), 0 }, ServiceShare{ ServiceName("b"), 1 } };
--- a/test/coordination/SendsHubTest.cpp
+++ b/test/coordination/SendsHubTest.cpp
@@ -7,20 +7,18 @@
 
 const HostId kSelf("hub");
 
-TargetSendsNow
+InFlightLoad
 Sends(const std::string& aTarget, std::uint64_t aRequests)
 {
-  return TargetSendsNow{
-    TargetId(aTarget), aRequests, TokenCount(aRequests * 10), TokenCount(), {}
-  };
+  return InFlightLoad{ TargetId(aTarget), aRequests, TokenCount(aRequests * 10), TokenCount(), {} };
 }
 
 class SendsHubTest : public testing::Test
 {
 protected:
-  void Take(const std::string& aHost, std::vector<TargetSendsNow> aSends)
+  void Take(const std::string& aHost, std::vector<InFlightLoad> aSends)
   {
-    this->hub.Take(SendsNews{ HostId(aHost), std::move(aSends), {}, {}, false },
+    this->hub.Take(LoadReport{ HostId(aHost), std::move(aSends), {}, {}, false },
                    this->clock.MonotonicNow());
   }
 
@@ -32,9 +30,9 @@
 {
   this->Take("x", { Sends("a", 2) });
   this->Take("y", { Sends("a", 3), Sends("b", 1) });
-  const SendsNews news = this->hub.TakeChanges(kSelf);
+  const LoadReport news = this->hub.TakeChanges(kSelf);
   EXPECT_EQ(news.host, kSelf);
-  EXPECT_EQ(news.sends, (std::vector<TargetSendsNow>{ Sends("a", 5), Sends("b", 1) }));
+  EXPECT_EQ(news.sends, (std::vector<InFlightLoad>{ Sends("a", 5), Sends("b", 1) }));
 }
 
 TEST_F(SendsHubTest, OnlyWhatHasChangedIsToldAgain)
@@ -43,14 +41,14 @@
   this->hub.TakeChanges(kSelf);
   EXPECT_TRUE(this->hub.TakeChanges(kSelf).sends.empty());
   this->Take("x", { Sends("b", 4) });
-  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("b", 4) });
+  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Sends("b", 4) });
 }
 
 TEST_F(SendsHubTest, LaterWordsOfAHostTakeThePlaceOfEarlierOnes)
 {
   this->Take("x", { Sends("a", 2) });
   this->Take("x", { Sends("a", 1) });
-  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 1) });
+  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Sends("a", 1) });
 }
 
 TEST_F(SendsHubTest, HostThatIsGoneTakesItsShareAlong)
@@ -59,38 +57,38 @@
   this->Take("y", { Sends("a", 3) });
   this->hub.TakeChanges(kSelf);
   this->hub.Forget(HostId("x"));
-  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 3) });
+  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Sends("a", 3) });
   EXPECT_EQ(this->hub.Tellers(), std::set<HostId>{ HostId("y") });
 }
 
 TEST_F(SendsHubTest, HostThatTellsAnotherFromNowOnCountsNoMore)
 {
   this->Take("x", { Sends("a", 2) });
-  this->hub.Take(SendsNews{ HostId("x"), {}, {}, {}, true }, this->clock.MonotonicNow());
+  this->hub.Take(LoadReport{ HostId("x"), {}, {}, {}, true }, this->clock.MonotonicNow());
   EXPECT_TRUE(this->hub.Tellers().empty());
-  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 0) });
+  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Sends("a", 0) });
 }
 
 TEST_F(SendsHubTest, ExcessesOfStoresAreAddedUpOnce)
 {
-  this->hub.Take(SendsNews{ HostId("x"), {}, { StoreExcess{ "s", 2, 10 } }, {}, false },
+  this->hub.Take(LoadReport{ HostId("x"), {}, { StoreFetchDelay{ "s", 2, 10 } }, {}, false },
                  this->clock.MonotonicNow());
-  this->hub.Take(SendsNews{ HostId("y"), {}, { StoreExcess{ "s", 1, 200 } }, {}, false },
+  this->hub.Take(LoadReport{ HostId("y"), {}, { StoreFetchDelay{ "s", 1, 200 } }, {}, false },
                  this->clock.MonotonicNow());
-  const std::vector<StoreExcess> expected{ StoreExcess{ "s", 3, 210 } };
+  const std::vector<StoreFetchDelay> expected{ StoreFetchDelay{ "s", 3, 210 } };
   EXPECT_EQ(this->hub.TakeChanges(kSelf).excesses, expected);
   EXPECT_TRUE(this->hub.TakeChanges(kSelf).excesses.empty());
 }
 
 TEST_F(SendsHubTest, PartsOfAllHostsAreToldOnce)
 {
-  TargetSendsNow first = Sends("a", 1);
+  InFlightLoad first = Sends("a", 1);
   first.parts = { SizedPart{ PartKey(1), TokenCount(800) } };
-  TargetSendsNow second = Sends("a", 1);
+  InFlightLoad second = Sends("a", 1);
   second.parts = { SizedPart{ PartKey(2), TokenCount(900) } };
   this->Take("x", { first });
   this->Take("y", { second });
-  const SendsNews news = this->hub.TakeChanges(kSelf);
+  const LoadReport news = this->hub.TakeChanges(kSelf);
   ASSERT_EQ(news.sends.size(), 1U);
   EXPECT_EQ(news.sends.front().parts.size(), 2U);
   this->Take("x", { Sends("a", 0) });
@@ -100,44 +98,47 @@
 TEST_F(SendsHubTest, EntryHostsAreToldOneTotalOfAllControlHosts)
 {
   this->Take("x", { Sends("a", 2) });
-  this->hub.TakeSum(SendsNews{ HostId("north"), { Sends("a", 5), Sends("b", 1) }, {}, {}, false },
+  this->hub.TakeSum(LoadReport{ HostId("north"), { Sends("a", 5), Sends("b", 1) }, {}, {}, false },
                     this->clock.MonotonicNow());
-  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 2) });
-  const SendsNews totals = this->hub.TakeTotals(kSelf);
+  EXPECT_EQ(this->hub.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Sends("a", 2) });
+  const LoadReport totals = this->hub.TakeTotals(kSelf);
   EXPECT_EQ(totals.host, kSelf);
-  EXPECT_EQ(totals.sends, (std::vector<TargetSendsNow>{ Sends("a", 7), Sends("b", 1) }));
+  EXPECT_EQ(totals.sends, (std::vector<InFlightLoad>{ Sends("a", 7), Sends("b", 1) }));
   EXPECT_TRUE(this->hub.TakeTotals(kSelf).sends.empty());
 }
 
 TEST_F(SendsHubTest, ControlHostThatFallsSilentTakesItsShareAlong)
 {
   this->Take("x", { Sends("a", 2) });
-  this->hub.TakeSum(SendsNews{ HostId("north"), { Sends("a", 5) }, {}, {}, false },
+  this->hub.TakeSum(LoadReport{ HostId("north"), { Sends("a", 5) }, {}, {}, false },
                     this->clock.MonotonicNow());
   this->hub.TakeTotals(kSelf);
   this->clock.Advance(std::chrono::seconds(3));
   this->hub.ForgetSumsBefore(this->clock.MonotonicNow() - std::chrono::seconds(2));
-  EXPECT_EQ(this->hub.TakeTotals(kSelf).sends, std::vector<TargetSendsNow>{ Sends("a", 2) });
+  EXPECT_EQ(this->hub.TakeTotals(kSelf).sends, std::vector<InFlightLoad>{ Sends("a", 2) });
 }
 
 TEST_F(SendsHubTest, NewTellerIsToldAllTotals)
 {
   this->Take("x", { Sends("a", 2) });
-  this->hub.TakeSum(SendsNews{ HostId("north"), { Sends("b", 1) }, {}, {}, false },
+  this->hub.TakeSum(LoadReport{ HostId("north"), { Sends("b", 1) }, {}, {}, false },
                     this->clock.MonotonicNow());
   this->hub.TakeTotals(kSelf);
   EXPECT_EQ(this->hub.AllTotals(kSelf).sends,
-            (std::vector<TargetSendsNow>{ Sends("a", 2), Sends("b", 1) }));
+            (std::vector<InFlightLoad>{ Sends("a", 2), Sends("b", 1) }));
 }
 
 TEST_F(SendsHubTest, FindingsOfAllAreToldOnceToEntryHosts)
 {
-  this->hub.Take(SendsNews{ HostId("x"), {}, {}, { TargetFindings{ TargetId("a"), 1, 0 } }, false },
-                 this->clock.MonotonicNow());
+  this->hub.Take(
+    LoadReport{ HostId("x"), {}, {}, { TargetReachabilityReport{ TargetId("a"), 1, 0 } }, false },
+    this->clock.MonotonicNow());
   this->hub.TakeSum(
-    SendsNews{ HostId("north"), {}, {}, { TargetFindings{ TargetId("a"), 2, 0 } }, false },
+    LoadReport{
+      HostId("north"), {}, {}, { TargetReachabilityReport{ TargetId("a"), 2, 0 } }, false },
     this->clock.MonotonicNow());
-  const std::vector<TargetFindings> expected{ TargetFindings{ TargetId("a"), 3, 0 } };
+  const std::vector<TargetReachabilityReport> expected{ TargetReachabilityReport{
+    TargetId("a"), 3, 0 } };
   EXPECT_EQ(this->hub.TakeTotals(kSelf).findings, expected);
   EXPECT_TRUE(this->hub.TakeTotals(kSelf).findings.empty());
 }
@@ -153,7 +154,7 @@
     ManualClock clock;
     std::vector<SendsHub> hubs(kHubs);
     for (int host = 0; host < aEntryHosts; ++host) {
-      SendsNews news;
+      LoadReport news;
       news.host = HostId("entry-" + std::to_string(host));
       for (int sent = 0; sent < 3; ++sent) {
         news.sends.push_back(Sends("target-" + std::to_string((host * 7 + sent) % kTargets), 1));
@@ -165,8 +166,8 @@
       hubs.front().TakeSum(hubs[hub].TakeChanges(name), clock.MonotonicNow());
     }
     std::uint64_t requests = 0;
-    const SendsNews totals = hubs.front().TakeTotals(kSelf);
-    for (const TargetSendsNow& sends : totals.sends) {
+    const LoadReport totals = hubs.front().TakeTotals(kSelf);
+    for (const InFlightLoad& sends : totals.sends) {
       requests += sends.requests;
     }
     EXPECT_EQ(requests, static_cast<std::uint64_t>(aEntryHosts) * 3);
--- a/test/coordination/ServingConfigTest.cpp
+++ b/test/coordination/ServingConfigTest.cpp
@@ -30,19 +30,19 @@
   return config;
 }
 
-TEST(ServingConfigTest, ValidOneIsAccepted)
+TEST(ServingConfigTest, AcceptsValidConfig)
 {
   EXPECT_TRUE(CheckServingConfig(ValidConfig()));
 }
 
-TEST(ServingConfigTest, UnknownServiceIsRefused)
+TEST(ServingConfigTest, RejectsUnknownService)
 {
   ServingConfig config = ValidConfig();
   config.routes.front().shares.push_back(ServiceShare{ ServiceName("nobody"), 1 });
   EXPECT_FALSE(CheckServingConfig(config));
 }
 
-TEST(ServingConfigTest, TwoRoutesAtOnePlaceAreRefused)
+TEST(ServingConfigTest, RejectsRoutesWithSameHostAndPrefix)
 {
   ServingConfig config = ValidConfig();
   config.routes.push_back(config.routes.front());
@@ -51,41 +51,41 @@
   EXPECT_TRUE(CheckServingConfig(config));
 }
 
-TEST(ServingConfigTest, WeightsThatAddUpToZeroAreRefused)
+TEST(ServingConfigTest, RejectsWeightsThatSumToZero)
 {
   ServingConfig config = ValidConfig();
   config.routes.front().shares.front().weight = 0;
   EXPECT_FALSE(CheckServingConfig(config));
 }
 
-TEST(ServingConfigTest, TimeoutOfZeroIsRefused)
+TEST(ServingConfigTest, RejectsZeroTimeout)
 {
   ServingConfig config = ValidConfig();
   config.routes.front().timeout = Duration::zero();
   EXPECT_FALSE(CheckServingConfig(config));
 }
 
-TEST(ServingConfigTest, KeyOfTwoWorkspacesIsRefused)
+TEST(ServingConfigTest, RejectsKeyHeldByTwoWorkspaces)
 {
   ServingConfig config = ValidConfig();
   config.workspaces.back().keys.push_back("k1");
   EXPECT_FALSE(CheckServingConfig(config));
 }
 
-TEST(ServingConfigTest, PrefixBetweenSlashesIsNeeded)
+TEST(ServingConfigTest, RejectsPrefixWithoutSlashes)
 {
   ServingConfig config = ValidConfig();
   config.routes.front().prefix = "/a";
   EXPECT_FALSE(CheckServingConfig(config));
 }
 
-TEST(ServingConfigTest, UnknownRegionIsRefusedWithItsOwner)
+TEST(ServingConfigTest, RejectsUnknownRegionAndNamesItsOwner)
 {
   const std::set<RegionId> regions{ RegionId("north") };
   ServingConfig config = ValidConfig();
-  config.routes[0].homes = { RegionId("north") };
+  config.routes[0].allowedRegions = { RegionId("north") };
   EXPECT_TRUE(CheckRegions(config, regions));
-  config.workspaces[1].homes = { RegionId("nowhere") };
+  config.workspaces[1].allowedRegions = { RegionId("nowhere") };
   const auto checked = CheckRegions(config, regions);
   ASSERT_FALSE(checked);
   EXPECT_EQ(checked.error().kind, ErrorKind::InvalidArgument);
--- a/test/coordination/ServingMachineTest.cpp
+++ b/test/coordination/ServingStateMachineTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ServingMachine.h"
+#include "damasklink/coordination/ServingStateMachine.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -6,24 +6,24 @@
 namespace damasklink {
 namespace {
 
-ServingStanding
-Apply(ServingMachine& aMachine, const ServingCommand& aCommand)
+ServingCommandResult
+Apply(ServingStateMachine& aMachine, const ServingCommand& aCommand)
 {
   const std::string answer = aMachine.Apply(ApplyContext{}, EncodeServingCommand(aCommand));
-  return DecodeServingStanding(answer).value();
+  return DecodeServingCommandResult(answer).value();
 }
 
-TEST(ServingMachineTest, HigherVersionReplacesTheDocument)
+TEST(ServingStateMachineTest, HigherVersionReplacesTheDocument)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   EXPECT_EQ(Apply(machine, PutDocument{ Revision(3), "three" }).version, Revision(3));
   EXPECT_EQ(Apply(machine, PutDocument{ Revision(9), "nine" }).version, Revision(9));
   EXPECT_EQ(machine.Document(), "nine");
 }
 
-TEST(ServingMachineTest, LowerVersionIsAcknowledgedAndChangesNothing)
+TEST(ServingStateMachineTest, LowerVersionIsAcknowledgedAndChangesNothing)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   Apply(machine, PutDocument{ Revision(9), "nine" });
   const std::uint64_t changes = machine.Changes();
   EXPECT_TRUE(Apply(machine, PutDocument{ Revision(3), "three" }).understood);
@@ -31,19 +31,19 @@
   EXPECT_EQ(machine.Changes(), changes);
 }
 
-TEST(ServingMachineTest, FirstContentUnderAVersionStays)
+TEST(ServingStateMachineTest, KeepsFirstContentOfAVersion)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   Apply(machine, PutDocument{ Revision(9), "nine" });
   Apply(machine, PutDocument{ Revision(9), "another nine" });
   EXPECT_EQ(machine.Document(), "nine");
 }
 
-TEST(ServingMachineTest, VersionsOfWeightsOnlyRise)
+TEST(ServingStateMachineTest, WeightVersionsNeverDecrease)
 {
-  ServingMachine machine;
-  Apply(machine, NameWeights{ ModelName("m"), 3 });
-  Apply(machine, NameWeights{ ModelName("m"), 2 });
+  ServingStateMachine machine;
+  Apply(machine, SetWeightVersion{ ModelName("m"), 3 });
+  Apply(machine, SetWeightVersion{ ModelName("m"), 2 });
   EXPECT_EQ(machine.Weights().at(ModelName("m")), 3U);
 }
 
@@ -56,9 +56,9 @@
                         { WorkspaceId("w"), WallTime(std::chrono::milliseconds(aSince)) } };
 }
 
-TEST(ServingMachineTest, RefusedRequestKeepsItsTimeUntilItIsReleased)
+TEST(ServingStateMachineTest, RefusedRequestKeepsFirstTimeUntilReleased)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   Apply(machine, Refuse(kRequest, 5));
   Apply(machine, Refuse(kRequest, 9));
   ASSERT_EQ(machine.Refused().size(), 1U);
@@ -67,69 +67,69 @@
   EXPECT_TRUE(machine.Refused().empty());
 }
 
-TEST(ServingMachineTest, RefusedRequestsOutlastARestart)
+TEST(ServingStateMachineTest, RefusedRequestsSurviveRestart)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   Apply(machine, PutDocument{ Revision(9), "nine" });
   Apply(machine, Refuse(kRequest, 5));
-  ServingMachine restarted;
+  ServingStateMachine restarted;
   ASSERT_TRUE(restarted.Load(machine.Save()));
   EXPECT_EQ(restarted.Refused(), machine.Refused());
 }
 
-TEST(ServingMachineTest, SnapshotOfAProgramThatKnewNoRefusedRequestsIsRead)
+TEST(ServingStateMachineTest, LoadsSnapshotWithoutRefusedRequests)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   Apply(machine, PutDocument{ Revision(9), "nine" });
-  ServingMachine restarted;
+  ServingStateMachine restarted;
   ASSERT_TRUE(restarted.Load(machine.Save()));
   EXPECT_TRUE(restarted.Refused().empty());
 }
 
-TEST(ServingMachineTest, TheRequestRefusedFirstMakesRoom)
+TEST(ServingStateMachineTest, EvictsOldestRefusedRequestAtLimit)
 {
-  ServingMachine machine;
-  for (std::uint64_t index = 0; index <= ServingMachine::kMostRefused; ++index) {
+  ServingStateMachine machine;
+  for (std::uint64_t index = 0; index <= ServingStateMachine::kMostRefused; ++index) {
     Apply(machine, Refuse(RequestFingerprint(index), static_cast<std::int64_t>(index)));
   }
-  EXPECT_EQ(machine.Refused().size(), ServingMachine::kMostRefused);
+  EXPECT_EQ(machine.Refused().size(), ServingStateMachine::kMostRefused);
   EXPECT_FALSE(machine.Refused().contains(RequestFingerprint(0)));
 }
 
-TEST(ServingMachineTest, QuestionTellsTheVersionAndChangesNothing)
+TEST(ServingStateMachineTest, ReadBarrierReturnsVersionAndChangesNothing)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   Apply(machine, PutDocument{ Revision(9), "nine" });
   const std::uint64_t changes = machine.Changes();
-  EXPECT_EQ(Apply(machine, ReadMarker{}).version, Revision(9));
+  EXPECT_EQ(Apply(machine, ReadBarrier{}).version, Revision(9));
   EXPECT_EQ(machine.Changes(), changes);
 }
 
-TEST(ServingMachineTest, CommandThatCannotBeReadIsSaidSo)
+TEST(ServingStateMachineTest, ReportsUnreadableCommand)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   const std::string answer = machine.Apply(ApplyContext{}, "\x07nonsense");
-  EXPECT_FALSE(DecodeServingStanding(answer).value().understood);
+  EXPECT_FALSE(DecodeServingCommandResult(answer).value().understood);
 }
 
-TEST(ServingMachineTest, DamagedSnapshotLeavesTheStateAsItWas)
+TEST(ServingStateMachineTest, RejectsDamagedSnapshotAndKeepsState)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   Apply(machine, PutDocument{ Revision(9), "nine" });
   EXPECT_FALSE(machine.Load("short"));
   EXPECT_EQ(machine.Document(), "nine");
 }
 
-RC_GTEST_PROP(ServingMachineTest, SnapshotBringsBackTheState, ())
+RC_GTEST_PROP(ServingStateMachineTest, SnapshotRestoresState, ())
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   const auto versions =
     *rc::gen::container<std::vector<std::uint8_t>>(rc::gen::arbitrary<std::uint8_t>());
   for (const std::uint8_t version : versions) {
     Apply(machine, PutDocument{ Revision(version), std::string(version, 'x') });
-    Apply(machine, NameWeights{ ModelName(version % 2 == 0 ? "a" : "b"), version });
+    Apply(machine, SetWeightVersion{ ModelName(version % 2 == 0 ? "a" : "b"), version });
   }
-  ServingMachine loaded;
+  ServingStateMachine loaded;
   RC_ASSERT(static_cast<bool>(loaded.Load(machine.Save())));
   RC_ASSERT(loaded.Version() == machine.Version());
   RC_ASSERT(loaded.Document() == machine.Document());
@@ -138,35 +138,35 @@
 
 const ZoneId kZone("hall");
 
-TEST(ServingMachineTest, EvacuationsOutlastARestart)
+TEST(ServingStateMachineTest, EvacuationsSurviveRestart)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   Apply(machine, PutDocument{ Revision(9), "nine" });
   Apply(machine, SetEvacuation{ kZone, true, 0, WallTime(std::chrono::milliseconds(7)) });
-  ServingMachine restarted;
+  ServingStateMachine restarted;
   ASSERT_TRUE(restarted.Load(machine.Save()));
   EXPECT_EQ(restarted.Evacuated().All(), machine.Evacuated().All());
   EXPECT_EQ(restarted.Evacuated().Current().zones, std::set<ZoneId>{ kZone });
 }
 
-TEST(ServingMachineTest, RefusedRequestsAndEvacuationsOutlastARestartTogether)
+TEST(ServingStateMachineTest, RefusedRequestsAndEvacuationsSurviveRestartTogether)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   Apply(machine, Refuse(kRequest, 5));
   Apply(machine, SetEvacuation{ kZone, true, 0, WallTime() });
-  ServingMachine restarted;
+  ServingStateMachine restarted;
   ASSERT_TRUE(restarted.Load(machine.Save()));
   EXPECT_EQ(restarted.Refused(), machine.Refused());
   EXPECT_EQ(restarted.Evacuated().All(), machine.Evacuated().All());
 }
 
-TEST(ServingMachineTest, OvertakenOrderIsUnderstoodAndSaidSo)
+TEST(ServingStateMachineTest, ReportsSupersededEvacuationOrder)
 {
-  ServingMachine machine;
+  ServingStateMachine machine;
   EXPECT_FALSE(Apply(machine, SetEvacuation{ kZone, true, 0, WallTime() }).superseded);
   Apply(machine, SetEvacuation{ kZone, false, 1, WallTime() });
   const std::uint64_t changes = machine.Changes();
-  const ServingStanding standing = Apply(machine, SetEvacuation{ kZone, true, 0, WallTime() });
+  const ServingCommandResult standing = Apply(machine, SetEvacuation{ kZone, true, 0, WallTime() });
   EXPECT_TRUE(standing.understood);
   EXPECT_TRUE(standing.superseded);
   EXPECT_EQ(machine.Changes(), changes);
@@ -174,10 +174,10 @@
 
 // Whatever orders come and are sent again: replicas that apply the same ones hold the same, and the
 // last order that was not overtaken is in force.
-RC_GTEST_PROP(ServingMachineTest, EvacuationsFollowTheLastOrderThatCounts, ())
+RC_GTEST_PROP(ServingStateMachineTest, EvacuationsFollowLastOrderNotSuperseded, ())
 {
-  ServingMachine machine;
-  ServingMachine replica;
+  ServingStateMachine machine;
+  ServingStateMachine replica;
   const auto orders = *rc::gen::container<std::vector<std::pair<bool, std::uint8_t>>>(
     rc::gen::pair(rc::gen::arbitrary<bool>(), rc::gen::inRange<std::uint8_t>(0, 6)));
   bool expected = false;
--- a/test/coordination/StartupWaitTest.cpp
+++ b/test/coordination/StartupWaitLimiterTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StartupWait.h"
+#include "damasklink/coordination/StartupWaitLimiter.h"
 
 #include <deque>
 
@@ -10,18 +10,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(StartupWaitTest, WaitIsAShareOfWhatTheCallerWaits)
+TEST(StartupWaitLimiterTest, WaitIsBoundedShareOfCallerPatience)
 {
-  StartupWait waits;
+  StartupWaitLimiter waits;
   EXPECT_EQ(waits.Begin(milliseconds(400), 1), milliseconds(100));
-  EXPECT_EQ(waits.Begin(seconds(12), 1), StartupWait::kLongest);
+  EXPECT_EQ(waits.Begin(seconds(12), 1), StartupWaitLimiter::kLongestWait);
   EXPECT_EQ(waits.Begin(Duration::zero(), 1), Duration::zero());
 }
 
-TEST(StartupWaitTest, BeyondSoManyCallsTheNextIsRefusedAtOnce)
+TEST(StartupWaitLimiterTest, RefusesCallsBeyondCountLimit)
 {
-  StartupWait waits;
-  for (std::size_t call = 0; call < StartupWait::kMostCalls; ++call) {
+  StartupWaitLimiter waits;
+  for (std::size_t call = 0; call < StartupWaitLimiter::kMostCalls; ++call) {
     EXPECT_GT(waits.Begin(seconds(1), 1), Duration::zero());
   }
   EXPECT_EQ(waits.Begin(seconds(1), 1), Duration::zero());
@@ -29,21 +29,21 @@
   EXPECT_GT(waits.Begin(seconds(1), 1), Duration::zero());
 }
 
-TEST(StartupWaitTest, BodiesTakeUpABoundedMemory)
+TEST(StartupWaitLimiterTest, RefusesCallsBeyondByteLimit)
 {
-  StartupWait waits;
-  EXPECT_GT(waits.Begin(seconds(1), StartupWait::kMostBytes), Duration::zero());
+  StartupWaitLimiter waits;
+  EXPECT_GT(waits.Begin(seconds(1), StartupWaitLimiter::kMostBytes), Duration::zero());
   EXPECT_EQ(waits.Begin(seconds(1), 1), Duration::zero());
 }
 
 // A second without power, 80 hosts and 1,000 calls a second: the configuration comes some time
 // after the hosts. Counts the calls that could be relayed before their callers had to come again.
-TEST(StartupWaitTest, CallsThatComeJustBeforeTheFirstConfigurationAreServed)
+TEST(StartupWaitLimiterTest, ServesCallsThatArriveJustBeforeFirstConfiguration)
 {
   constexpr std::size_t kHosts = 80;
   constexpr Duration kBetweenCalls = milliseconds(1);
   constexpr Duration kConfigured = milliseconds(130);
-  std::deque<StartupWait> hosts(kHosts);
+  std::deque<StartupWaitLimiter> hosts(kHosts);
   std::size_t served = 0;
   std::size_t calls = 0;
   for (Duration at = Duration::zero(); at < kConfigured; at += kBetweenCalls) {
--- a/test/coordination/StoredPartsTest.cpp
+++ b/test/coordination/StoredPartsTest.cpp
@@ -30,7 +30,7 @@
   {
     ServingService service;
     service.name = ServiceName(aAddress);
-    PromptStoreTraits traits;
+    PromptStoreSpec traits;
     traits.endpoint = Endpoint{ aAddress, 8006 };
     traits.zone = ZoneId(aZone);
     traits.cacheTokens = TokenCount(aTokens);
@@ -41,8 +41,8 @@
 
   void State(const std::string& aAddress, std::vector<SizedPart> aParts, bool aLive = true)
   {
-    this->stored.Take(StoreStatement{
-      Endpoint{ aAddress, 8006 }, aLive, true, std::move(aParts), {}, TokenCount() });
+    this->stored.Take(
+      StoreUpdate{ Endpoint{ aAddress, 8006 }, aLive, true, std::move(aParts), {}, TokenCount() });
   }
 
   std::string Found(const SizedPart& aPart, const std::set<std::string>& aAvoided = {}) const
@@ -126,7 +126,7 @@
 
 TEST_F(StoredPartsTest, StoreWhoseSpaceIsReservedTakesNoMore)
 {
-  StoreStatement statement;
+  StoreUpdate statement;
   statement.store = Endpoint{ "10.0.0.1", 8006 };
   statement.live = true;
   statement.reserved = TokenCount(99'500);
--- a/test/coordination/TargetBoardTest.cpp
+++ b/test/coordination/TargetBoardTest.cpp
@@ -12,10 +12,10 @@
 const HostId kSecond("control-2");
 const ServiceName kService("s");
 
-TargetStatement
-Say(const std::string& aTarget, std::uint64_t aSequence, TargetStanding aStanding)
+TargetUpdate
+Say(const std::string& aTarget, std::uint64_t aSequence, TargetAvailability aStanding)
 {
-  TargetStatement statement;
+  TargetUpdate statement;
   statement.record.id = TargetId(aTarget);
   statement.record.service = kService;
   statement.record.sequence = Sequence(aSequence);
@@ -39,38 +39,38 @@
 
 TEST_F(TargetBoardTest, StatedTargetIsUsable)
 {
-  this->board.Take(kFirst, Say("t", 1, TargetStanding::Usable));
+  this->board.Take(kFirst, Say("t", 1, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 1U);
   EXPECT_TRUE(this->board.Usable(ServiceName("other")).empty());
 }
 
 TEST_F(TargetBoardTest, WhatLeftStaysGone)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Leaving));
-  this->board.Take(kSecond, Say("t", 6, TargetStanding::Usable));
+  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Leaving));
+  this->board.Take(kSecond, Say("t", 6, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 0U);
 }
 
 TEST_F(TargetBoardTest, UsableWhileOneConnectedHostSaysSo)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Silent));
-  this->board.Take(kSecond, Say("t", 5, TargetStanding::Usable));
-  this->board.Take(kFirst, Say("u", 5, TargetStanding::Usable));
+  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Silent));
+  this->board.Take(kSecond, Say("t", 5, TargetAvailability::Usable));
+  this->board.Take(kFirst, Say("u", 5, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 2U);
 }
 
 TEST_F(TargetBoardTest, WordOfALostHostYieldsToThatOfAConnectedOne)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Silent));
-  this->board.Take(kFirst, Say("u", 5, TargetStanding::Usable));
-  this->board.Take(kSecond, Say("t", 4, TargetStanding::Usable));
+  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Silent));
+  this->board.Take(kFirst, Say("u", 5, TargetAvailability::Usable));
+  this->board.Take(kSecond, Say("t", 4, TargetAvailability::Usable));
   this->board.OnLink(kSecond, false);
   EXPECT_EQ(this->Usable(), 1U);
 }
 
 TEST_F(TargetBoardTest, CutOffHostGoesOnWithTheLastWords)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Usable));
+  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Usable));
   this->board.OnLink(kFirst, false);
   this->board.OnLink(kSecond, false);
   EXPECT_EQ(this->Usable(), 1U);
@@ -78,23 +78,23 @@
 
 TEST_F(TargetBoardTest, SilentTargetsServeWhenThereAreNoOthers)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Silent));
+  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Silent));
   EXPECT_EQ(this->Usable(), 1U);
 }
 
 TEST_F(TargetBoardTest, PausedTargetGetsNothingWhileAnotherServes)
 {
-  TargetStatement paused = Say("t", 5, TargetStanding::Usable);
+  TargetUpdate paused = Say("t", 5, TargetAvailability::Usable);
   paused.paused = true;
   this->board.Take(kFirst, paused);
-  this->board.Take(kFirst, Say("u", 5, TargetStanding::Usable));
+  this->board.Take(kFirst, Say("u", 5, TargetAvailability::Usable));
   ASSERT_EQ(this->Usable(), 1U);
   EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("u"));
 }
 
 TEST_F(TargetBoardTest, TargetThatAnotherOneReplacedIsGone)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Usable));
+  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Usable));
   this->board.NoteGone(TargetId("t"));
   EXPECT_EQ(this->Usable(), 0U);
   EXPECT_EQ(this->board.Find(TargetId("t")), nullptr);
@@ -104,37 +104,37 @@
 {
   for (std::size_t number = 0; number <= TargetBoard::kMostGone; ++number) {
     const std::string id = "t" + std::to_string(number);
-    this->board.Take(kFirst, Say(id, 1, TargetStanding::Usable));
+    this->board.Take(kFirst, Say(id, 1, TargetAvailability::Usable));
     this->board.NoteGone(TargetId(id));
   }
   // The oldest one is forgotten, the next one is not.
-  this->board.Take(kFirst, Say("t0", 2, TargetStanding::Usable));
-  this->board.Take(kFirst, Say("t1", 2, TargetStanding::Usable));
+  this->board.Take(kFirst, Say("t0", 2, TargetAvailability::Usable));
+  this->board.Take(kFirst, Say("t1", 2, TargetAvailability::Usable));
   ASSERT_EQ(this->Usable(), 1U);
   EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("t0"));
 }
 
 TEST_F(TargetBoardTest, OlderRecordDoesNotReplaceTheNewerOne)
 {
-  TargetStatement newer = Say("t", 5, TargetStanding::Usable);
+  TargetUpdate newer = Say("t", 5, TargetAvailability::Usable);
   newer.record.load.slots = 7;
   this->board.Take(kFirst, newer);
-  this->board.Take(kSecond, Say("t", 4, TargetStanding::Usable));
+  this->board.Take(kSecond, Say("t", 4, TargetAvailability::Usable));
   EXPECT_EQ(this->board.Find(TargetId("t"))->load.slots, 7U);
 }
 
-TargetStatement
-SayOf(std::uint64_t aStart, std::uint64_t aSequence, TargetStanding aStanding)
+TargetUpdate
+SayOf(std::uint64_t aStart, std::uint64_t aSequence, TargetAvailability aStanding)
 {
-  TargetStatement statement = Say("t", aSequence, aStanding);
+  TargetUpdate statement = Say("t", aSequence, aStanding);
   statement.record.incarnation = Incarnation(aStart);
   return statement;
 }
 
 TEST_F(TargetBoardTest, TargetThatStartsAgainUnderItsIdIsUsableThoughItHadLeft)
 {
-  this->board.Take(kFirst, SayOf(1000, 50, TargetStanding::Leaving));
-  this->board.Take(kSecond, SayOf(2000, 1, TargetStanding::Usable));
+  this->board.Take(kFirst, SayOf(1000, 50, TargetAvailability::Leaving));
+  this->board.Take(kSecond, SayOf(2000, 1, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 1U);
   ASSERT_EQ(this->board.TakeRestarted().size(), 1U);
   EXPECT_TRUE(this->board.TakeRestarted().empty());
@@ -142,8 +142,8 @@
 
 TEST_F(TargetBoardTest, WordsOfAnEarlierStartChangeNothing)
 {
-  this->board.Take(kFirst, SayOf(2000, 1, TargetStanding::Usable));
-  this->board.Take(kSecond, SayOf(1000, 50, TargetStanding::Leaving));
+  this->board.Take(kFirst, SayOf(2000, 1, TargetAvailability::Usable));
+  this->board.Take(kSecond, SayOf(1000, 50, TargetAvailability::Leaving));
   EXPECT_EQ(this->Usable(), 1U);
   EXPECT_EQ(this->board.Find(TargetId("t"))->sequence, Sequence(1));
   EXPECT_TRUE(this->board.TakeRestarted().empty());
@@ -151,19 +151,19 @@
 
 TEST_F(TargetBoardTest, TargetThatWasFoundGoneComesBackWithItsNextStart)
 {
-  this->board.Take(kFirst, SayOf(1000, 5, TargetStanding::Usable));
+  this->board.Take(kFirst, SayOf(1000, 5, TargetAvailability::Usable));
   this->board.NoteGone(TargetId("t"));
-  this->board.Take(kFirst, SayOf(1000, 6, TargetStanding::Usable));
+  this->board.Take(kFirst, SayOf(1000, 6, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 0U);
-  this->board.Take(kFirst, SayOf(2000, 1, TargetStanding::Usable));
+  this->board.Take(kFirst, SayOf(2000, 1, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 1U);
 }
 
 TEST_F(TargetBoardTest, TargetsThatAppearAreToldOnce)
 {
-  this->board.Take(kFirst, Say("t", 1, TargetStanding::Usable));
-  this->board.Take(kSecond, Say("t", 2, TargetStanding::Usable));
-  this->board.Take(kFirst, Say("old", 1, TargetStanding::Silent));
+  this->board.Take(kFirst, Say("t", 1, TargetAvailability::Usable));
+  this->board.Take(kSecond, Say("t", 2, TargetAvailability::Usable));
+  this->board.Take(kFirst, Say("old", 1, TargetAvailability::Silent));
   const std::vector<TargetRecord> appeared = this->board.TakeAppeared();
   ASSERT_EQ(appeared.size(), 1U);
   EXPECT_EQ(appeared[0].id, TargetId("t"));
@@ -172,10 +172,10 @@
 
 TEST_F(TargetBoardTest, AZoneIsMostlySilentWhenMoreThanHalfOfItIs)
 {
-  this->board.Take(kFirst, Say("a", 1, TargetStanding::Usable));
-  this->board.Take(kFirst, Say("b", 1, TargetStanding::Silent));
+  this->board.Take(kFirst, Say("a", 1, TargetAvailability::Usable));
+  this->board.Take(kFirst, Say("b", 1, TargetAvailability::Silent));
   EXPECT_FALSE(this->board.IsMostlySilent(ZoneId()));
-  this->board.Take(kFirst, Say("c", 1, TargetStanding::Silent));
+  this->board.Take(kFirst, Say("c", 1, TargetAvailability::Silent));
   EXPECT_TRUE(this->board.IsMostlySilent(ZoneId()));
 }
 
@@ -207,7 +207,7 @@
   }
   for (const Saying& said : sayings) {
     const HostId& host = said.second ? kSecond : kFirst;
-    const auto standing = static_cast<TargetStanding>(said.standing);
+    const auto standing = static_cast<TargetAvailability>(said.standing);
     all.Take(host, SayOf(said.start, said.sequence, standing));
     if (said.start == newest) {
       newestOnly.Take(host, SayOf(said.start, said.sequence, standing));
@@ -219,13 +219,13 @@
 TEST_F(TargetBoardTest, TargetsOfAnEvacuatedZoneAreNoChoiceEvenWithoutOthers)
 {
   const ZoneId zone("hall");
-  TargetStatement statement = Say("t", 1, TargetStanding::Usable);
+  TargetUpdate statement = Say("t", 1, TargetAvailability::Usable);
   statement.record.zone = zone;
   this->board.Take(kFirst, statement);
   this->board.SetEvacuated({ zone });
   EXPECT_EQ(this->Usable(), 0U);
   EXPECT_EQ(this->board.InZone(zone).size(), 1U);
-  this->board.Take(kFirst, Say("u", 1, TargetStanding::Usable));
+  this->board.Take(kFirst, Say("u", 1, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 1U);
   this->board.SetEvacuated({});
   EXPECT_EQ(this->Usable(), 2U);
--- a/test/coordination/TargetHealthTest.cpp
+++ b/test/coordination/TargetHealthTest.cpp
@@ -93,16 +93,17 @@
 TEST_F(TargetHealthTest, TargetThatSeveralHostsFoundGoneIsEjected)
 {
   const TargetId target("a");
-  this->health.Take({ TargetFindings{ target, TargetHealth::kFindingsToBelieve - 1, 0 } });
+  this->health.Take(
+    { TargetReachabilityReport{ target, TargetHealth::kFindingsToBelieve - 1, 0 } });
   EXPECT_TRUE(this->IsFit("a"));
-  this->health.Take({ TargetFindings{ target, 1, 0 } });
+  this->health.Take({ TargetReachabilityReport{ target, 1, 0 } });
   EXPECT_FALSE(this->IsFit("a"));
 }
 
 TEST_F(TargetHealthTest, FindingsThatAreFarApartDoNotAddUp)
 {
   for (int time = 0; time < 10; ++time) {
-    this->health.Take({ TargetFindings{ TargetId("a"), 1, 0 } });
+    this->health.Take({ TargetReachabilityReport{ TargetId("a"), 1, 0 } });
     this->clock.Advance(TargetHealth::kFindingsFitWithin);
   }
   EXPECT_TRUE(this->IsFit("a"));
@@ -111,25 +112,25 @@
 TEST_F(TargetHealthTest, OneHostThatTriesInVainTellsTheOthers)
 {
   const TargetId target("a");
-  this->health.Take({ TargetFindings{ target, TargetHealth::kFindingsToBelieve, 0 } });
+  this->health.Take({ TargetReachabilityReport{ target, TargetHealth::kFindingsToBelieve, 0 } });
   this->clock.Advance(TargetHealth::kFirstEjection + TargetHealth::kTriesSpread);
   EXPECT_TRUE(this->IsFit("a"));
-  this->health.Take({ TargetFindings{ target, 1, 0 } });
+  this->health.Take({ TargetReachabilityReport{ target, 1, 0 } });
   EXPECT_FALSE(this->IsFit("a"));
 }
 
 TEST_F(TargetHealthTest, TargetThatAnotherHostFoundBackIsFitAtOnce)
 {
   const TargetId target("a");
-  this->health.Take({ TargetFindings{ target, TargetHealth::kFindingsToBelieve, 0 } });
-  this->health.Take({ TargetFindings{ target, 0, 1 } });
+  this->health.Take({ TargetReachabilityReport{ target, TargetHealth::kFindingsToBelieve, 0 } });
+  this->health.Take({ TargetReachabilityReport{ target, 0, 1 } });
   EXPECT_TRUE(this->IsFit("a"));
 }
 
 TEST_F(TargetHealthTest, OwnEjectionForFailuresIsNotEndedByOthers)
 {
   this->Fail("a");
-  this->health.Take({ TargetFindings{ TargetId("a"), 0, 1 } });
+  this->health.Take({ TargetReachabilityReport{ TargetId("a"), 0, 1 } });
   EXPECT_FALSE(this->IsFit("a"));
 }
 
@@ -138,7 +139,7 @@
   const TargetId target("a");
   this->health.OnEnd(target, HealthSign::Gone);
   this->health.OnEnd(target, HealthSign::Gone);
-  const std::vector<TargetFindings> expected{ TargetFindings{ target, 1, 0 } };
+  const std::vector<TargetReachabilityReport> expected{ TargetReachabilityReport{ target, 1, 0 } };
   EXPECT_EQ(this->health.TakeFindings(), expected);
   EXPECT_TRUE(this->health.TakeFindings().empty());
 }
@@ -146,9 +147,9 @@
 TEST_F(TargetHealthTest, ReturnOfATargetThatAllBelievedGoneIsTold)
 {
   const TargetId target("a");
-  this->health.Take({ TargetFindings{ target, TargetHealth::kFindingsToBelieve, 0 } });
+  this->health.Take({ TargetReachabilityReport{ target, TargetHealth::kFindingsToBelieve, 0 } });
   this->health.OnEnd(target, HealthSign::Good);
-  const std::vector<TargetFindings> expected{ TargetFindings{ target, 0, 1 } };
+  const std::vector<TargetReachabilityReport> expected{ TargetReachabilityReport{ target, 0, 1 } };
   EXPECT_EQ(this->health.TakeFindings(), expected);
   this->health.OnEnd(target, HealthSign::Good);
   EXPECT_TRUE(this->health.TakeFindings().empty());
--- a/test/coordination/TargetPickerTest.cpp
+++ b/test/coordination/TargetPickerTest.cpp
@@ -38,7 +38,7 @@
 
   ManualClock clock;
   TargetHealth health{ this->clock, 1 };
-  ZoneReach reach{ this->clock, 1 };
+  ZoneReachability reach{ this->clock, 1 };
   TargetPicker picker{ this->health, this->reach, 1 };
   PickQuestion question;
   std::vector<TargetRecord> targets{ Target("a", "z"), Target("b", "z"), Target("c", "z") };
@@ -145,13 +145,13 @@
 
 TEST_F(TargetPickerTest, WhatOtherHostsSentCounts)
 {
-  const TargetSendsNow many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
-  const TargetSendsNow some{ TargetId("b"), 5, TokenCount(), TokenCount(), {} };
-  this->picker.TakeSum(SendsNews{ HostId("other"), { many, some }, {}, {}, false },
+  const InFlightLoad many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
+  const InFlightLoad some{ TargetId("b"), 5, TokenCount(), TokenCount(), {} };
+  this->picker.TakeSum(LoadReport{ HostId("other"), { many, some }, {}, {}, false },
                        this->clock.MonotonicNow());
   EXPECT_EQ(this->Choose(), "c");
-  const TargetSendsNow none{ TargetId("a"), 0, TokenCount(), TokenCount(), {} };
-  this->picker.TakeSum(SendsNews{ HostId("other"), { none }, {}, {}, false },
+  const InFlightLoad none{ TargetId("a"), 0, TokenCount(), TokenCount(), {} };
+  this->picker.TakeSum(LoadReport{ HostId("other"), { none }, {}, {}, false },
                        this->clock.MonotonicNow());
   this->Load("c", 3);
   EXPECT_EQ(this->Choose(), "a");
@@ -159,8 +159,8 @@
 
 TEST_F(TargetPickerTest, SumsOfSilentControlHostsAreForgotten)
 {
-  const TargetSendsNow many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
-  this->picker.TakeSum(SendsNews{ HostId("gone"), { many }, {}, {}, false },
+  const InFlightLoad many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
+  this->picker.TakeSum(LoadReport{ HostId("gone"), { many }, {}, {}, false },
                        this->clock.MonotonicNow());
   this->Load("b", 1);
   this->Load("c", 1);
@@ -176,8 +176,8 @@
   this->Load("b", 3);
   this->Load("c", 3);
   this->picker.TakeSends();
-  const TargetSendsNow sum{ TargetId("a"), 2, TokenCount(), TokenCount(), {} };
-  this->picker.TakeSum(SendsNews{ HostId("hub"), { sum }, {}, {}, false },
+  const InFlightLoad sum{ TargetId("a"), 2, TokenCount(), TokenCount(), {} };
+  this->picker.TakeSum(LoadReport{ HostId("hub"), { sum }, {}, {}, false },
                        this->clock.MonotonicNow());
   EXPECT_EQ(this->Choose(), "a") << "two there, not four";
 }
@@ -282,7 +282,7 @@
   // The call to the earlier start ends late; the other one goes on.
   this->picker.OnFirstEvent(TargetId("a"), lost);
   this->picker.OnEnd(TargetId("a"), lost);
-  const std::vector<TargetSendsNow> sends = this->picker.TakeSends();
+  const std::vector<InFlightLoad> sends = this->picker.TakeSends();
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends.front().requests, 1U);
   EXPECT_EQ(sends.front().unread, TokenCount(5000));
--- a/test/platform/DialectTest.cpp
+++ b/test/platform/DialectTest.cpp
@@ -331,11 +331,11 @@
   text.replace(text.find(R"("isolated":true)"), 15, R"("allowed-regions":["north","south"])");
   const auto config = Dialect().ReadConfig(text);
   ASSERT_TRUE(config) << config.error();
-  const ColdTraits cold{ RequestRate{ 16 }, std::chrono::seconds(3) };
+  const ColdStartSpec cold{ RequestRate{ 16 }, std::chrono::seconds(3) };
   EXPECT_EQ(config.value().FindService(ServiceName("e"))->cold, cold);
   EXPECT_EQ(config.value().FindService(ServiceName("p"))->cold, std::nullopt);
-  EXPECT_EQ(config.value().routes[0].homes, std::vector<RegionId>{ RegionId("north") });
-  EXPECT_EQ(config.value().workspaces[0].homes.size(), 2U);
+  EXPECT_EQ(config.value().routes[0].allowedRegions, std::vector<RegionId>{ RegionId("north") });
+  EXPECT_EQ(config.value().workspaces[0].allowedRegions.size(), 2U);
 }
 
 TEST(DialectTest, ColdTargetSaysSoInHeartbeatsAndAnswers)
@@ -371,7 +371,7 @@
   request.head.target = "/-/evacuate";
   EXPECT_TRUE(
     std::holds_alternative<EvacuationQuestion>(Dialect().ReadControlCall(request).value()));
-  Evacuations evacuations;
+  EvacuationRegistry evacuations;
   evacuations.Apply(
     SetEvacuation{ ZoneId("hall-north"), true, 0, WallTime(std::chrono::milliseconds(77)) });
   EXPECT_EQ(Dialect().EvacuationAnswer(evacuations).body,
--- a/test/program/AgreementModuleTest.cpp
+++ b/test/program/AgreementModuleTest.cpp
@@ -6,7 +6,7 @@
 #include <gtest/gtest.h>
 
 #include "damasklink/coordination/GroupPlacement.h"
-#include "damasklink/coordination/ServingMachine.h"
+#include "damasklink/coordination/ServingStateMachine.h"
 #include "support/FullDisk.h"
 #include "support/ListMachine.h"
 #include "support/TempFolder.h"
@@ -229,7 +229,7 @@
     TempFolder folder;
     NoMetrics metrics;
     QueueSender sender;
-    ServingMachine machine;
+    ServingStateMachine machine;
     AgreementModule module;
   };
 
--- a/test/program/ConfigurationFeedTest.cpp
+++ b/test/program/ConfigurationFeedTest.cpp
@@ -3,7 +3,7 @@
 #include <absl/synchronization/notification.h>
 #include <gtest/gtest.h>
 
-#include "damasklink/coordination/DocumentSource.h"
+#include "damasklink/coordination/DocumentPublisher.h"
 #include "damasklink/protocol/ServingCodec.h"
 #include "platform/Dialect.h"
 
@@ -48,7 +48,7 @@
   {
     return this->dialect.RefusedAnswer(aRefused);
   }
-  HttpAnswerMessage EvacuationAnswer(const Evacuations& aEvacuations) const override
+  HttpAnswerMessage EvacuationAnswer(const EvacuationRegistry& aEvacuations) const override
   {
     return this->dialect.EvacuationAnswer(aEvacuations);
   }
@@ -71,10 +71,10 @@
   void Send(const HostId& aTo, PeerMessage aMessage) override
   {
     const auto message = DecodeServingMessage(aMessage.payload);
-    this->asked.emplace_back(aTo, std::get<DocumentQuestion>(message.value()));
+    this->asked.emplace_back(aTo, std::get<DocumentRequest>(message.value()));
   }
 
-  std::vector<std::pair<HostId, DocumentQuestion>> asked;
+  std::vector<std::pair<HostId, DocumentRequest>> asked;
 };
 
 class ConfigurationFeedTest : public ::testing::Test
@@ -82,13 +82,13 @@
 protected:
   void Announce(const HostId& aHost, std::uint64_t aVersion)
   {
-    Picture told;
+    ServingUpdate told;
     told.documentVersion = Revision(aVersion);
     this->feed.OnPicture(aHost, told);
   }
 
   // Answers all questions until none comes any more and nothing is being read.
-  void AnswerAll(DocumentSource& aSource)
+  void AnswerAll(DocumentPublisher& aSource)
   {
     while (!this->questions.asked.empty()) {
       const auto [host, question] = this->questions.asked.front();
@@ -115,7 +115,7 @@
   EntryPicture picture{ this->clock };
   Questions questions;
   NoMetrics metrics;
-  DocumentSource source;
+  DocumentPublisher source;
   int inForce = 0;
   ConfigurationFeed feed{ this->loop,
                           this->clock,
@@ -166,7 +166,7 @@
   this->Announce(kControl, 3);
   this->RunUntilInForce(3);
   // Holds another text under the version that this host holds.
-  DocumentSource strange;
+  DocumentPublisher strange;
   strange.Publish(Revision(3), Document(3, 400) + " ");
   strange.Publish(Revision(5), Document(5, 400));
   this->Announce(kOther, 5);
@@ -185,7 +185,7 @@
   this->source.Publish(Revision(3), Document(3));
   this->Announce(kControl, 3);
   this->RunUntilInForce(3);
-  DocumentSource broken;
+  DocumentPublisher broken;
   broken.Publish(Revision(5), "{\"version\":");
   this->Announce(kOther, 5);
   this->AnswerAll(broken);
--- a/test/program/ControlPictureTest.cpp
+++ b/test/program/ControlPictureTest.cpp
@@ -41,7 +41,7 @@
   this->clock.Advance(kSilence);
   const auto changes = this->picture.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_EQ(changes.front().standing, TargetStanding::Silent);
+  EXPECT_EQ(changes.front().standing, TargetAvailability::Silent);
 }
 
 TEST_F(ControlPictureTest, SignedOffTargetStaysGoneWhateverComesLate)
@@ -51,7 +51,7 @@
   this->picture.Hear(Record("t", 9));
   const auto changes = this->picture.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_EQ(changes.front().standing, TargetStanding::Leaving);
+  EXPECT_EQ(changes.front().standing, TargetAvailability::Leaving);
 }
 
 TEST_F(ControlPictureTest, LaterTargetAtAnAddressTakesItOver)
@@ -105,7 +105,7 @@
   this->picture.Depart(TargetId("t"), Incarnation(1000));
   const auto changes = this->picture.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_EQ(changes.front().standing, TargetStanding::Usable);
+  EXPECT_EQ(changes.front().standing, TargetAvailability::Usable);
   EXPECT_EQ(changes.front().record.incarnation, Incarnation(2000));
 }
 
@@ -154,7 +154,7 @@
   EXPECT_FALSE(this->picture.Hear(foreign));
   const auto changes = this->picture.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
-  EXPECT_EQ(changes.front().standing, TargetStanding::Usable);
+  EXPECT_EQ(changes.front().standing, TargetAvailability::Usable);
   EXPECT_EQ(changes.front().record.service, ServiceName("s"));
 }
 
@@ -169,7 +169,7 @@
 
 TEST_F(ControlPictureTest, ColdTargetsAreTold)
 {
-  const ColdTraits traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
+  const ColdStartSpec traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
   this->picture.SetColdTraits({ { ServiceName("s"), traits } });
   TargetRecord record = Record("t", 1);
   record.coldFor = std::chrono::seconds(2);
@@ -190,7 +190,7 @@
 
 TEST_F(ControlPictureTest, TargetsOfAZoneThatIsGivenBackCountAsCold)
 {
-  const ColdTraits traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
+  const ColdStartSpec traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
   this->picture.SetColdTraits({ { ServiceName("s"), traits } });
   TargetRecord here = Record("here", 1);
   here.zone = ZoneId("hall");
--- a/test/program/EntryPictureTest.cpp
+++ b/test/program/EntryPictureTest.cpp
@@ -33,7 +33,7 @@
 
   void Name(std::uint64_t aVersion)
   {
-    Picture told;
+    ServingUpdate told;
     told.weights[kModel] = aVersion;
     this->picture.Take(kFirst, told);
   }
@@ -63,7 +63,7 @@
 TEST_F(EntryPictureTest, PictureWithoutADocumentChangesNoRoutes)
 {
   this->PutInForce(7);
-  this->picture.Take(kFirst, Picture{});
+  this->picture.Take(kFirst, ServingUpdate{});
   ASSERT_NE(this->picture.Routes(), nullptr);
 }
 
@@ -89,7 +89,7 @@
 
 TEST_F(EntryPictureTest, HostsAreCountedByThoseThatAreConnected)
 {
-  Picture told;
+  ServingUpdate told;
   told.entryHosts = 9;
   this->picture.Take(kFirst, told);
   told.entryHosts = 4;
@@ -117,8 +117,8 @@
     R"("zone":"z","kv-capacity":1000,"link-mbps":1000}]})";
   this->picture.PutInForce(ReadRoutes(this->dialect, config).value());
   this->picture.ListenForStores(kFirst);
-  Picture told;
-  StoreStatement& store = told.stores.emplace_back();
+  ServingUpdate told;
+  StoreUpdate& store = told.stores.emplace_back();
   store.store = Endpoint{ "172.20.0.2", 8006 };
   store.live = true;
   this->picture.Take(kSecond, told);
@@ -131,14 +131,14 @@
 
 TEST_F(EntryPictureTest, ControlHostWithoutALeaderIsNotGood)
 {
-  this->picture.Take(kFirst, Picture());
+  this->picture.Take(kFirst, ServingUpdate());
   EXPECT_TRUE(this->picture.IsGood(kFirst));
-  Picture isolated;
+  ServingUpdate isolated;
   isolated.isolated = true;
   this->picture.Take(kFirst, isolated);
   EXPECT_FALSE(this->picture.IsGood(kFirst));
   EXPECT_TRUE(this->picture.HasSpoken(kFirst));
-  this->picture.Take(kFirst, Picture());
+  this->picture.Take(kFirst, ServingUpdate());
   EXPECT_TRUE(this->picture.IsGood(kFirst));
 }
 
@@ -147,8 +147,8 @@
 {
   EXPECT_FALSE(this->picture.HasSpoken(kFirst));
   EXPECT_FALSE(this->picture.IsGood(kFirst));
-  Picture told;
-  TargetStatement& statement = told.targets.emplace_back();
+  ServingUpdate told;
+  TargetUpdate& statement = told.targets.emplace_back();
   statement.record.id = TargetId("t");
   statement.record.service = ServiceName("s");
   this->picture.Take(kFirst, told);
@@ -157,10 +157,10 @@
   this->picture.OnLink(kFirst, false);
   this->picture.OnLink(kFirst, true);
   EXPECT_FALSE(this->picture.HasSpoken(kFirst));
-  told.targets.front().standing = TargetStanding::Silent;
+  told.targets.front().standing = TargetAvailability::Silent;
   told.targets.push_back(told.targets.front());
   told.targets.back().record.id = TargetId("other");
-  told.targets.back().standing = TargetStanding::Usable;
+  told.targets.back().standing = TargetAvailability::Usable;
   this->picture.Take(kSecond, told);
   ASSERT_EQ(this->picture.Targets().Usable(ServiceName("s")).size(), 1U);
   EXPECT_EQ(this->picture.Targets().Usable(ServiceName("s")).front().id, TargetId("other"));
@@ -169,16 +169,16 @@
 TEST_F(EntryPictureTest, EvacuationsNeverGoBackWhoeverTellsThem)
 {
   const ZoneId zone("hall");
-  Picture newer;
+  ServingUpdate newer;
   newer.evacuated = EvacuatedZones{ 2, { zone } };
-  Picture older;
+  ServingUpdate older;
   older.evacuated = EvacuatedZones{ 1, {} };
   this->picture.Take(kFirst, newer);
   this->picture.Take(kSecond, older);
   EXPECT_EQ(this->picture.Targets().Evacuated(), std::set<ZoneId>{ zone });
   EXPECT_EQ(this->picture.TakeEvacuated(), std::set<ZoneId>{ zone });
   EXPECT_TRUE(this->picture.TakeEvacuated().empty());
-  Picture returned;
+  ServingUpdate returned;
   returned.evacuated = EvacuatedZones{ 3, {} };
   this->picture.Take(kSecond, returned);
   EXPECT_EQ(this->picture.TakeReturned(), std::set<ZoneId>{ zone });
--- a/test/program/ExchangeChoiceTest.cpp
+++ b/test/program/ExchangeChoiceTest.cpp
@@ -99,7 +99,7 @@
 
   void Evacuate(std::uint64_t aRevision, const std::set<ZoneId>& aZones)
   {
-    Picture told;
+    ServingUpdate told;
     told.evacuated = EvacuatedZones{ aRevision, aZones };
     asio::post(this->loop, [this, told] { this->picture.Take(HostId("control"), told); });
   }
@@ -197,7 +197,7 @@
   this->Start();
   for (int call = 0; call < 20; ++call) {
     this->CallOnce();
-    EXPECT_FALSE(this->reach.IsOut(ZoneId("n"))) << "after call " << call;
+    EXPECT_FALSE(this->reach.IsUnreachable(ZoneId("n"))) << "after call " << call;
   }
 }
 
--- a/test/program/ExchangeFixture.h
+++ b/test/program/ExchangeFixture.h
@@ -83,7 +83,7 @@
 
   void AddTarget(const std::string& aId, const Endpoint& aEndpoint, const ZoneId& aZone = ZoneId())
   {
-    TargetStatement statement;
+    TargetUpdate statement;
     statement.record.zone = aZone;
     statement.record.id = TargetId(aId);
     statement.record.service = kService;
@@ -101,7 +101,7 @@
 
   void Configure()
   {
-    Picture told;
+    ServingUpdate told;
     told.targets = this->statements;
     this->picture.OnLink(HostId("control"), true);
     this->picture.Take(HostId("control"), told);
@@ -202,7 +202,7 @@
   asio::io_context loop{ 1 };
   TcpAcceptor acceptor;
   std::shared_ptr<ServingConfig> config;
-  std::vector<TargetStatement> statements;
+  std::vector<TargetUpdate> statements;
   // Of the memory of an engine; zero for a service without engines.
   std::uint64_t cacheTokens = 0;
   // Home regions of all routes, as the document lists them.
@@ -215,7 +215,7 @@
   FirstConfiguration firstConfiguration{ this->loop };
   RetryShares retries{ RetryAllowance{} };
   TargetHealth health{ this->clock, 1 };
-  ZoneReach reach{ this->clock, 1 };
+  ZoneReachability reach{ this->clock, 1 };
   TargetPicker picker{ this->health, this->reach, 1 };
   TargetChannelPool pool{ this->clock };
   StorePace pace{ 1 };
--- a/test/program/ExchangeTest.cpp
+++ b/test/program/ExchangeTest.cpp
@@ -126,7 +126,7 @@
   // The relay has taken note once it takes the next request.
   this->Call("/nowhere/");
   this->Receive();
-  const std::vector<SoundRun> expected{ SoundRun{ suspected, testing::kService } };
+  const std::vector<SuccessfulRun> expected{ SuccessfulRun{ suspected, testing::kService } };
   EXPECT_EQ(this->crashes.TakeSound(), expected);
 }
 
--- a/test/program/StoreWatcherTest.cpp
+++ b/test/program/StoreWatcherTest.cpp
@@ -52,14 +52,14 @@
   std::size_t known = 0;
   bool lost = false;
   StoreWatcher watcher(loop, clock, dialect, [&](const auto& aStatements) {
-    for (const StoreStatement& statement : aStatements) {
+    for (const StoreUpdate& statement : aStatements) {
       known += statement.added.size();
       lost = lost || !statement.live;
     }
   });
   ServingService service;
   service.name = ServiceName("store");
-  service.store = PromptStoreTraits{};
+  service.store = PromptStoreSpec{};
   service.store->endpoint = store.Address();
   watcher.Follow({ service });
   // Until it is known, or given up and asked for once more.
@@ -99,13 +99,13 @@
   std::size_t known = 0;
   StoreWatcher watcher(loop, clock, dialect, [&](const auto& aStatements) {
     ++tellings;
-    for (const StoreStatement& statement : aStatements) {
+    for (const StoreUpdate& statement : aStatements) {
       known += statement.added.size();
     }
   });
   ServingService service;
   service.name = ServiceName("store");
-  service.store = PromptStoreTraits{};
+  service.store = PromptStoreSpec{};
   service.store->endpoint = store.Address();
   watcher.Follow({ service });
   while (sent < kEvents) {
--- a/test/protocol/ServingCodecTest.cpp
+++ b/test/protocol/ServingCodecTest.cpp
@@ -20,13 +20,13 @@
 
 TEST(ServingCodecTest, PictureComesBack)
 {
-  Picture picture;
+  ServingUpdate picture;
   picture.documentVersion = Revision(12);
   picture.weights[ModelName("m")] = 3;
   picture.entryHosts = 9;
   picture.isolated = true;
   picture.controlHosts = { { HostId("10.0.0.1"), ZoneId("z1") }, { HostId("10.0.0.2"), ZoneId() } };
-  TargetStatement& statement = picture.targets.emplace_back();
+  TargetUpdate& statement = picture.targets.emplace_back();
   statement.record.id = TargetId("t");
   statement.record.kind = TargetKind::Engine;
   statement.record.service = ServiceName("s");
@@ -37,10 +37,10 @@
   statement.record.load.slots = 64;
   statement.record.models = { ServedModel{ ModelName("m"), WeightVersion("3"), {} } };
   statement.record.leaving = true;
-  statement.standing = TargetStanding::Leaving;
+  statement.standing = TargetAvailability::Leaving;
   statement.paused = true;
   statement.record.coldFor = std::chrono::milliseconds(2400);
-  StoreStatement& store = picture.stores.emplace_back();
+  StoreUpdate& store = picture.stores.emplace_back();
   store.store = Endpoint{ "172.20.0.2", 8006 };
   store.live = true;
   store.whole = true;
@@ -52,42 +52,42 @@
   picture.evacuated = EvacuatedZones{ 3, { ZoneId("z1"), ZoneId("z2") } };
   const auto decoded = DecodeServingMessage(EncodeServingMessage(picture));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<Picture>(decoded.value()), picture);
+  EXPECT_EQ(std::get<ServingUpdate>(decoded.value()), picture);
 }
 
 TEST(ServingCodecTest, QuestionForADocumentComesBack)
 {
-  DocumentQuestion question;
+  DocumentRequest question;
   question.held = Revision(16);
   question.transfer = TransferId{ Revision(23), Revision(16), 61'004, 0xfedcba98U };
   question.offset = 16'384;
   question.mostBytes = 32'768;
   const auto decoded = DecodeServingMessage(EncodeServingMessage(question));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<DocumentQuestion>(decoded.value()), question);
+  EXPECT_EQ(std::get<DocumentRequest>(decoded.value()), question);
 }
 
 TEST(ServingCodecTest, PieceOfADocumentComesBack)
 {
-  DocumentPiece piece;
+  DocumentChunk piece;
   piece.transfer = TransferId{ Revision(23), Revision(), 7, 1 };
   piece.offset = 3;
   piece.bytes = std::string("a\0\xff", 3);
   const auto decoded = DecodeServingMessage(EncodeServingMessage(piece));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<DocumentPiece>(decoded.value()), piece);
+  EXPECT_EQ(std::get<DocumentChunk>(decoded.value()), piece);
 }
 
 TEST(ServingCodecTest, SendsComeBack)
 {
-  SendsNews news;
+  LoadReport news;
   news.host = HostId("10.0.0.7");
   news.crashes = { CrashReport{ RequestFingerprint(7),
                                 WorkspaceId("w"),
                                 ServiceName("s"),
                                 TargetId("t"),
                                 Incarnation(1'790'000'000'000) } };
-  news.sound = { SoundRun{ RequestFingerprint(9), ServiceName("s") } };
+  news.sound = { SuccessfulRun{ RequestFingerprint(9), ServiceName("s") } };
   news.limitReports = {
     LimitReport{ TargetId("t"), Incarnation(4), RequestRate{ 3.5 } },
     LimitReport{ TargetId("u"), Incarnation(5), std::nullopt },
@@ -104,16 +104,16 @@
                                { HostId("10.0.0.7") },
                                std::chrono::milliseconds(2900) } };
   news.last = true;
-  news.findings = { TargetFindings{ TargetId("t"), 2, 1 } };
-  news.excesses = { StoreExcess{ "172.20.0.2:8006", 3, 41.5 } };
-  news.sends = { TargetSendsNow{ TargetId("t"),
-                                 3,
-                                 TokenCount(12000),
-                                 TokenCount(36000),
-                                 { SizedPart{ PartKey(9), TokenCount(800) } } } };
+  news.findings = { TargetReachabilityReport{ TargetId("t"), 2, 1 } };
+  news.excesses = { StoreFetchDelay{ "172.20.0.2:8006", 3, 41.5 } };
+  news.sends = { InFlightLoad{ TargetId("t"),
+                               3,
+                               TokenCount(12000),
+                               TokenCount(36000),
+                               { SizedPart{ PartKey(9), TokenCount(800) } } } };
   const auto decoded = DecodeServingMessage(EncodeServingMessage(news));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<SendsNews>(decoded.value()), news);
+  EXPECT_EQ(std::get<LoadReport>(decoded.value()), news);
 }
 
 TEST(ServingCodecTest, EntryHostsComeBack)
@@ -136,9 +136,9 @@
 // Hundreds of hosts that connect at once are each told all targets.
 TEST(ServingCodecTest, PictureOfManyTargetsComesBackPackedInAThirdOfItsBytes)
 {
-  Picture picture;
+  ServingUpdate picture;
   for (std::uint64_t number = 0; number < 3'000; ++number) {
-    TargetStatement& statement = picture.targets.emplace_back();
+    TargetUpdate& statement = picture.targets.emplace_back();
     // Ids look random, as those of processes do.
     statement.record.id = TargetId("i-" + std::to_string(number * 2'654'435'761U % 4'294'967'291U));
     statement.record.kind = TargetKind::Engine;
@@ -154,12 +154,12 @@
   EXPECT_LT(packed.size() * 3, EncodeServingMessage(picture).size());
   const auto decoded = DecodeServingMessage(packed);
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<Picture>(decoded.value()), picture);
+  EXPECT_EQ(std::get<ServingUpdate>(decoded.value()), picture);
 }
 
 TEST(ServingCodecTest, DamagedPackedMessageIsRefused)
 {
-  Picture picture;
+  ServingUpdate picture;
   for (std::uint64_t number = 0; number < 300; ++number) {
     picture.targets.emplace_back().record.id = TargetId("target-" + std::to_string(number));
   }
@@ -172,7 +172,7 @@
     damaged[place] = static_cast<char>(damaged[place] ^ 0x55);
     const auto decoded = DecodeServingMessage(damaged);
     // A byte that no reader looks at changes nothing.
-    EXPECT_TRUE(!decoded || std::get<Picture>(decoded.value()) == picture);
+    EXPECT_TRUE(!decoded || std::get<ServingUpdate>(decoded.value()) == picture);
   }
 }
 
--- a/test/protocol/UntrustedInputTest.cpp
+++ b/test/protocol/UntrustedInputTest.cpp
@@ -103,7 +103,7 @@
 
 RC_GTEST_PROP(UntrustedInputTest, ServingMessagesAreAMessageOrAnError, ())
 {
-  DocumentPiece piece;
+  DocumentChunk piece;
   piece.transfer = TransferId{ Revision(7), Revision(3), 40, 1 };
   piece.bytes = std::string(40, 'x');
   ForNearlyValid(EncodeServingMessage(piece), [](const std::string& aBytes) {
