--- a/include/damasklink/coordination/CallerIndex.h
+++ b/include/damasklink/coordination/CallerIndex.h
@@ -1,4 +1,4 @@
-// The callers' directory that follows the tree in force, one change at a time.
+// Keeps the directory of callers up to date with the configuration tree that is in force.
 #pragma once
 
 #include "damasklink/coordination/ConfigDistributor.h"
@@ -7,8 +7,9 @@
 
 namespace damasklink {
 
-// Rebuilds only what a change touches: the keys of one workspace. New defaults touch every
-// workspace, so they rebuild all.
+// Updates the directory incrementally: a change of a workspace replaces only the keys of that
+// workspace. A change of the defaults affects every workspace, so it rebuilds the whole directory.
+// Not thread-safe; register it as the observer of a ConfigDistributor.
 class CallerIndex final : public TreeObserver
 {
 public:
@@ -20,7 +21,7 @@
   const CallerDirectory& Directory() const { return this->directory; }
 
 private:
-  // Kept between changes, so that policies go on sharing the lists of the defaults.
+  // Kept between changes, so that policies continue to share the lists of the defaults.
   PolicyResolver resolver{ SubtreePolicy() };
   CallerDirectory directory;
 };
--- a/include/damasklink/coordination/ConfigChange.h
+++ b/include/damasklink/coordination/ConfigChange.h
@@ -1,4 +1,8 @@
-// A change that an operator asks for, and what became of it.
+// Configuration changes requested by operators, their answers and the history of accepted ones.
+//
+//   std::string command = PackConfigChange(change);
+//   ... commit it ...
+//   Result<ChangeAnswer> answer = UnpackChangeAnswer(bytes);
 #pragma once
 
 #include "damasklink/state/Clock.h"
@@ -6,46 +10,47 @@
 
 namespace damasklink {
 
-// Replaces one subtree whole, or deletes it.
+// Replaces the content of one subtree, or deletes the subtree.
 struct ConfigChange
 {
-  // Chosen by the operator's side; the same change sent again carries the same one.
+  // Chosen by the client; a resent change carries the same id.
   ChangeId id;
-  // Null content deletes.
+  // Null content deletes the subtree.
   Subtree subtree;
-  // The version of the subtree that the change was made from, zero where it did not exist.
+  // The version of the subtree that the change is based on; zero if the subtree did not exist.
   Revision base;
-  // Who asks, for the history.
+  // The name recorded in the history.
   std::string author;
 };
 
 enum class ChangeVerdict : std::uint8_t
 {
   Accepted = 1,
-  // Another change came first.
+  // The subtree has another version than the one that the change is based on.
   Conflict = 2,
-  // The content breaks a rule of the tree.
+  // The content violates a rule of the tree, or the change cannot be read.
   Refused = 3,
-  // The change id was used for another change before.
+  // An earlier change with other content has the same change id.
   IdReused = 4,
 };
 
 struct ChangeAnswer
 {
   ChangeVerdict verdict = ChangeVerdict::Refused;
-  // Accepted: the revision that the change made. Otherwise the version of the subtree in force.
+  // The revision that the change created, or the current version of the subtree if not accepted.
   Revision revision;
-  // Empty when accepted.
+  // A message for people; empty if accepted.
   std::string problem;
 
   bool operator==(const ChangeAnswer&) const = default;
 };
 
-// Returns Conflict or InvalidArgument with the remedy. Requires an answer that is not Accepted.
+// Converts an answer to an error of the kind Conflict or InvalidArgument, with a remedy. Requires
+// that the change was not accepted.
 Error
 ErrorOf(const ChangeAnswer& aAnswer);
 
-// One accepted change as the history keeps it.
+// A record of one accepted change.
 struct HistoryEntry
 {
   Revision revision;
@@ -61,32 +66,34 @@
 std::string
 PackConfigChange(const ConfigChange& aChange);
 
-// Packs the command that fills an empty tree: from the initial file, or from the highest tree that
-// the hosts still hold after the control group lost all its disks.
+// Packs the command that fills an empty tree: with the initial file or, after the control group has
+// lost all its disks, with the tree of the highest revision that any host still holds.
 std::string
 PackConfigSeed(const ChangeId& aId, const std::string& aAuthor, const RevisionedTree& aTree);
 
-// Packs the command that reads the history, newest first; it goes through the log so that any host
-// gets the history of the group. Without a name it is that of all subtrees.
+// Packs the command that reads at most aMost history entries, newest first, of one subtree or,
+// without a name, of all subtrees. The query goes through the replicated log, so every host returns
+// the history that the group has committed.
 std::string
 PackHistoryQuery(const std::optional<SubtreeName>& aName, std::size_t aMost);
 
 std::string
 PackHistory(const std::vector<HistoryEntry>& aEntries);
 
-// Fails with Corrupt.
+// Returns Corrupt if the bytes are no packed history.
 Result<std::vector<HistoryEntry>>
 UnpackHistory(std::string_view aBytes);
 
 std::string
 PackChangeAnswer(const ChangeAnswer& aAnswer);
 
-// Fails with Corrupt.
+// Returns Corrupt if the bytes are no packed answer.
 Result<ChangeAnswer>
 UnpackChangeAnswer(std::string_view aBytes);
 
 namespace internal {
 
+// The first number of each packed command. Stored in the log.
 enum class ConfigCommand : std::uint8_t
 {
   Change = 1,
@@ -100,7 +107,7 @@
 HistoryEntry
 UnpackHistoryEntry(CompactReader& aFrom);
 
-// Reads the body of a change behind its command number.
+// Reads a change after its command number has been read.
 ConfigChange
 UnpackChangeBody(CompactReader& aFrom);
 
--- a/include/damasklink/coordination/ConfigStateMachine.h
+++ b/include/damasklink/coordination/ConfigStateMachine.h
@@ -1,4 +1,4 @@
-// The configuration tree as the control group replicates it.
+// The configuration tree that the control group replicates.
 #pragma once
 
 #include <deque>
@@ -11,39 +11,43 @@
 
 namespace damasklink {
 
-// Hears of what the replicated tree becomes. Called while a command is applied.
+// Receives the changes of the replicated tree, synchronously while a command or a snapshot is
+// applied.
 class CommittedTreeObserver
 {
 public:
   virtual ~CommittedTreeObserver() = default;
 
-  // A change was accepted.
+  // One change was accepted and applied.
   virtual void OnChange(const TreeChange& aChange) = 0;
 
-  // The tree as a whole was put in place: a snapshot, or the first tree.
+  // The tree was replaced by a snapshot or by the initial tree.
   virtual void OnTree(const RevisionedTree& aTree) = 0;
 };
 
-// Accepts changes one after the other and remembers what it answered.
+// Replicated state machine that checks and applies configuration changes in log order.
 //
 //   ConfigStateMachine machine;
 //   replicator.AddMachine(ControlGroupId(), MachinePart::Configuration, machine);
 //   replicator.Propose(ControlGroupId(), MachinePart::Configuration, PackConfigChange(change),
 //   ...);
 //
-// - Of changes made from the same version exactly one is accepted; the others' Conflict names the
-//   version in force.
-// - A change id that comes again gets its first answer, whatever happened since, as long as it is
-//   among the last ChangeAnswerCache::kKept ones; with other content it is refused.
-// - A change that widens what its parent allows, or takes a key that another workspace holds, is
-//   refused. Accepted means: the answer came back from a committed command.
+// - Of several changes based on the same version of a subtree exactly one is accepted. The others
+//   are answered with Conflict and the current version.
+// - A resent change id gets its first answer as long as it is among the last
+//   ChangeAnswerCache::kKept ids. With other content it is answered with IdReused.
+// - A change that allows more than its parent in the tree, or contains a key of another workspace,
+//   is refused.
+// - An answer of Accepted means that the command has been committed.
 // - The history keeps the last kKeptHistory accepted changes.
+//
+// Not thread-safe.
 class ConfigStateMachine final : public ReplicatedMachine
 {
 public:
   static constexpr std::size_t kKeptHistory = 20'000;
 
-  // aListener may be null; it must outlive the machine.
+  // aListener may be null; otherwise it must outlive this object.
   explicit ConfigStateMachine(CommittedTreeObserver* aListener = nullptr);
 
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
@@ -52,12 +56,12 @@
 
   const RevisionedTree& Tree() const { return this->tree; }
 
-  // Returns up to aMost accepted changes, newest first; of one subtree when aName is given.
+  // Returns up to aMost accepted changes, newest first; those of one subtree if aName is given.
   std::vector<HistoryEntry> History(const std::optional<SubtreeName>& aName,
                                     std::size_t aMost) const;
 
 private:
-  // Which workspace holds a key.
+  // Maps the digest of a key to the workspace that holds it.
   using KeyHolders = absl::flat_hash_map<DigestBytes, WorkspaceId>;
 
   std::string AnswerHistory(CompactReader& aQuery) const;
@@ -66,7 +70,7 @@
                          const ChangeId& aId,
                          const std::string& aAuthor,
                          RevisionedTree aTree);
-  // Returns what is wrong with a change, empty when nothing is.
+  // Returns a description of the first problem of a change, or an empty text.
   std::string FindProblem(const ConfigChange& aChange) const;
   std::string FindKeyProblem(const WorkspaceId& aId, const WorkspaceNode& aWorkspace) const;
   void Install(const ApplyContext& aContext, const ConfigChange& aChange);
--- a/include/damasklink/coordination/DocumentFetcher.h
+++ b/include/damasklink/coordination/DocumentFetcher.h
@@ -1,16 +1,16 @@
-// How an entry host gets the configuration document: the receiving side of DocumentTransfer.h.
+// Fetches the configuration document for an entry host: the receiving side of DocumentTransfer.h.
 //
-//   DocumentFetcher fetch(clock);
-//   // With every picture that a control host tells:
-//   fetch.OnVersionAnnounced(controlHost, version);
+//   DocumentFetcher fetcher(clock);
+//   // For each ServingUpdate of a control host:
+//   fetcher.OnVersionAnnounced(controlHost, version);
 //   // After each event, and on a timer:
-//   if (auto ask = fetch.Next()) { Send(ask->source, ask->question); }
-//   // Unpack what is returned and tell by OnVersionInstalled() or OnUnpackFailed() what came of
-//   it: if (auto document = fetch.OnChunk(controlHost, piece)) { ... }
+//   if (auto outgoing = fetcher.Next()) { Send(outgoing->source, outgoing->request); }
+//   // Unpack a complete document and report OnVersionInstalled() or OnUnpackFailed():
+//   if (auto document = fetcher.OnChunk(controlHost, chunk)) { ... }
 //
-// One piece is under way at a time, from one control host. When it does not come, another control
-// host is asked for the same piece, and whichever comes first counts: a transfer only goes forward,
-// however slow the link and whoever falls silent.
+// One chunk is requested at a time, from one control host. After a timeout the same chunk is
+// requested from another control host, and the first answer is used. A transfer therefore never
+// loses progress, however slow the link is and whichever control host stops responding.
 #pragma once
 
 #include <map>
@@ -23,15 +23,16 @@
 
 namespace damasklink {
 
+// A request and the control host to send it to.
 struct OutgoingDocumentRequest
 {
   HostId source;
-  DocumentRequest question;
-  // The control host that was asked before and did not answer in time.
-  std::optional<HostId> silent;
+  DocumentRequest request;
+  // The control host whose answer to the previous request timed out, if any.
+  std::optional<HostId> timedOut;
 };
 
-// All bytes of a transfer.
+// All bytes of a completed transfer.
 struct FetchedDocument
 {
   TransferId transfer;
@@ -44,66 +45,66 @@
 public:
   explicit DocumentFetcher(const Clock& aClock);
 
-  // A connected control host tells which version is in force.
+  // A connected control host has announced the version that is in force.
   void OnVersionAnnounced(const HostId& aSource, Revision aVersion);
 
-  // The control host is not connected any more.
+  // The connection to the control host is lost.
   void OnLost(const HostId& aSource);
 
-  // Takes a piece. Returns the transfer once all of it is there.
-  std::optional<FetchedDocument> OnChunk(const HostId& aFrom, const DocumentChunk& aPiece);
+  // Processes a chunk. Returns the document once its transfer is complete.
+  std::optional<FetchedDocument> OnChunk(const HostId& aFrom, const DocumentChunk& aChunk);
 
-  // The host holds this version from now on, and the next one may be packed against it.
+  // This version has been installed; later ones may be compressed against it.
   void OnVersionInstalled(Revision aVersion);
 
-  // What was fetched could not be unpacked: it is asked for whole. A whole one that could not be
-  // read is not asked for again; the next version is.
+  // The fetched bytes could not be unpacked. Requests the full document next. A full document that
+  // cannot be read is not requested again; only a later version is.
   void OnUnpackFailed(const TransferId& aTransfer);
 
-  // Returns what to ask now, and of whom. Nothing while an answer may still come and while no newer
-  // version is known of.
+  // Returns the request to send now. Returns nothing while an answer is still awaited or while no
+  // newer version is known.
   std::optional<OutgoingDocumentRequest> Next();
 
-  // Returns when this host first heard that the version, or a later one, is in force; now when it
-  // has not, or holds it. To be asked before OnVersionInstalled().
+  // Returns when this version or a later one was first announced to this host. Returns the current
+  // time if it was not announced or is installed already, so call this before OnVersionInstalled().
   MonotonicTime AnnouncedAt(Revision aVersion) const;
 
 private:
-  struct Asked
+  struct PendingRequest
   {
     HostId source;
-    MonotonicTime at;
+    MonotonicTime sentAt;
   };
 
   Revision LowestWantedVersion() const;
   bool IsWantedVersionAvailable() const;
-  bool IsWanted(const DocumentChunk& aPiece) const;
+  bool IsAcceptable(const DocumentChunk& aChunk) const;
   void OnProgress();
-  void OnSilence();
+  void OnTimeout();
   void AbandonTransfer();
   std::optional<HostId> ChooseSourceOrRetry();
   std::optional<HostId> ChooseSource() const;
 
   const Clock& clock;
-  Revision held;
-  // No later version is packed against the held one: it was refused once.
-  bool wantsWhole = false;
-  // Could not be read; zero for none.
+  Revision installed;
+  // Request full documents: a version compressed against the installed one could not be unpacked.
+  bool wantsFullDocument = false;
+  // A version whose full document could not be read; zero for none.
   Revision unreadable;
-  // Control hosts by the version that they announced last.
+  // Connected control hosts and the version that each announced last.
   std::map<HostId, Revision> sources;
-  // The first one to announce the newest version, then whoever answered last.
+  // The first control host that announced the newest version, later the one that answered last.
   HostId preferred;
   Revision newest;
-  // When versions that are not held were first heard of.
+  // When versions that are not installed were first announced.
   std::map<Revision, MonotonicTime> announcedAt;
-  // Names nothing while no piece has come.
+  // Empty until the first chunk has arrived.
   TransferId transfer;
   std::string received;
-  std::optional<Asked> asked;
-  // Asked for the next piece without an answer so far.
-  std::set<HostId> silent;
-  Duration patience;
+  std::optional<PendingRequest> pending;
+  // Control hosts that did not answer the request for the next chunk in time.
+  std::set<HostId> timedOut;
+  Duration timeout;
   std::uint64_t chunkBytes;
 };
 
--- a/include/damasklink/coordination/DocumentPublisher.h
+++ b/include/damasklink/coordination/DocumentPublisher.h
@@ -1,9 +1,9 @@
-// What a control host sends of the configuration document, and to whom: the sending side of
+// Answers requests for the configuration document on a control host: the sending side of
 // DocumentTransfer.h.
 //
-//   DocumentPublisher source;
-//   source.Publish(Revision(7), text);
-//   std::optional<DocumentChunk> piece = source.Answer(question);
+//   DocumentPublisher publisher;
+//   publisher.Publish(Revision(7), text);
+//   std::optional<DocumentChunk> chunk = publisher.Answer(request);
 #pragma once
 
 #include <map>
@@ -15,17 +15,17 @@
 
 namespace damasklink {
 
-// Keeps the newest versions and what was packed of them. Not thread-safe.
+// Caches the newest versions of the document and their packed forms. Not thread-safe.
 class DocumentPublisher
 {
 public:
-  // Takes a version that is in force from now on. Lower ones than the newest change nothing, and
-  // zero names none.
+  // Adds the version that has come into force. Ignores versions that are not higher than the newest
+  // one; zero is no version.
   void Publish(Revision aVersion, const std::string& aDocument);
 
-  // Returns the piece that was asked for; the beginning of a transfer of the newest version where
-  // that is not at hand; nothing when the asker holds the newest version.
-  std::optional<DocumentChunk> Answer(const DocumentRequest& aQuestion);
+  // Returns the requested chunk, or the first chunk of the newest version if the requested transfer
+  // is not available, or nothing if the requester holds the newest version.
+  std::optional<DocumentChunk> Answer(const DocumentRequest& aRequest);
 
 private:
   struct Packed
@@ -34,13 +34,13 @@
     std::string bytes;
   };
 
-  // By the version and the one that it is packed against.
+  // A version and the one that it is compressed against.
   using Versions = std::pair<Revision, Revision>;
 
   const Packed* Find(Revision aVersion, Revision aBase);
   void DropOldest();
 
-  // At least the newest one.
+  // The newest versions; always contains the newest one.
   std::map<Revision, std::string> documents;
   std::size_t documentBytes = 0;
   std::map<Versions, Packed> packed;
--- a/include/damasklink/coordination/DocumentTransfer.h
+++ b/include/damasklink/coordination/DocumentTransfer.h
@@ -1,10 +1,10 @@
-// How the configuration document gets to an entry host: the words of both sides.
+// Messages that transfer the configuration document from control hosts to entry hosts.
 //
-// Control hosts tell the version that is in force with every picture. An entry host that holds an
-// older one asks one control host for the newer one, a piece at a time, naming the version it
-// holds; the control host answers with pieces of the document packed against that version. Since an
-// entry host asks, nothing piles up on the way to it, small messages pass between two pieces, and a
-// transfer goes on at another control host where it stopped.
+// Each ServingUpdate of a control host names the document version that is in force. An entry host
+// that holds an older version requests the newer one from one control host, chunk by chunk, and
+// names the version that it holds. The control host answers with chunks of the document, compressed
+// against that version. Because the entry host pulls, no data queues up in front of it, small
+// messages pass between two chunks, and a transfer can be resumed at another control host.
 #pragma once
 
 #include <cstdint>
@@ -15,40 +15,42 @@
 
 namespace damasklink {
 
-// No document is longer; four times what control hosts take from operators.
+// The maximum document size, in bytes: four times the limit of what operators may upload.
 constexpr std::uint64_t kMostDocumentBytes = 64 * kMebibyte;
 
-// No piece is longer, whatever is asked for: 52 ms of a link of 10 Mbit/s.
+// The maximum chunk size, in bytes, whatever the request asks for: 52 ms on a link of 10 Mbit/s.
 constexpr std::uint64_t kMostChunkBytes = 64 * kKibibyte;
 
-// Names the bytes that a document is sent as. The same on all control hosts that can send them.
+// Identifies the packed bytes of a document, with the same id on all control hosts that have them.
 struct TransferId
 {
-  // Zero names nothing.
+  // Zero: no transfer.
   Revision version;
-  // The version that the bytes are packed against; zero when they hold the whole document.
+  // The version that the document is compressed against; zero for a full document.
   Revision base;
+  // The size of the packed bytes, and their CRC-32C.
   std::uint64_t bytes = 0;
   std::uint32_t checksum = 0;
 
   bool operator==(const TransferId&) const = default;
 };
 
-// An entry host asks for the next piece.
+// A request of an entry host for the next chunk.
 struct DocumentRequest
 {
-  // Zero when it holds none, or none that could be built upon.
+  // The document version that the entry host holds; zero to request the full document.
   Revision held;
-  // What it has begun to receive; names nothing when it asks for the newest version.
+  // The transfer to resume; empty to request the newest version.
   TransferId transfer;
+  // The number of bytes received so far.
   std::uint64_t offset = 0;
   std::uint64_t mostBytes = 0;
 
   bool operator==(const DocumentRequest&) const = default;
 };
 
-// A control host answers, with what was asked for or, when it does not have that, with the
-// beginning of what it has.
+// The answer of a control host: the requested chunk or, if it does not have that transfer, the
+// first chunk of its newest version.
 struct DocumentChunk
 {
   TransferId transfer;
--- a/include/damasklink/coordination/EligibilityCache.h
+++ b/include/damasklink/coordination/EligibilityCache.h
@@ -1,4 +1,5 @@
-// Remembers which targets may serve a kind of request, so that a decision need not ask each anew.
+// Caches which targets may serve a kind of request, so that routing need not check each target for
+// each request.
 #pragma once
 
 #include <string>
@@ -10,21 +11,23 @@
 
 namespace damasklink {
 
-// Answers as EligibleVersion() does for a request that has excluded nobody.
+// Returns the same as EligibleVersion() for a request that excludes no target.
 //
 //   EligibilityCache eligibility;
 //   eligibility.Select(request, targets.size());
 //   eligibility.VersionOf(request, position, targets[position]);
 //
-// What is remembered of a target holds for one announcement of it. Bounded; not thread-safe.
+// An entry is valid for one announcement of its target. The cache is cleared when it exceeds its
+// limit of request kinds. Not thread-safe.
 class EligibilityCache
 {
 public:
-  // Finds what is known of requests like this one, for a list of so many targets.
+  // Selects the cached entries for requests of this kind, for a list of aTargets targets.
   void Select(const RouteRequest& aRequest, std::size_t aTargets);
 
-  // Returns the version in which the target at this position of the list may serve the request, or
-  // an empty one. Requires Select() for the request; valid until the next one.
+  // Returns the weight version with which the target at this position of the list may serve the
+  // request, or an empty one. Requires a preceding Select() for the request. The reference is valid
+  // until the next Select().
   const WeightVersion& VersionOf(const RouteRequest& aRequest,
                                  std::size_t aPosition,
                                  const TargetRecord& aTarget);
--- a/include/damasklink/coordination/EvacuationRegistry.h
+++ b/include/damasklink/coordination/EvacuationRegistry.h
@@ -1,12 +1,12 @@
-// Availability zones that operators have evacuated: their targets get no work.
+// The availability zones that operators have evacuated. Targets in these zones get no work.
 //
 //   EvacuationRegistry evacuations;
 //   evacuations.Apply(SetEvacuation{ zone, true, evacuations.ChangesOf(zone), now });
-//   evacuations.Current();     // For entry hosts.
+//   evacuations.Current();     // Sent to entry hosts.
 //
-// An order may be sent again to another host while the first copy is still on its way. Each order
-// therefore carries how many changes of the zone its receiver had seen: a copy that is committed
-// after a later order has changed the zone again does nothing.
+// An operator may resend an order to another host while the first copy is still being committed.
+// Each order therefore contains the number of changes of the zone that the receiving host had seen.
+// A copy that is committed after a later order has changed the zone again has no effect.
 #pragma once
 
 #include <cstdint>
@@ -18,58 +18,61 @@
 
 namespace damasklink {
 
-// An order for one availability zone.
+// An order to evacuate an availability zone, or to withdraw its evacuation.
 struct SetEvacuation
 {
   ZoneId zone;
   bool evacuated = false;
-  // Changes of the zone that the host which took the order had seen.
+  // The number of changes of the zone that the host which received the order had seen.
   std::uint64_t seenChanges = 0;
-  // When the order was taken, to the millisecond; for people.
+  // When the order was received, in milliseconds; informational only.
   WallTime since;
 };
 
 enum class EvacuationResult
 {
   Applied,
+  // The zone was in the ordered state already.
   NoChange,
-  // The zone has changed since the order was taken, and the order wants it otherwise.
+  // The order differs from the state of the zone, which has changed since the order was received.
   Superseded,
 };
 
+// The state of one zone.
 struct ZoneEvacuation
 {
   bool evacuated = false;
-  // Rises by one with each change.
+  // Incremented with each change.
   std::uint64_t changes = 0;
   WallTime since;
 
   bool operator==(const ZoneEvacuation&) const = default;
 };
 
-// The evacuated zones as of one moment.
+// The evacuated zones at one point in time.
 struct EvacuatedZones
 {
-  // Of two, the one with the higher revision is newer.
+  // Increases with each change of any zone.
   std::uint64_t revision = 0;
   std::set<ZoneId> zones;
 
   bool operator==(const EvacuatedZones&) const = default;
 };
 
-// Replicated: the result depends on the orders alone. Not thread-safe.
+// Part of the replicated state: the result depends only on the sequence of orders. Not thread-safe.
 class EvacuationRegistry
 {
 public:
   EvacuationResult Apply(const SetEvacuation& aOrder);
 
-  // Returns how often the zone has changed; zero for one that no order has named.
+  // Returns the number of changes of the zone; zero if there was no order for it.
   std::uint64_t ChangesOf(const ZoneId& aZone) const;
 
   EvacuatedZones Current() const;
 
-  // All zones that an order has ever changed.
+  // Returns all zones that an order has changed, also those that are not evacuated now.
   const std::map<ZoneId, ZoneEvacuation>& All() const { return this->zones; }
+  // Replaces the state by that of a snapshot.
   void Restore(std::map<ZoneId, ZoneEvacuation> aZones) { this->zones = std::move(aZones); }
 
 private:
--- a/include/damasklink/coordination/HubSelector.h
+++ b/include/damasklink/coordination/HubSelector.h
@@ -1,16 +1,17 @@
-// Which control host an entry host tells what it has where, its hub.
+// Selects the hub of an entry host: the control host to which it sends its load reports.
 //
-//   HubSelector choice(clock, zone);
-//   choice.Choose(candidates);        // Those that have spoken on their connections.
-//   choice.OnReportSent();                  // The hub was told something, and owes its sums.
-//   choice.OnMessageFrom(host);
-//   choice.OnLost(host);
+//   HubSelector selector(clock, zone);
+//   selector.Choose(candidates);     // Control hosts that have sent something on their connection.
+//   selector.OnReportSent();         // The hub now has to reply with its sums.
+//   selector.OnMessageFrom(host);
+//   selector.OnLost(host);
 //
-// All hosts of a zone choose the same one as long as they reach the same ones: one of their zone,
-// where bytes are cheap, or else the first, and rather one that hears a leader. A hub that owes its
-// sums for long is passed over until it speaks again: a control host that is suspended keeps its
-// connections, and accepts new ones, for as long as nobody gives them up, while the entry hosts
-// that tell it do not hear of each other. Not thread-safe.
+// Entry hosts of one zone select the same hub if they reach the same control hosts. A control host
+// that has contact with a leader is preferred, then one of the own zone, where traffic is cheap,
+// then the first one. A hub that does not reply within kReplyTimeout is avoided until it sends
+// something again. A suspended control host keeps its connections open and accepts new ones until
+// its peers close them, and meanwhile the entry hosts that report to it would not learn of each
+// other's load. Not thread-safe.
 #pragma once
 
 #include <optional>
@@ -26,15 +27,15 @@
 {
   HostId host;
   ZoneId zone;
-  // It hears a leader.
+  // The control host has contact with a leader.
   bool hearsLeader = false;
 };
 
 class HubSelector
 {
 public:
-  // A hub that was told something tells its sums within 50 ms. Ten times that is long under any
-  // load, and a third of the time after which a silent connection is given up.
+  // A hub replies to a report with its sums within 50 ms. Ten times that suffices under any load,
+  // and is a third of the time after which a silent connection is closed.
   static constexpr Duration kReplyTimeout = std::chrono::milliseconds(500);
 
   HubSelector(const Clock& aClock, ZoneId aZone)
@@ -43,15 +44,18 @@
   {
   }
 
-  // Returns the hub from now on; nothing without a candidate.
+  // Selects and returns the hub; nothing if there is no candidate.
   std::optional<HostId> Choose(const std::vector<HubCandidate>& aCandidates);
 
   const std::optional<HostId>& Hub() const { return this->hub; }
 
+  // A report was sent to the hub.
   void OnReportSent();
+
+  // A message from a control host was received.
   void OnMessageFrom(const HostId& aHost);
 
-  // The connection to the control host is lost; it has forgotten what it was told.
+  // The connection to the control host was lost, and with it the state of earlier reports.
   void OnLost(const HostId& aHost);
 
 private:
@@ -60,10 +64,10 @@
   const Clock& clock;
   ZoneId zone;
   std::optional<HostId> hub;
-  // Since when the hub owes its sums.
+  // When the oldest report without a reply was sent to the hub.
   std::optional<MonotonicTime> awaitingReplySince;
-  // Those that owed their sums for too long and have said nothing since.
-  std::set<HostId> quiet;
+  // Control hosts that did not reply in time and have sent nothing since.
+  std::set<HostId> unresponsive;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/RecentHosts.h
+++ b/include/damasklink/coordination/RecentHosts.h
@@ -1,12 +1,12 @@
-// Which hosts were there lately, whether they are now or not.
+// The hosts that were connected within the last kRetention, including those that are not any more.
 //
 //   RecentHosts recent;
 //   recent.Update(roster.AllEntryHosts(), now);
 //   recent.All();
 //
-// What is divided among the hosts that are in touch is divided twice while a cut separates them:
-// each side takes the other for gone. A host that is remembered for a while keeps its part on both
-// sides. Not thread-safe.
+// A budget that is divided among the connected hosts would be handed out twice during a network
+// partition, since each side regards the other as disconnected. A host that stays listed for some
+// time keeps its share on both sides. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -20,10 +20,10 @@
 class RecentHosts
 {
 public:
-  // Longer than a cut usually lasts, and than a cold start does.
+  // Longer than most network partitions and than a cold start.
   static constexpr Duration kRetention = std::chrono::seconds(15);
 
-  // Takes the hosts that are there now.
+  // Records the hosts that are connected now and removes those not seen for longer than kRetention.
   void Update(const std::set<HostId>& aHosts, MonotonicTime aNow);
 
   const std::set<HostId>& All() const { return this->hosts; }
--- a/include/damasklink/coordination/RegionRestriction.h
+++ b/include/damasklink/coordination/RegionRestriction.h
@@ -1,9 +1,10 @@
-// The regions that a call may not leave.
+// Restricts a call to the regions that its route and its workspace allow.
 //
-//   const RegionRestriction homes(route.homes, workspace.homes, settings.regions);
-//   if (homes.Allows(target.zone)) ...
+//   const RegionRestriction restriction(
+//     route.allowedRegions, workspace.allowedRegions, settings.regions);
+//   if (restriction.Allows(target.zone)) ...
 //
-// They bind what the call is sent to and where the cached parts of its prompt are kept. Immutable.
+// Applies to the targets of the call and to the stores that cache parts of its prompt. Immutable.
 #pragma once
 
 #include <set>
@@ -17,17 +18,18 @@
 class RegionRestriction
 {
 public:
-  // IsRestricted nothing.
+  // No restriction: allows every zone.
   RegionRestriction() = default;
 
-  // A list without regions restricted nothing; of two lists, the regions in both are left.
-  RegionRestriction(const std::vector<RegionId>& aOfRoute,
-                    const std::vector<RegionId>& aOfWorkspace,
+  // An empty list does not restrict; if both lists have regions, only those in both are allowed.
+  // aRegions maps each zone to its region.
+  RegionRestriction(const std::vector<RegionId>& aRouteRegions,
+                    const std::vector<RegionId>& aWorkspaceRegions,
                     const ZoneRegions& aRegions);
 
   bool IsRestricted() const { return this->restricted; }
 
-  // Returns whether no availability zone is left.
+  // Returns true if no availability zone is allowed.
   bool AllowsNoZone() const { return this->restricted && this->zones.empty(); }
 
   bool Allows(const ZoneId& aZone) const
@@ -35,7 +37,7 @@
     return !this->restricted || this->zones.contains(aZone);
   }
 
-  // Returns the regions as one text, the same for the same regions; empty where nothing restricted.
+  // Returns the allowed regions as a canonical comma-separated text; empty without a restriction.
   const std::string& Text() const { return this->text; }
 
 private:
--- a/include/damasklink/coordination/RouteTable.h
+++ b/include/damasklink/coordination/RouteTable.h
@@ -1,4 +1,4 @@
-// Finds the route and the workspace of a call in one serving configuration.
+// Index of one serving configuration that finds the route and the workspace of a call.
 //
 //   RouteTable table(config);
 //   const ServingRoute* route = table.FindRoute("Shop.example:80", "/notes/short/7");
@@ -15,30 +15,32 @@
 
 namespace damasklink {
 
-// Look-ups cost one hash a slash of the path, whatever the number of routes. Immutable.
+// A look-up hashes once for each slash of the path, independent of the number of routes. Immutable.
 class RouteTable
 {
 public:
   explicit RouteTable(std::shared_ptr<const ServingConfig> aConfig);
 
-  // Returns the route of the host whose prefix is the longest that begins the path; null for none.
-  // The host may carry a port and any case.
+  // Returns the route of the host with the longest prefix that matches the path, or null. Ignores
+  // the case and the port of the host.
   const ServingRoute* FindRoute(std::string_view aHost, std::string_view aPath) const;
 
-  // Returns the workspace that holds the key; null for none.
+  // Returns the workspace that has the key, or null.
   const WorkspaceEntry* FindWorkspace(std::string_view aKey) const;
 
   const ServingConfig& Config() const { return *this->config; }
 
 private:
   std::shared_ptr<const ServingConfig> config;
-  // By host and prefix, one after the other: a prefix begins with a slash, which no host holds.
+  // By the concatenation of host and prefix. Unambiguous: a prefix begins with a slash, and no host
+  // contains one.
   absl::flat_hash_map<std::string, const ServingRoute*> routes;
   absl::flat_hash_map<std::string, const WorkspaceEntry*> workspaces;
 };
 
-// Returns the service of the route that a call with this number goes to: the same number chooses
-// the same service, and numbers spread over the services by their weights.
+// Returns the service of the route for a call with this number. The same number always selects the
+// same service, and numbers are distributed over the services by weight. Requires a route with
+// services.
 const ServiceName&
 ChooseService(const ServingRoute& aRoute, std::uint64_t aNumber);
 
--- a/include/damasklink/coordination/ServingConfig.h
+++ b/include/damasklink/coordination/ServingConfig.h
@@ -1,10 +1,10 @@
-// What operators declare of a serving deployment: routes, services, limits and keys.
+// The configuration of a serving deployment: routes, services, limits and keys.
 //
-// The declaration travels as one document under one version. A codec decodes the document into
-// ServingConfig, and CheckServingConfig() says whether it may come into force:
+// Operators upload it as one document with one version. A codec decodes the document into a
+// ServingConfig, and CheckServingConfig() validates it before it comes into force:
 //
 //   auto checked = CheckServingConfig(config);
-//   if (!checked) ...   // The error names what is wrong and how to mend it.
+//   if (!checked) ...   // The error contains the problem and a remedy.
 #pragma once
 
 #include <cstdint>
@@ -21,20 +21,20 @@
 
 namespace damasklink {
 
-// What may be repeated on a route.
+// Determines which calls of a route may be retried.
 enum class CallKind
 {
   Idempotent,
   NonIdempotent,
-  // A stream of events; repeatable only where the route is resumable.
+  // The answer is a stream of events; may be retried only if the route is resumable.
   Streaming,
 };
 
-// Returns the stable lower-case name that logs and metrics use.
+// Returns the lower-case name used in logs and metrics.
 std::string_view
 CallKindName(CallKind aKind);
 
-// The part of a route's calls that a service gets.
+// A service of a route and its weight: the service gets weight / (sum of all weights) of the calls.
 struct ServiceShare
 {
   ServiceName service;
@@ -51,61 +51,64 @@
   // Begins and ends with a slash.
   std::string prefix;
   CallKind kind = CallKind::NonIdempotent;
-  // The longest a caller is kept without its final answer.
+  // The time limit for the complete answer.
   Duration timeout{ 0 };
-  // Up to the whole answer, or the first event of a stream.
+  // The latency objective up to the complete answer or, for streams, the first event.
   Duration latencyObjective{ 0 };
-  // The longest pause between the events of a stream.
+  // The objective for the longest pause between two events of a stream.
   Duration pauseObjective{ 0 };
-  // 0 is the most urgent.
+  // 0 is the highest priority.
   int priority = 0;
   std::vector<ServiceShare> shares;
-  // Targets that one call may be sent to in all.
+  // The maximum number of targets that one call may be sent to, the first attempt included.
   std::uint64_t mostTargets = 1;
-  // Needs no key.
+  // Calls need no key.
   bool open = false;
-  // Calls carry a prompt whose parts targets cache.
+  // Calls contain a prompt, of which targets cache parts.
   bool carriesPrompt = false;
-  // A stream may go on at another target after its last event.
+  // A broken stream may be resumed at another target after the last event delivered.
   bool resumable = false;
-  // Calls stay in these regions; without any, they may go anywhere.
+  // Calls are sent only to these regions; empty means any region.
   std::vector<RegionId> allowedRegions;
 };
 
-// What the engines of a service are like.
+// The properties of the engines of a service.
 struct EngineSpec
 {
+  // Requests that one engine runs at once.
   std::uint64_t slots = 0;
+  // The capacity of the prompt cache.
   TokenCount cacheTokens;
   ByteCount bytesPerToken;
-  // Megabits a second.
+  // In megabits per second.
   double linkRate = 0;
-  // Readers of events that one engine holds at once.
+  // The maximum number of concurrent readers of events at one engine.
   std::uint64_t mostWaiting = 0;
   std::vector<ModelName> models;
 };
 
-// A store of cached prompt parts.
+// The properties of a store for cached prompt parts.
 struct PromptStoreSpec
 {
   Endpoint endpoint;
   ZoneId zone;
   TokenCount cacheTokens;
-  // Megabits a second.
+  // In megabits per second.
   double linkRate = 0;
   std::uint64_t mostWaiting = 0;
-  // Nothing is dropped but on our order.
+  // The store evicts nothing by itself; parts are freed only on request of a control host.
   bool managed = false;
-  // What each transfer waits before its first byte.
+  // The latency of each transfer before its first byte.
   Duration firstByte{ 0 };
 };
 
-// What targets of a service bear just after they have started, or once they are cold again.
+// The request rate that a cold target of a service accepts: one that has just started, or has
+// become cold again.
 struct ColdStartSpec
 {
-  // Of all hosts together.
+  // The total over all entry hosts.
   RequestRate rate;
-  // How long a start takes.
+  // The time until a cold target is warm.
   Duration lasts{ 0 };
 
   bool operator==(const ColdStartSpec&) const = default;
@@ -115,15 +118,15 @@
 {
   ServiceName name;
   std::string healthPath;
-  // Connections that one target accepts from all callers together; 0 when not said.
+  // The maximum number of connections that one target accepts in total; 0 if not specified.
   std::uint64_t mostConnections = 0;
   std::optional<EngineSpec> engine;
   std::optional<PromptStoreSpec> store;
-  // Nothing where a cold target bears as much as a warm one.
+  // Empty if cold targets accept the same rate as warm ones.
   std::optional<ColdStartSpec> cold;
 };
 
-// What a caller may send, and how long it may take.
+// Limits on the size and duration of requests from callers. Sizes are in bytes.
 struct CallerLimits
 {
   std::uint64_t headerBytes = 16'384;
@@ -136,11 +139,11 @@
 {
   WorkspaceId name;
   std::vector<std::string> keys;
-  // Goes before the route's priority.
+  // Overrides the priority of the route.
   std::optional<int> priority;
-  // Shares no cached part with another workspace.
+  // Cached prompt parts are not shared with other workspaces.
   bool isolated = false;
-  // As those of a route; where both have some, both bind.
+  // As for a route; if both are set, calls are sent only to regions in both lists.
   std::vector<RegionId> allowedRegions;
 };
 
@@ -150,19 +153,20 @@
   std::vector<ServingRoute> routes;
   std::vector<ServingService> services;
   CallerLimits limits;
-  // Without any, calls need no key.
+  // If empty, calls need no key.
   std::vector<WorkspaceEntry> workspaces;
 
+  // Returns null if there is no such service.
   const ServingService* FindService(const ServiceName& aName) const;
 };
 
-// Fails with InvalidArgument when a route names an unknown service, two routes have the same host
-// and prefix, the weights of a route add up to zero, a timeout is zero, a prefix does not begin and
-// end with a slash, or two workspaces hold the same key.
+// Returns InvalidArgument if a route names an unknown service, two routes have the same host and
+// prefix, the weights of a route sum to zero, a timeout is not above zero, a prefix does not begin
+// and end with a slash, or two workspaces have the same key.
 Result<void>
 CheckServingConfig(const ServingConfig& aConfig);
 
-// Fails with InvalidArgument when a route or a workspace names a region that is not among these.
+// Returns InvalidArgument if a route or a workspace names a region that is not in aRegions.
 Result<void>
 CheckRegions(const ServingConfig& aConfig, const std::set<RegionId>& aRegions);
 
--- a/include/damasklink/coordination/ServingMessages.h
+++ b/include/damasklink/coordination/ServingMessages.h
@@ -1,8 +1,8 @@
-// What control hosts tell entry hosts, and each other, of a serving deployment.
+// The messages that control hosts and entry hosts of a serving deployment exchange.
 //
-// A control host greets whoever connects and then tells its picture: first all of it, later what
-// has changed. An entry host listens to several control hosts and merges what they say, so it needs
-// no notice when one of them falls silent or behind.
+// Both sides of a new connection send a Greeting. A control host then sends a ServingUpdate with
+// its full state, and later ones with the changes. An entry host merges the updates of several
+// control hosts, so it needs no notification when one of them stops sending or is behind.
 #pragma once
 
 #include <map>
@@ -25,62 +25,63 @@
 
 enum class HostRole : std::uint8_t
 {
-  Entry = 1,   // Relays calls; holds nothing that must survive.
-  Control = 2, // Holds the replicated log and hears the targets.
+  Entry = 1,   // Relays calls; has no durable state.
+  Control = 2, // Stores the replicated log and receives the heartbeats of targets.
 };
 
-// Control hosts by their zone; the zone is empty where it is not known yet.
+// The known control hosts and their zones; a zone that is not known yet is empty.
 using ControlHostZones = std::map<HostId, ZoneId>;
 
-// The first message of both sides of a connection.
+// The first message that each side of a connection sends.
 struct Greeting
 {
   HostRole role = HostRole::Entry;
   ZoneId zone;
-  // Those that the sender knows, itself among them.
+  // The control hosts known to the sender, including itself.
   ControlHostZones controlHosts;
 
   bool operator==(const Greeting&) const = default;
 };
 
-// What a control host believes of a target. The numbers stand on the wire.
+// The availability of a target as a control host sees it. The numbers are sent between hosts.
 enum class TargetAvailability : std::uint8_t
 {
   Usable = 1,
-  Silent = 2,  // Not heard for too long, or another target announced itself from its address.
-  Leaving = 3, // Said so, or signed off; stays so.
+  Silent = 2,  // Heartbeats are overdue, or another target has announced itself from its address.
+  Leaving = 3, // Has announced its departure or signed off; final.
 };
 
+// The state of one target.
 struct TargetUpdate
 {
   TargetRecord record;
   TargetAvailability standing = TargetAvailability::Usable;
-  // Gets no new work while its weights are exchanged.
+  // Gets no new work while its weights are replaced.
   bool paused = false;
 
   bool operator==(const TargetUpdate&) const = default;
 };
 
-// What a control host knows of the parts in one store.
+// The parts in one store that a control host knows of, in full or as changes.
 struct StoreUpdate
 {
   Endpoint store;
-  // False: the control host does not hear the store; nothing that was said of it counts any more.
+  // False if the control host has no contact with the store; earlier updates of it are then void.
   bool live = false;
-  // The parts stated are all there are; else they are changes to what was stated before.
+  // True if `added` is the full content; otherwise this is a change to earlier updates.
   bool whole = false;
   std::vector<SizedPart> added;
   std::vector<PartKey> removed;
-  // Space for parts that are not whole: being written, or left by a writer that broke off.
+  // Space taken by incomplete parts: being written, or left by a writer that was interrupted.
   TokenCount reserved;
 
-  // Returns the tokens of the parts that are added.
+  // Returns the total number of tokens of the added parts.
   TokenCount Tokens() const;
 
   bool operator==(const StoreUpdate&) const = default;
 };
 
-// A request that ran on a target when that ended.
+// A request that was running on a target when that crashed.
 struct CrashReport
 {
   RequestFingerprint request;
@@ -88,13 +89,13 @@
   WorkspaceId workspace;
   ServiceName service;
   TargetId target;
-  // The start of the target that ended.
+  // The incarnation of the target that crashed.
   Incarnation incarnation;
 
   bool operator==(const CrashReport&) const = default;
 };
 
-// A request ran well at a target of the service.
+// A suspected request that completed at a target of the service without a crash.
 struct SuccessfulRun
 {
   RequestFingerprint request;
@@ -105,94 +106,99 @@
   auto operator<=>(const SuccessfulRun&) const = default;
 };
 
-// What a target's answers say of how many requests it takes from all hosts together.
+// The request rate that a target accepts from all hosts in total, as its answers state it.
 struct LimitReport
 {
   TargetId target;
-  // The start of the target that says so.
+  // The incarnation of the target that states it.
   Incarnation incarnation;
-  // Nothing: it names no limit any more.
+  // Empty if the target no longer states a limit.
   std::optional<RequestRate> limit;
 
   bool operator==(const LimitReport&) const = default;
 };
 
-// The limit of a target, and which entry hosts may send to it.
+// The rate limit of a target and the entry hosts among which it is divided.
 struct TargetLimit
 {
   TargetId target;
   Incarnation incarnation;
-  // Nothing: the target names none, it is cold.
+  // Empty if the target states none: it is cold.
   std::optional<RequestRate> limit;
-  // Of each of the hosts below; the others send nothing.
+  // The share of each of the hosts below; other hosts must not send to the target.
   RequestRate share;
   std::set<HostId> hosts;
-  // How long it stayed cold from when it was last heard to be; zero for a warm one.
+  // How long the target stays cold, counted from the last report that it is; zero if it is warm.
   Duration coldFor{ 0 };
 
   bool operator==(const TargetLimit&) const = default;
 };
 
-// Requests that crash targets.
+// Requests that are known or suspected to crash targets.
 struct CrashingRequests
 {
-  // Not to be sent to targets any more.
+  // Must not be sent to targets any more.
   std::set<RequestFingerprint> refused;
-  // May come to be refused; a sound run is to be reported.
+  // May be refused later; entry hosts report each successful run of them.
   std::set<RequestFingerprint> suspected;
 
   bool operator==(const CrashingRequests&) const = default;
 };
 
+// The state of a deployment as one control host sees it, in full or as changes.
 struct ServingUpdate
 {
-  // The version of the configuration document that is in force, with every picture, so that an
-  // entry host that missed a version knows of it. Zero when there is none yet.
+  // The version of the configuration document that is in force. Included in every update, so that
+  // an entry host that missed a version learns of it. Zero if there is none yet.
   Revision documentVersion;
   std::map<ModelName, std::uint64_t> weights;
   std::vector<TargetUpdate> targets;
-  // Entry hosts that the sender knows of, among which shared budgets are divided; 0 when not told.
+  // The number of known entry hosts, among which shared budgets are divided; 0 if not included.
   std::uint64_t entryHosts = 0;
-  // The sender hears no leader: what it says may be behind what other control hosts say.
+  // The sender has no contact with a leader, so its state may be behind that of other control
+  // hosts.
   bool isolated = false;
   ControlHostZones controlHosts;
   std::vector<StoreUpdate> stores;
-  // All that the sender knows of them; nothing when it does not tell.
+  // The complete sets; empty if not included.
   std::optional<CrashingRequests> crashing;
-  // All that are evacuated; nothing when the sender does not tell.
+  // All evacuated zones; empty if not included.
   std::optional<EvacuatedZones> evacuated;
 
   bool operator==(const ServingUpdate&) const = default;
 };
 
-// What one entry host has at one target, or several together.
+// The load that one entry host, or several in total, have in flight at one target.
 struct InFlightLoad
 {
   TargetId target;
-  // Now, not since the last message: a lost one does no lasting harm.
+  // The current number, not a change, so that a lost message has no lasting effect.
   std::uint64_t requests = 0;
+  // Prompt tokens that wait for prefill.
   TokenCount unread;
-  // Tokens of the requests that take up the target's memory.
+  // Tokens of the requests that occupy memory of the target.
   TokenCount memory;
-  // Parts of the prompts that were sent there since the host told before.
+  // Parts of the prompts sent there since the previous report.
   std::vector<SizedPart> parts;
 
   bool operator==(const InFlightLoad&) const = default;
 };
 
-// How long first events took beyond the engines' own work, where parts were fetched from a store.
+// The additional time to the first event of calls whose prompt parts were fetched from a store,
+// beyond the engine's own work.
 struct StoreFetchDelay
 {
-  // The store's address; empty stands for prompts that fetched nothing.
+  // The address of the store; empty for prompts that fetched no parts.
   std::string store;
-  // First events since the teller told before, and their excess together, in milliseconds.
+  // The number of first events since the previous report, and their total additional time in
+  // milliseconds.
   std::uint64_t count = 0;
   double total = 0;
 
   bool operator==(const StoreFetchDelay&) const = default;
 };
 
-// How many hosts found a target gone, or back, since the teller told before.
+// How many hosts found a target unreachable, or reachable again, since the previous report.
 struct TargetReachabilityReport
 {
   TargetId target;
@@ -202,35 +208,36 @@
   bool operator==(const TargetReachabilityReport&) const = default;
 };
 
-// What an entry host sends where, or the sum of that over the entry hosts that tell one control
-// host. Control hosts pass sums on, so that each entry host knows the load of targets and what they
-// hold, not only its own share of it.
+// The load of an entry host, or the sum over all entry hosts that report to one control host.
+// Control hosts distribute the sums, so that each entry host knows the total load of the targets
+// and the parts they cache, not only its own share.
 struct LoadReport
 {
-  // Who tells.
+  // The reporting host.
   HostId host;
   std::vector<InFlightLoad> sends;
   std::vector<StoreFetchDelay> excesses;
   std::vector<TargetReachabilityReport> findings;
-  // The teller tells another control host from now on; nothing of its words counts here any more.
+  // The last report to this control host: the sender reports to another one from now on, and its
+  // earlier reports here are void.
   bool last = false;
-  // To be passed on at once: a long prompt was sent, and calls that others send behind it before
-  // they hear of it wait until it is read.
+  // Forward this report at once: a long prompt was sent, and calls that other hosts send to the
+  // same target before they know of it wait for its prefill.
   bool urgent = false;
-  // Since the teller told before.
+  // Crashes since the previous report.
   std::vector<CrashReport> crashes;
-  // Suspected requests that ran well since then.
+  // Successful runs of suspected requests since the previous report.
   std::vector<SuccessfulRun> sound;
-  // What answers said of limits since then.
+  // Limits stated in answers since the previous report.
   std::vector<LimitReport> limitReports;
-  // All limits and shares, for entry hosts; nothing when they are not told.
+  // All limits and shares, sent to entry hosts; empty if not included.
   std::optional<std::vector<TargetLimit>> limits;
 
   bool operator==(const LoadReport&) const = default;
 };
 
-// The entry hosts that are connected to one control host, for the other control hosts: together
-// they know how many there are.
+// The entry hosts connected to one control host. Control hosts exchange these lists to know the
+// total number of entry hosts.
 struct EntryHostList
 {
   std::vector<HostId> hosts;
--- a/include/damasklink/coordination/ServingStateMachine.h
+++ b/include/damasklink/coordination/ServingStateMachine.h
@@ -1,13 +1,14 @@
-// The state that control hosts replicate for serving: one document, the named weights, the requests
-// that are refused because they crash targets, and the evacuated availability zones.
+// The serving state that control hosts replicate: the configuration document, the weight version of
+// each model, the requests that are refused because they crash targets, and the evacuated
+// availability zones.
 //
-// A document with a higher version replaces the one that is held; any other changes nothing and is
-// acknowledged all the same, so that a change that is sent again is never refused. Versions of
-// weights rise by model in the same way.
+// A document with a higher version replaces the current one. Any other is acknowledged without
+// effect, so that resending a change never fails. The weight version of a model increases in the
+// same way.
 //
 //   std::string command = EncodeServingCommand(PutDocument{ Revision(7), text });
 //   ... commit it ...
-//   Result<ServingCommandResult> standing = DecodeServingCommandResult(answer);
+//   Result<ServingCommandResult> result = DecodeServingCommandResult(answer);
 #pragma once
 
 #include <map>
@@ -22,25 +23,26 @@
 
 namespace damasklink {
 
-// Offers a document. Requires that it was decoded and checked.
+// Installs a document if its version is higher than the current one. The proposer must have decoded
+// and checked it.
 struct PutDocument
 {
   Revision version;
   std::string document;
 };
 
-// Names the weights that the engines of a model are to have.
+// Sets the weight version that the engines of a model are to load, if it is higher.
 struct SetWeightVersion
 {
   ModelName model;
   std::uint64_t version = 0;
 };
 
-// Changes nothing: its answer tells what was committed before it.
+// Changes nothing. Its answer reflects all commands committed before it, for linearizable reads.
 struct ReadBarrier
 {};
 
-// Whose request is refused, and since when.
+// The workspace of a refused request and the time since which it is refused.
 struct RefusedRequest
 {
   WorkspaceId workspace;
@@ -52,14 +54,14 @@
 
 using RefusedRequests = std::map<RequestFingerprint, RefusedRequest>;
 
-// The request is not sent to targets any more. One that is refused already keeps its time.
+// Stops sending the request to targets. A request that is refused already keeps its time.
 struct RefuseRequest
 {
   RequestFingerprint request;
   RefusedRequest facts;
 };
 
-// The request may be sent to targets again.
+// Allows the request to be sent to targets again.
 struct ReleaseRequest
 {
   RequestFingerprint request;
@@ -71,30 +73,34 @@
 std::string
 EncodeServingCommand(const ServingCommand& aCommand);
 
-// What is in force once a command has been applied.
+// The answer to an applied command.
 struct ServingCommandResult
 {
+  // The document version after the command.
   Revision version;
-  // The command could be read.
+  // The command could be decoded.
   bool understood = false;
-  // A later order has overtaken the command, which changed nothing.
+  // The command had no effect because a later order has already been applied.
   bool superseded = false;
 };
 
+// Returns Corrupt if the bytes are no answer.
 Result<ServingCommandResult>
 DecodeServingCommandResult(std::string_view aAnswer);
 
+// Deterministic: replicas that apply the same commands have the same state. Commands that cannot be
+// decoded change nothing. Not thread-safe.
 class ServingStateMachine final : public ReplicatedMachine
 {
 public:
-  // Refused requests that are kept; the one that was refused first makes room.
+  // The maximum number of refused requests; beyond it the one refused first is evicted.
   static constexpr std::size_t kMostRefused = 256;
 
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
   std::string Save() const override;
   Result<void> Load(std::string_view aSnapshot) override;
 
-  // Zero while there is no document.
+  // Returns zero if there is no document.
   Revision Version() const { return this->version; }
   const std::string& Document() const { return this->document; }
   const std::map<ModelName, std::uint64_t>& Weights() const { return this->weights; }
@@ -103,7 +109,7 @@
 
   const EvacuationRegistry& Evacuated() const { return this->evacuations; }
 
-  // Rises with everything that changes.
+  // Returns a counter that increases with each change of the state.
   std::uint64_t Changes() const { return this->changes; }
 
 private:
--- a/include/damasklink/coordination/StableWeightVersions.h
+++ b/include/damasklink/coordination/StableWeightVersions.h
@@ -1,12 +1,12 @@
-// Which weights all engines have had for a while, so that what older ones made is of no use any
-// more.
+// Determines, for each model, the weight version that all engines have reached for some time.
+// Cached parts made by lower versions are then of no use any more.
 //
-//   StableWeightVersions settled(clock, std::chrono::seconds(3));
-//   settled.Update(engines);      // All that have not left, silent ones too.
-//   settled.MinimumVersions();            // By model.
+//   StableWeightVersions versions(clock, std::chrono::seconds(3));
+//   versions.Update(engines);      // All engines that have not left, including silent ones.
+//   versions.MinimumVersions();    // By model.
 //
-// An engine refuses calls that expect weights it has given up, and a transfer ends within two
-// seconds: after that nobody can be reading parts that older weights made. Not thread-safe.
+// An engine refuses calls that expect weights it no longer has, and a transfer takes at most two
+// seconds. After that time no engine can be reading parts that older weights made. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -20,28 +20,29 @@
 class StableWeightVersions
 {
 public:
-  StableWeightVersions(const Clock& aClock, Duration aSettling)
+  StableWeightVersions(const Clock& aClock, Duration aSettlingTime)
     : clock(aClock)
-    , settling(aSettling)
+    , settlingTime(aSettlingTime)
   {
   }
 
+  // Records the weight versions of all engines.
   void Update(const std::vector<TargetRecord>& aEngines);
 
-  // Returns, by model, the least version of any engine, where no engine had a lower one for the
-  // time of settling.
+  // Returns the lowest version of any engine for each model whose lowest version has not changed
+  // for the settling time.
   std::map<ModelName, std::uint64_t> MinimumVersions() const;
 
 private:
-  struct Level
+  struct LowestVersion
   {
     std::uint64_t version = 0;
     MonotonicTime since;
   };
 
   const Clock& clock;
-  Duration settling;
-  std::map<ModelName, Level> levels;
+  Duration settlingTime;
+  std::map<ModelName, LowestVersion> lowestVersions;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/StartupWaitLimiter.h
+++ b/include/damasklink/coordination/StartupWaitLimiter.h
@@ -1,14 +1,15 @@
-// Which calls may wait for the first configuration of an entry host that has just started.
+// Limits which calls may wait for the first configuration of an entry host that has just started.
 //
-//   StartupWaitLimiter waits;
-//   const Duration most = waits.Begin(patience, body.size());
-//   if (most > Duration::zero()) { ... wait for that long; waits.End(body.size()); }
+//   StartupWaitLimiter limiter;
+//   const Duration longest = limiter.Begin(patience, body.size());
+//   if (longest > Duration::zero()) { ... wait for up to that time; limiter.End(body.size()); }
 //
-// The pattern: all hosts were down and come back together; callers that had nobody to call for a
-// second call at once, some tenths of a second before control hosts have a leader and tell what to
-// relay by. Each of them has one more try at most. Refused, most would meet the others on their
-// return; after a short wait they are served in time. What the wait costs is bounded by time, count
-// and bytes; what goes beyond is refused at once. Not thread-safe.
+// After an outage of all hosts, callers that found no host for a second call again at once, some
+// tenths of a second before the control hosts have elected a leader and distributed the
+// configuration. Each caller retries at most once more. If these calls were refused, most retries
+// would arrive together; after a short wait they are served in time instead. The wait is bounded by
+// time, number of calls and bytes, and calls beyond these limits are refused at once. Not
+// thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -20,16 +21,17 @@
 class StartupWaitLimiter
 {
 public:
-  // From the start of all hosts until a leader has told them all, where no voter is missing, with a
-  // margin.
+  // The time from the start of all hosts until a leader has configured them, provided that all
+  // voters are up, with a margin.
   static constexpr Duration kLongestWait = std::chrono::milliseconds(400);
-  // The rest of what a caller waits is for its target.
+  // The maximum share of the time that the caller waits; the rest is left for the target.
   static constexpr double kShareOfPatience = 0.25;
   static constexpr std::size_t kMostCalls = 512;
   static constexpr std::size_t kMostBytes = std::size_t{ 16 } * 1024 * 1024;
 
-  // Returns how long the call may wait, zero when it is to be refused. Each call that may wait ends
-  // its wait once.
+  // Returns how long the call may wait, or zero if it must be refused. aPatience is how long the
+  // caller waits for its answer, aBytes the memory that the call takes. For each call that may
+  // wait, End() must be called exactly once, with the same aBytes.
   Duration Begin(Duration aPatience, std::size_t aBytes);
   void End(std::size_t aBytes);
 
--- a/include/damasklink/coordination/ZoneReachability.h
+++ b/include/damasklink/coordination/ZoneReachability.h
@@ -1,16 +1,17 @@
-// Whether this host reaches the targets of each availability zone.
+// Detects availability zones whose targets this host cannot reach: a circuit breaker for each zone.
 //
-//   ZoneReachability reach(clock, seed);
-//   reach.OnStart(target.zone);                  // A call goes there.
-//   reach.OnEnd(target.zone, target.id, sign);   // What came of it.
-//   if (reach.IsUnreachable(target.zone)) ...            // Send elsewhere.
+//   ZoneReachability reachability(clock, seed);
+//   reachability.OnStart(target.zone);                  // A call is sent.
+//   reachability.OnEnd(target.zone, target.id, sign);   // The call has ended.
+//   if (reachability.IsUnreachable(target.zone)) ...    // Choose another zone.
 //
-// When a zone is cut off, all its targets are gone at once. Without this each of them costs a call
-// until it is ejected by itself, and each kept connection another one: a third of a zone's calls
-// for seconds. A zone is out when several of its targets answered nothing within a moment and not a
-// byte came from there meanwhile; later one call at a time tries it. A target that refuses a
-// connection has ended, and its zone has answered: crashes alone put no zone out, which would leave
-// its other targets idle while those elsewhere are overrun. Not thread-safe.
+// When a zone is partitioned, all its targets become unreachable at once. Without this class each
+// target costs one call until it is ejected individually, and each kept connection another one: a
+// third of a zone's calls for seconds. A zone is unreachable once kUnreachableTargets of its
+// targets have not answered within kDetectionWindow, while no byte was received from the zone.
+// After kRetryDelay one call at a time probes it. A target that refuses connections has crashed,
+// but its zone has answered. Crashes alone therefore never make a zone unreachable, which would
+// leave its other targets idle while targets elsewhere are overloaded. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -25,11 +26,13 @@
 class ZoneReachability
 {
 public:
-  // Targets that must be found gone, none answering in between, until their zone is out.
+  // The number of targets that must fail, without an answer from any other, to make their zone
+  // unreachable.
   static constexpr std::size_t kUnreachableTargets = 3;
-  // Findings that are further apart say nothing of the zone.
+  // Failures must occur within this time to count together.
   static constexpr Duration kDetectionWindow = std::chrono::seconds(1);
-  // How long a zone is left alone; a quarter more at most, so that hosts do not come back together.
+  // How long an unreachable zone gets no calls. Up to a quarter is added at random, so that hosts
+  // do not probe at the same time.
   static constexpr Duration kRetryDelay = std::chrono::seconds(2);
 
   ZoneReachability(const Clock& aClock, std::uint64_t aSeed)
@@ -38,35 +41,36 @@
   {
   }
 
-  // Tells that a call was sent to the zone.
+  // A call was sent to the zone.
   void OnStart(const ZoneId& aZone);
 
-  // Tells that bytes came from a target of the zone: it is reached, whatever was found before. Of a
-  // zone that is reached they come every few milliseconds, also when a third of its targets crash.
+  // Bytes were received from a target of the zone: marks it as reachable, whatever failed before.
+  // From a reachable zone bytes arrive every few milliseconds, even when a third of its targets
+  // crash.
   void OnBytes(const ZoneId& aZone) { this->entries.erase(aZone); }
 
-  // Tells what the call showed of its target.
+  // A call to the target has ended with the given signal.
   void OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSign aSign);
 
-  // Returns whether the zone is left alone, or is being tried by a call.
+  // Returns true while the zone gets no calls, and while a call probes it.
   bool IsUnreachable(const ZoneId& aZone) const;
 
 private:
   struct Entry
   {
-    std::set<TargetId> gone;
-    MonotonicTime goneSince;
-    MonotonicTime outUntil;
-    // Was out and has not answered since.
-    bool doubted = false;
-    bool trying = false;
+    std::set<TargetId> failedTargets;
+    MonotonicTime firstFailureAt;
+    MonotonicTime retryAt;
+    // The zone was marked unreachable and has not answered since.
+    bool unreachable = false;
+    bool probing = false;
   };
 
-  void PutOut(Entry& aEntry);
+  void MarkUnreachable(Entry& aEntry);
 
   const Clock& clock;
   std::minstd_rand random;
-  // Zones with findings since the last answer from there.
+  // The zones with failures since their last answer.
   std::map<ZoneId, Entry> entries;
 };
 
--- a/src/coordination/CallerIndex.cpp
+++ b/src/coordination/CallerIndex.cpp
@@ -30,9 +30,9 @@
   if (name.kind != SubtreeKind::Workspace) {
     return;
   }
-  std::vector<DigestBytes> gone;
+  std::vector<DigestBytes> removedKeys;
   if (const WorkspaceNode* before = WorkspaceOf(aBefore)) {
-    gone = KeysOf(*before);
+    removedKeys = KeysOf(*before);
   }
   std::vector<CallerEntry> added;
   std::optional<ServiceLevel> level;
@@ -40,7 +40,7 @@
     level = ServiceLevelOf(aTree.Defaults(), *after);
     added = CallerEntriesOf(this->resolver, name.workspace, *after);
   }
-  this->directory = this->directory.Replace(gone, std::move(added));
+  this->directory = this->directory.Replace(removedKeys, std::move(added));
   this->directory.SetServiceLevel(name.workspace, level);
 }
 
--- a/src/coordination/ConfigChange.cpp
+++ b/src/coordination/ConfigChange.cpp
@@ -11,18 +11,18 @@
     case ChangeVerdict::Conflict:
       return Error{ ErrorKind::Conflict,
                     aAnswer.problem,
-                    "get the version in force, make the change from it and apply again" };
+                    "get the version in force, base the change on it and apply it again" };
     case ChangeVerdict::IdReused:
       return Error{ ErrorKind::InvalidArgument,
                     aAnswer.problem,
-                    "choose a change id of its own for each change" };
+                    "use a unique change id for each change" };
     case ChangeVerdict::Accepted:
     case ChangeVerdict::Refused:
       break;
   }
   return Error{ ErrorKind::InvalidArgument,
                 aAnswer.problem,
-                "mend the subtree; damasklink check lists all its faults" };
+                "correct the subtree; damasklink check lists all its errors" };
 }
 
 std::string
@@ -78,7 +78,8 @@
     entry = internal::UnpackHistoryEntry(reader);
   }
   if (!reader.AtCleanEnd()) {
-    return Fail(ErrorKind::Corrupt, "the history cannot be read", "ask another host");
+    return Fail(
+      ErrorKind::Corrupt, "cannot decode the configuration history", "query another host");
   }
   return entries;
 }
@@ -105,8 +106,8 @@
                      verdict <= static_cast<std::uint64_t>(ChangeVerdict::IdReused);
   if (!reader.AtCleanEnd() || !known) {
     return Fail(ErrorKind::Corrupt,
-                "the answer to a change cannot be read",
-                "send the same change again; it is not made twice");
+                "cannot decode the answer to a configuration change",
+                "send the change again with the same id; it is not applied twice");
   }
   answer.verdict = static_cast<ChangeVerdict>(verdict);
   return answer;
--- a/src/coordination/ConfigDistributor.cpp
+++ b/src/coordination/ConfigDistributor.cpp
@@ -5,9 +5,10 @@
 namespace damasklink {
 namespace {
 
-constexpr std::size_t kMostWaiting = 256;
+constexpr std::size_t kMostBuffered = 256;
 
-// Peers of this host's zone first: they are the nearest, and all that a cut-off zone has.
+// Puts the peers of this host's zone first: they are the nearest ones, and the only ones that a
+// partitioned zone can reach.
 std::vector<HostId>
 OrderedPeers(const HostSettings& aSettings)
 {
@@ -34,12 +35,12 @@
   , membership(aMembership)
   , observer(aObserver)
   , joinDeadline(aClock.MonotonicNow() + kJoinLimit)
-  , asked(this->peers.begin(),
-          this->peers.begin() +
-            static_cast<std::ptrdiff_t>(std::min(this->peers.size(), kMostAsked)))
-  // Never confirmed: as old as can be told without overflow.
+  , unansweredPeers(this->peers.begin(),
+                    this->peers.begin() +
+                      static_cast<std::ptrdiff_t>(std::min(this->peers.size(), kMostAsked)))
+  // No confirmation yet: older than kStaleAfter, without overflow.
   , confirmedAt(aClock.MonotonicNow() - 2 * kStaleAfter)
-  , nextAsk(aClock.MonotonicNow())
+  , nextQuery(aClock.MonotonicNow())
 {
 }
 
@@ -50,8 +51,8 @@
     return;
   }
   this->tree = aTree;
-  this->recent.clear();
-  this->waiting.erase(this->waiting.begin(), this->waiting.upper_bound(aTree.Current()));
+  this->recentChanges.clear();
+  this->buffered.erase(this->buffered.begin(), this->buffered.upper_bound(aTree.Current()));
   if (this->joined) {
     this->observer.OnTreeReplaced(this->tree);
   }
@@ -61,7 +62,7 @@
 ConfigDistributor::OnCommitted(const TreeChange& aChange, bool aLeading)
 {
   this->Install(aChange);
-  if (!aLeading || aChange.revision <= this->passedOn) {
+  if (!aLeading || aChange.revision <= this->lastForwarded) {
     return;
   }
   ConfigMessage delta = this->MakeMessage(ConfigMessageKind::Delta);
@@ -70,11 +71,11 @@
   delta.origin = this->self;
   delta.acceptedAt = this->clock.WallNow();
   delta.body = PackChange(aChange);
-  this->PassOn(delta);
-  if (!this->ring && !this->peers.empty()) {
-    this->ring = PendingRing{ aChange.revision, this->clock.MonotonicNow() };
-  } else if (this->ring) {
-    this->ring->revision = aChange.revision;
+  this->Forward(delta);
+  if (!this->pendingRing && !this->peers.empty()) {
+    this->pendingRing = PendingRing{ aChange.revision, this->clock.MonotonicNow() };
+  } else if (this->pendingRing) {
+    this->pendingRing->revision = aChange.revision;
   }
 }
 
@@ -86,7 +87,8 @@
       this->HandleDelta(aFrom, aMessage);
       return;
     case ConfigMessageKind::Query:
-      // What the asker holds need not be in force there, and it still owes its answer.
+      // A query is no reply: the revision need not be in force on the peer, whose reply to this
+      // host's own query is still due.
       this->Answer(aFrom, aMessage.revision);
       if (aMessage.revision > this->tree.Current()) {
         this->QueryRateLimited(aFrom);
@@ -104,21 +106,21 @@
       this->CompleteRing(aMessage.revision);
       return;
   }
-  std::erase(this->asked, aFrom);
+  std::erase(this->unansweredPeers, aFrom);
   this->OnPeerRevision(aFrom, aMessage.revision, aMessage.confirmedAge);
 }
 
 void
 ConfigDistributor::CompleteRing(Revision aRevision)
 {
-  if (!this->ring) {
+  if (!this->pendingRing) {
     return;
   }
-  if (aRevision >= this->ring->revision) {
-    this->ring.reset();
+  if (aRevision >= this->pendingRing->revision) {
+    this->pendingRing.reset();
   } else {
-    // Later changes are still on their way round.
-    this->ring->since = this->clock.MonotonicNow();
+    // Later changes are still being forwarded.
+    this->pendingRing->since = this->clock.MonotonicNow();
   }
 }
 
@@ -131,7 +133,7 @@
     this->QueryRateLimited(aFrom);
     return;
   }
-  // Of an older revision the leader's word tells nothing about this host's.
+  // A confirmation of an older revision does not apply to the revision of this host.
   if (aRevision == this->tree.Current()) {
     this->confirmedAt = std::max(this->confirmedAt, this->clock.MonotonicNow() - aConfirmedAge);
   }
@@ -144,20 +146,20 @@
   if (aLeaseHeld) {
     this->confirmedAt = now;
   }
-  if (aLeaseHeld && !this->led) {
-    // The former leader may have died with a delta half way round.
+  if (aLeaseHeld && !this->heldLease) {
+    // The previous leader may have failed before a delta reached all hosts of the ring.
     this->QueryAllPeers();
   }
-  this->led = aLeaseHeld;
-  if (this->ring && now - this->ring->since >= kRingLimit) {
-    this->ring.reset();
+  this->heldLease = aLeaseHeld;
+  if (this->pendingRing && now - this->pendingRing->since >= kRingLimit) {
+    this->pendingRing.reset();
     this->QueryAllPeers();
   }
-  if (!this->joined && (this->asked.empty() || now >= this->joinDeadline)) {
+  if (!this->joined && (this->unansweredPeers.empty() || now >= this->joinDeadline)) {
     this->Join();
-  } else if (!this->joined && now >= this->nextAsk) {
-    this->nextAsk = now + kAskInterval;
-    for (const HostId& peer : this->asked) {
+  } else if (!this->joined && now >= this->nextQuery) {
+    this->nextQuery = now + kAskInterval;
+    for (const HostId& peer : this->unansweredPeers) {
       this->Send(peer, this->MakeMessage(ConfigMessageKind::Query));
     }
   }
@@ -212,12 +214,12 @@
 }
 
 void
-ConfigDistributor::PassOn(const ConfigMessage& aDelta)
+ConfigDistributor::Forward(const ConfigMessage& aDelta)
 {
-  if (aDelta.revision <= this->passedOn) {
+  if (aDelta.revision <= this->lastForwarded) {
     return;
   }
-  this->passedOn = aDelta.revision;
+  this->lastForwarded = aDelta.revision;
   const HostId next = this->membership.NextUp();
   if (next.Empty()) {
     return;
@@ -226,9 +228,9 @@
     this->Send(next, aDelta);
     return;
   }
-  ConfigMessage closed = this->MakeMessage(ConfigMessageKind::RingCompleted);
-  closed.revision = aDelta.revision;
-  this->Send(aDelta.origin, closed);
+  ConfigMessage completed = this->MakeMessage(ConfigMessageKind::RingCompleted);
+  completed.revision = aDelta.revision;
+  this->Send(aDelta.origin, completed);
 }
 
 void
@@ -238,7 +240,7 @@
   if (!change) {
     return;
   }
-  this->PassOn(aMessage);
+  this->Forward(aMessage);
   Revision& known = this->peerRevisions[aFrom];
   known = std::max(known, aMessage.revision);
   if (change.value().revision > this->tree.Current()) {
@@ -246,7 +248,7 @@
     this->Install(change.value());
   }
   if (change.value().revision > this->tree.Current()) {
-    // Changes before this one were lost on the way.
+    // Changes before this one have been lost.
     this->QueryRateLimited(aFrom);
   } else if (aMessage.revision == this->tree.Current()) {
     this->confirmedAt =
@@ -275,9 +277,9 @@
     return;
   }
   CompactReader reader(aMessage.body);
-  const RevisionedTree whole = RevisionedTree::Unpack(reader);
+  const RevisionedTree fullTree = RevisionedTree::Unpack(reader);
   if (reader.AtCleanEnd()) {
-    this->OnTree(whole);
+    this->OnTree(fullTree);
   }
 }
 
@@ -291,15 +293,15 @@
     return;
   }
   if (!this->CanCatchUp(aHeld)) {
-    ConfigMessage whole = this->MakeMessage(ConfigMessageKind::FullTree);
+    ConfigMessage fullTree = this->MakeMessage(ConfigMessageKind::FullTree);
     CompactWriter writer;
     this->tree.Pack(writer);
-    whole.body = std::move(writer).Take();
-    this->Send(aFrom, std::move(whole));
+    fullTree.body = std::move(writer).Take();
+    this->Send(aFrom, std::move(fullTree));
     return;
   }
   std::vector<std::string> packed;
-  for (const TreeChange& change : this->recent) {
+  for (const TreeChange& change : this->recentChanges) {
     if (change.revision > aHeld) {
       packed.push_back(PackChange(change));
     }
@@ -317,7 +319,7 @@
 bool
 ConfigDistributor::CanCatchUp(Revision aHeld) const
 {
-  return !this->recent.empty() && this->recent.front().revision <= aHeld.Next();
+  return !this->recentChanges.empty() && this->recentChanges.front().revision <= aHeld.Next();
 }
 
 void
@@ -326,16 +328,16 @@
   if (aChange.revision <= this->tree.Current()) {
     return;
   }
-  if (this->waiting.size() < kMostWaiting) {
-    this->waiting.emplace(aChange.revision, aChange);
+  if (this->buffered.size() < kMostBuffered) {
+    this->buffered.emplace(aChange.revision, aChange);
   }
-  while (!this->waiting.empty()) {
-    const auto first = this->waiting.begin();
+  while (!this->buffered.empty()) {
+    const auto first = this->buffered.begin();
     if (first->first > this->tree.Current().Next()) {
       return;
     }
     const TreeChange change = first->second;
-    this->waiting.erase(first);
+    this->buffered.erase(first);
     if (change.revision == this->tree.Current().Next()) {
       this->InstallNext(change);
     }
@@ -347,9 +349,9 @@
 {
   const Subtree before = this->tree.Get(aChange.subtree.name);
   this->tree.Apply(aChange);
-  this->recent.push_back(aChange);
-  if (this->recent.size() > kKeptChanges) {
-    this->recent.pop_front();
+  this->recentChanges.push_back(aChange);
+  if (this->recentChanges.size() > kKeptChanges) {
+    this->recentChanges.pop_front();
   }
   if (this->joined) {
     this->observer.OnSubtreeChanged(this->tree, aChange, before);
@@ -360,10 +362,10 @@
 ConfigDistributor::QueryRateLimited(const HostId& aPeer)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  if (now < this->nextAsk) {
+  if (now < this->nextQuery) {
     return;
   }
-  this->nextAsk = now + kAskInterval;
+  this->nextQuery = now + kAskInterval;
   this->Send(aPeer, this->MakeMessage(ConfigMessageKind::Query));
 }
 
--- a/src/coordination/ConfigStateMachine.cpp
+++ b/src/coordination/ConfigStateMachine.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t kSnapshotVersion = 1;
 
-// Returns what the first one is, empty when there is none.
+// Returns the path and the problem of the first widening, or an empty text.
 std::string
 DescribeFirst(const std::vector<Widening>& aWidenings)
 {
@@ -35,13 +35,14 @@
       }
     }
     if (deployment.targets.empty() || deployment.keepServing >= deployment.targets.size()) {
-      return Concat("deployment '", name.Value(), "' leaves no engine that may load");
+      return Concat("deployment '", name.Value(), "' leaves no engine free to load new weights");
     }
   }
   return "";
 }
 
-// What a change asks for, without its id and author: the same change sent again has the same.
+// Covers the base version and the content, but neither id nor author, so that a resent change has
+// the same fingerprint.
 ChangeAnswerCache::Fingerprint
 FingerprintOfChange(const ConfigChange& aChange)
 {
@@ -81,7 +82,7 @@
     }
   }
   return PackChangeAnswer(
-    ChangeAnswer{ ChangeVerdict::Refused, Revision(), "the change cannot be read" });
+    ChangeAnswer{ ChangeVerdict::Refused, Revision(), "cannot decode the change" });
 }
 
 std::string
@@ -110,7 +111,7 @@
     answer.problem = Concat(FormatSubtreeName(aChange.subtree.name),
                             " is at version ",
                             inForce.Value(),
-                            ", the change was made from version ",
+                            ", but the change is based on version ",
                             aChange.base.Value());
   } else if (std::string problem = this->FindProblem(aChange); !problem.empty()) {
     answer.verdict = ChangeVerdict::Refused;
@@ -133,7 +134,7 @@
   if (this->tree.Current() != Revision()) {
     return ChangeAnswer{ ChangeVerdict::Conflict,
                          this->tree.Current(),
-                         Concat("a tree exists already, at revision ",
+                         Concat("the tree is not empty, it is at revision ",
                                 this->tree.Current().Value()) };
   }
   this->tree = std::move(aTree);
@@ -165,7 +166,7 @@
   }
   const auto* workspace = std::get_if<WorkspaceNode>(&content);
   if (name.kind != SubtreeKind::Workspace || workspace == nullptr || name.workspace.Empty()) {
-    return Concat(FormatSubtreeName(name), " holds content of another kind");
+    return Concat(FormatSubtreeName(name), " has content of another kind");
   }
   std::string widening = DescribeFirst(FindWidening(this->tree.Defaults(), *workspace));
   return widening.empty() ? this->FindKeyProblem(name.workspace, *workspace) : widening;
@@ -178,13 +179,13 @@
   for (const auto& [teamId, team] : aWorkspace.teams) {
     for (const Digest& key : team.keys) {
       if (!IsDigest(key)) {
-        return Concat("teams.", teamId.Value(), ".keys holds an entry that is not a digest");
+        return Concat("teams.", teamId.Value(), ".keys contains an entry that is not a digest");
       }
       const DigestBytes packed = PackDigest(key);
       const auto holder = this->keyHolders.find(packed);
       const bool heldElsewhere = holder != this->keyHolders.end() && holder->second != aId;
       if (heldElsewhere || !own.insert(packed).second) {
-        return Concat("teams.", teamId.Value(), ".keys holds a key that another team has");
+        return Concat("teams.", teamId.Value(), ".keys contains a key that another team holds");
       }
     }
   }
@@ -195,7 +196,7 @@
 ConfigStateMachine::Install(const ApplyContext& aContext, const ConfigChange& aChange)
 {
   const SubtreeName& name = aChange.subtree.name;
-  // The subtree keeps the old content alive while its keys are released.
+  // Shares ownership of the old content while its keys are unregistered.
   const Subtree before = this->tree.Get(name);
   this->UnregisterKeys(WorkspaceOf(before));
   const TreeChange accepted{ this->tree.Current().Next(), aChange.subtree };
@@ -275,8 +276,8 @@
   loaded.answers = ChangeAnswerCache::Unpack(reader);
   if (version != kSnapshotVersion || !reader.AtCleanEnd()) {
     return Fail(ErrorKind::Corrupt,
-                Concat("a snapshot of the configuration, version ", version, ", cannot be read"),
-                "run the program version that wrote it, or repair this host from the group");
+                Concat("cannot read a configuration snapshot of format version ", version),
+                "run the program version that wrote it, or restore this host from its group");
   }
   for (const SubtreeName& name : loaded.tree.Names()) {
     loaded.RegisterKeys(name, WorkspaceOf(loaded.tree.Get(name)));
--- a/src/coordination/DocumentFetcher.cpp
+++ b/src/coordination/DocumentFetcher.cpp
@@ -7,33 +7,35 @@
 namespace damasklink {
 namespace {
 
-// A piece takes 13 ms of a link of 10 Mbit/s; calls that come in between wait that long for it.
-constexpr std::uint64_t kStartPieceBytes = 16 * kKibibyte;
-constexpr std::uint64_t kLeastPieceBytes = 4 * kKibibyte;
-
-// A piece that came sooner may be twice as large next time, one that came later half as large.
-// Round trips between zones take 1 to 5 ms, and calls with a first answer due in 300 ms bear this
+// The initial chunk takes 13 ms on a link of 10 Mbit/s, which delays calls on the same link by as
 // much.
-constexpr Duration kSoon = std::chrono::milliseconds(25);
-constexpr Duration kLate = std::chrono::milliseconds(80);
-
-// How long a piece is waited for until another control host is asked for it: some 20 ms on an idle
-// link of 10 Mbit/s, some hundreds on a full one; changes may take two seconds to be in force, and
-// two of three control hosts may be silent. Doubled each time that all were asked in vain, since a
-// link that is this full must not get every piece many times.
-constexpr Duration kStartPatience = std::chrono::milliseconds(500);
-constexpr Duration kMostPatience = std::chrono::seconds(4);
-
-// Versions whose announcement is remembered, for the time until they are in force; a host that gets
-// none stays bounded.
+constexpr std::uint64_t kInitialChunkBytes = 16 * kKibibyte;
+constexpr std::uint64_t kLeastChunkBytes = 4 * kKibibyte;
+
+// The chunk size is doubled after a chunk that took less than kFastChunk, and halved after one that
+// took more than kSlowChunk. Round trips between zones take 1 to 5 ms, and calls whose first answer
+// is due within 300 ms tolerate delays of this size.
+constexpr Duration kFastChunk = std::chrono::milliseconds(25);
+constexpr Duration kSlowChunk = std::chrono::milliseconds(80);
+
+// The time after which a chunk is requested from another control host. A chunk takes about 20 ms on
+// an idle link of 10 Mbit/s and some hundreds of milliseconds on a saturated one. A change may take
+// two seconds to come into force, while two of three control hosts may not respond. The timeout is
+// doubled each time all control hosts have timed out, so that a saturated link is not loaded with
+// repeated chunks.
+constexpr Duration kInitialTimeout = std::chrono::milliseconds(500);
+constexpr Duration kMostTimeout = std::chrono::seconds(4);
+
+// Announced versions whose time is kept until they come into force. The limit bounds the memory of
+// a host that obtains none of them.
 constexpr std::size_t kMostAnnounced = 64;
 
 } // namespace
 
 DocumentFetcher::DocumentFetcher(const Clock& aClock)
   : clock(aClock)
-  , patience(kStartPatience)
-  , chunkBytes(kStartPieceBytes)
+  , timeout(kInitialTimeout)
+  , chunkBytes(kInitialChunkBytes)
 {
 }
 
@@ -45,7 +47,7 @@
     this->newest = aVersion;
     this->preferred = aSource;
   }
-  if (aVersion > this->held && this->announcedAt.size() < kMostAnnounced) {
+  if (aVersion > this->installed && this->announcedAt.size() < kMostAnnounced) {
     this->announcedAt.try_emplace(aVersion, this->clock.MonotonicNow());
   }
 }
@@ -65,18 +67,19 @@
 DocumentFetcher::OnLost(const HostId& aSource)
 {
   this->sources.erase(aSource);
-  this->silent.erase(aSource);
-  if (this->asked && this->asked->source == aSource) {
-    this->asked.reset();
+  this->timedOut.erase(aSource);
+  if (this->pending && this->pending->source == aSource) {
+    this->pending.reset();
   }
 }
 
 void
 DocumentFetcher::OnVersionInstalled(Revision aVersion)
 {
-  this->held = std::max(this->held, aVersion);
-  this->wantsWhole = false;
-  std::erase_if(this->announcedAt, [&](const auto& aItem) { return aItem.first <= this->held; });
+  this->installed = std::max(this->installed, aVersion);
+  this->wantsFullDocument = false;
+  std::erase_if(this->announcedAt,
+                [&](const auto& aItem) { return aItem.first <= this->installed; });
 }
 
 void
@@ -85,16 +88,16 @@
   if (aTransfer.base == Revision()) {
     this->unreadable = aTransfer.version;
   } else {
-    this->wantsWhole = true;
+    this->wantsFullDocument = true;
   }
 }
 
-// Returns the lowest version that is worth asking for.
+// Returns the lowest version that is worth requesting: that of the started transfer, if any.
 Revision
 DocumentFetcher::LowestWantedVersion() const
 {
-  const Revision begun = this->transfer.version;
-  return begun != Revision() ? begun : std::max(this->held, this->unreadable).Next();
+  const Revision started = this->transfer.version;
+  return started != Revision() ? started : std::max(this->installed, this->unreadable).Next();
 }
 
 bool
@@ -105,44 +108,45 @@
   });
 }
 
-// A transfer that is begun goes on. Another one takes its place only at its beginning, from the
-// control host that was asked and does not have the one that is begun.
+// Returns whether the chunk continues the started transfer or begins another one that can be used.
+// OnChunk() additionally requires that a chunk which replaces a started transfer comes from the
+// control host that was requested, which then does not have the started one.
 bool
-DocumentFetcher::IsWanted(const DocumentChunk& aPiece) const
+DocumentFetcher::IsAcceptable(const DocumentChunk& aChunk) const
 {
-  const TransferId& offered = aPiece.transfer;
-  const bool fits = offered.base == this->held && !this->wantsWhole;
-  const bool usable = offered.base == Revision() || fits;
+  const TransferId& offered = aChunk.transfer;
+  const bool baseMatches = offered.base == this->installed && !this->wantsFullDocument;
+  const bool usable = offered.base == Revision() || baseMatches;
   const bool bounded =
-    offered.bytes <= kMostDocumentBytes && aPiece.offset + aPiece.bytes.size() <= offered.bytes;
-  if (offered.version <= this->held || !usable || !bounded || aPiece.bytes.empty()) {
+    offered.bytes <= kMostDocumentBytes && aChunk.offset + aChunk.bytes.size() <= offered.bytes;
+  if (offered.version <= this->installed || !usable || !bounded || aChunk.bytes.empty()) {
     return false;
   }
-  return offered == this->transfer ? aPiece.offset == this->received.size() : aPiece.offset == 0;
+  return offered == this->transfer ? aChunk.offset == this->received.size() : aChunk.offset == 0;
 }
 
 std::optional<FetchedDocument>
-DocumentFetcher::OnChunk(const HostId& aFrom, const DocumentChunk& aPiece)
+DocumentFetcher::OnChunk(const HostId& aFrom, const DocumentChunk& aChunk)
 {
-  const bool wasAsked = this->asked && this->asked->source == aFrom;
-  const bool begun = this->transfer.version != Revision();
-  const bool another = aPiece.transfer != this->transfer;
-  if (!this->IsWanted(aPiece) || (begun && another && !wasAsked)) {
+  const bool wasRequested = this->pending && this->pending->source == aFrom;
+  const bool started = this->transfer.version != Revision();
+  const bool isOtherTransfer = aChunk.transfer != this->transfer;
+  if (!this->IsAcceptable(aChunk) || (started && isOtherTransfer && !wasRequested)) {
     return std::nullopt;
   }
-  if (another) {
+  if (isOtherTransfer) {
     this->AbandonTransfer();
-    this->transfer = aPiece.transfer;
+    this->transfer = aChunk.transfer;
   }
-  this->received += aPiece.bytes;
+  this->received += aChunk.bytes;
   this->preferred = aFrom;
   this->OnProgress();
   if (this->received.size() < this->transfer.bytes) {
     return std::nullopt;
   }
-  FetchedDocument whole{ this->transfer, std::move(this->received) };
+  FetchedDocument document{ this->transfer, std::move(this->received) };
   this->AbandonTransfer();
-  return whole;
+  return document;
 }
 
 void
@@ -155,38 +159,40 @@
 void
 DocumentFetcher::OnProgress()
 {
-  if (this->asked) {
-    const Duration took = this->clock.MonotonicNow() - this->asked->at;
-    if (took < kSoon) {
+  if (this->pending) {
+    const Duration took = this->clock.MonotonicNow() - this->pending->sentAt;
+    if (took < kFastChunk) {
       this->chunkBytes = std::min(this->chunkBytes * 2, kMostChunkBytes);
-    } else if (took > kLate) {
-      this->chunkBytes = std::max(this->chunkBytes / 2, kLeastPieceBytes);
+    } else if (took > kSlowChunk) {
+      this->chunkBytes = std::max(this->chunkBytes / 2, kLeastChunkBytes);
     }
   }
-  this->asked.reset();
-  this->silent.clear();
-  this->patience = kStartPatience;
+  this->pending.reset();
+  this->timedOut.clear();
+  this->timeout = kInitialTimeout;
 }
 
 void
-DocumentFetcher::OnSilence()
+DocumentFetcher::OnTimeout()
 {
-  this->silent.insert(this->asked->source);
-  this->asked.reset();
-  this->chunkBytes = std::max(this->chunkBytes / 2, kLeastPieceBytes);
+  this->timedOut.insert(this->pending->source);
+  this->pending.reset();
+  this->chunkBytes = std::max(this->chunkBytes / 2, kLeastChunkBytes);
 }
 
-// Prefers the one that answers soonest. Those that did not answer for this piece come last.
+// Returns a control host that has a wanted version and did not time out for this chunk, preferably
+// the one that answered last, else the one with the newest version.
 std::optional<HostId>
 DocumentFetcher::ChooseSource() const
 {
   const Revision least = this->LowestWantedVersion();
   const auto can = [&](const HostId& aHost, Revision aVersion) {
-    return aVersion >= least && !this->silent.contains(aHost);
+    return aVersion >= least && !this->timedOut.contains(aHost);
   };
-  const auto soonest = this->sources.find(this->preferred);
-  if (soonest != this->sources.end() && can(soonest->first, soonest->second)) {
-    return soonest->first;
+  const auto preferredSource = this->sources.find(this->preferred);
+  if (preferredSource != this->sources.end() &&
+      can(preferredSource->first, preferredSource->second)) {
+    return preferredSource->first;
   }
   std::optional<HostId> chosen;
   Revision newestOfThese;
@@ -199,14 +205,14 @@
   return chosen;
 }
 
-// Returns whom to ask; those that did not answer are tried again once nobody else is left.
+// As ChooseSource(), but tries the control hosts that timed out again when no other is left.
 std::optional<HostId>
 DocumentFetcher::ChooseSourceOrRetry()
 {
   std::optional<HostId> source = this->ChooseSource();
-  if (!source && !this->silent.empty()) {
-    this->silent.clear();
-    this->patience = std::min(this->patience * 2, kMostPatience);
+  if (!source && !this->timedOut.empty()) {
+    this->timedOut.clear();
+    this->timeout = std::min(this->timeout * 2, kMostTimeout);
     source = this->ChooseSource();
   }
   return source;
@@ -216,33 +222,34 @@
 DocumentFetcher::Next()
 {
   if (!this->IsWantedVersionAvailable()) {
-    // Nobody has what was begun any more; what others have may still be newer than what is held.
+    // No control host has the started transfer any more, but others may have a newer version than
+    // the installed one.
     this->AbandonTransfer();
   }
   if (!this->IsWantedVersionAvailable()) {
-    this->asked.reset();
+    this->pending.reset();
     return std::nullopt;
   }
   const MonotonicTime now = this->clock.MonotonicNow();
-  if (this->asked && now - this->asked->at < this->patience) {
+  if (this->pending && now - this->pending->sentAt < this->timeout) {
     return std::nullopt;
   }
-  std::optional<HostId> missing;
-  if (this->asked) {
-    missing = this->asked->source;
-    this->OnSilence();
+  std::optional<HostId> timedOutSource;
+  if (this->pending) {
+    timedOutSource = this->pending->source;
+    this->OnTimeout();
   }
   const std::optional<HostId> source = this->ChooseSourceOrRetry();
   if (!source) {
     return std::nullopt;
   }
-  this->asked = Asked{ *source, now };
-  DocumentRequest question;
-  question.held = this->wantsWhole ? Revision() : this->held;
-  question.transfer = this->transfer;
-  question.offset = this->received.size();
-  question.mostBytes = this->chunkBytes;
-  return OutgoingDocumentRequest{ *source, question, missing };
+  this->pending = PendingRequest{ *source, now };
+  DocumentRequest request;
+  request.held = this->wantsFullDocument ? Revision() : this->installed;
+  request.transfer = this->transfer;
+  request.offset = this->received.size();
+  request.mostBytes = this->chunkBytes;
+  return OutgoingDocumentRequest{ *source, request, timedOutSource };
 }
 
 } // namespace damasklink
--- a/src/coordination/DocumentPublisher.cpp
+++ b/src/coordination/DocumentPublisher.cpp
@@ -9,11 +9,12 @@
 namespace damasklink {
 namespace {
 
-// What is kept of earlier versions, to pack newer ones against: six versions of 4,000 routes. An
-// entry host that is further behind gets the document whole.
+// The total size of the kept versions, which newer ones are compressed against: six versions of
+// 4,000 routes. An entry host that is further behind gets the full document.
 constexpr std::size_t kMostKeptBytes = 8 * kMebibyte;
 
-// Versions that are kept however small they are: what was packed of them goes with them.
+// The maximum number of kept versions, however small they are. It also bounds the packed forms,
+// which are evicted with their versions.
 constexpr std::size_t kMostDocuments = 32;
 
 } // namespace
@@ -45,8 +46,8 @@
   });
 }
 
-// Returns the transfer, packed now if need be; null when the version is not kept. A base that is
-// not kept stands for none.
+// Returns the packed form, which is created on first use, or null if the version is not kept. If
+// the base is not kept, packs the full document.
 const DocumentPublisher::Packed*
 DocumentPublisher::Find(Revision aVersion, Revision aBase)
 {
@@ -69,20 +70,20 @@
 }
 
 std::optional<DocumentChunk>
-DocumentPublisher::Answer(const DocumentRequest& aQuestion)
+DocumentPublisher::Answer(const DocumentRequest& aRequest)
 {
-  const TransferId& begun = aQuestion.transfer;
-  const std::uint64_t most = std::min(aQuestion.mostBytes, kMostChunkBytes);
-  if (begun.version != Revision()) {
-    const Packed* found = this->Find(begun.version, begun.base);
-    if (found != nullptr && found->id == begun && aQuestion.offset < begun.bytes) {
-      return DocumentChunk{ begun, aQuestion.offset, found->bytes.substr(aQuestion.offset, most) };
+  const TransferId& started = aRequest.transfer;
+  const std::uint64_t most = std::min(aRequest.mostBytes, kMostChunkBytes);
+  if (started.version != Revision()) {
+    const Packed* found = this->Find(started.version, started.base);
+    if (found != nullptr && found->id == started && aRequest.offset < started.bytes) {
+      return DocumentChunk{ started, aRequest.offset, found->bytes.substr(aRequest.offset, most) };
     }
   }
-  if (this->documents.empty() || this->documents.rbegin()->first <= aQuestion.held) {
+  if (this->documents.empty() || this->documents.rbegin()->first <= aRequest.held) {
     return std::nullopt;
   }
-  const Packed* newest = this->Find(this->documents.rbegin()->first, aQuestion.held);
+  const Packed* newest = this->Find(this->documents.rbegin()->first, aRequest.held);
   return DocumentChunk{ newest->id, 0, newest->bytes.substr(0, most) };
 }
 
--- a/src/coordination/EligibilityCache.cpp
+++ b/src/coordination/EligibilityCache.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t kMostRequestKinds = 1024;
 
-// Names everything that eligibility depends on besides the target.
+// Returns a key of all properties of a request that eligibility depends on.
 std::string
 RequestKind(const RouteRequest& aRequest)
 {
--- a/src/coordination/HubSelector.cpp
+++ b/src/coordination/HubSelector.cpp
@@ -5,10 +5,10 @@
 int
 HubSelector::RankOf(const HubCandidate& aCandidate) const
 {
-  const int speaks = this->quiet.contains(aCandidate.host) ? 0 : 4;
-  const int good = aCandidate.hearsLeader ? 2 : 0;
-  const int near = aCandidate.zone == this->zone ? 1 : 0;
-  return speaks + good + near;
+  const int responsive = this->unresponsive.contains(aCandidate.host) ? 0 : 4;
+  const int hearsLeader = aCandidate.hearsLeader ? 2 : 0;
+  const int inOwnZone = aCandidate.zone == this->zone ? 1 : 0;
+  return responsive + hearsLeader + inOwnZone;
 }
 
 std::optional<HostId>
@@ -16,7 +16,7 @@
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   if (this->hub && this->awaitingReplySince && now - *this->awaitingReplySince >= kReplyTimeout) {
-    this->quiet.insert(*this->hub);
+    this->unresponsive.insert(*this->hub);
   }
   std::optional<HostId> best;
   int bestRank = 0;
@@ -45,7 +45,7 @@
 void
 HubSelector::OnMessageFrom(const HostId& aHost)
 {
-  this->quiet.erase(aHost);
+  this->unresponsive.erase(aHost);
   if (this->hub == aHost) {
     this->awaitingReplySince.reset();
   }
@@ -54,7 +54,7 @@
 void
 HubSelector::OnLost(const HostId& aHost)
 {
-  this->quiet.erase(aHost);
+  this->unresponsive.erase(aHost);
   if (this->hub == aHost) {
     this->hub.reset();
     this->awaitingReplySince.reset();
--- a/src/coordination/RecentHosts.cpp
+++ b/src/coordination/RecentHosts.cpp
@@ -10,11 +10,11 @@
     this->hosts.insert(host);
   }
   std::erase_if(this->seen, [&](const auto& aItem) {
-    const bool gone = aNow - aItem.second > kRetention;
-    if (gone) {
+    const bool expired = aNow - aItem.second > kRetention;
+    if (expired) {
       this->hosts.erase(aItem.first);
     }
-    return gone;
+    return expired;
   });
 }
 
--- a/src/coordination/RegionRestriction.cpp
+++ b/src/coordination/RegionRestriction.cpp
@@ -6,29 +6,29 @@
 namespace {
 
 bool
-IsAmong(const std::vector<RegionId>& aRegions, const RegionId& aRegion)
+IsAllowedBy(const std::vector<RegionId>& aRegions, const RegionId& aRegion)
 {
   return aRegions.empty() || std::find(aRegions.begin(), aRegions.end(), aRegion) != aRegions.end();
 }
 
 } // namespace
 
-RegionRestriction::RegionRestriction(const std::vector<RegionId>& aOfRoute,
-                                     const std::vector<RegionId>& aOfWorkspace,
+RegionRestriction::RegionRestriction(const std::vector<RegionId>& aRouteRegions,
+                                     const std::vector<RegionId>& aWorkspaceRegions,
                                      const ZoneRegions& aRegions)
-  : binds(!aOfRoute.empty() || !aOfWorkspace.empty())
+  : restricted(!aRouteRegions.empty() || !aWorkspaceRegions.empty())
 {
-  if (!this->binds) {
+  if (!this->restricted) {
     return;
   }
-  std::set<RegionId> left;
+  std::set<RegionId> allowed;
   for (const auto& [zone, region] : aRegions) {
-    if (IsAmong(aOfRoute, region) && IsAmong(aOfWorkspace, region)) {
+    if (IsAllowedBy(aRouteRegions, region) && IsAllowedBy(aWorkspaceRegions, region)) {
       this->zones.insert(zone);
-      left.insert(region);
+      allowed.insert(region);
     }
   }
-  for (const RegionId& region : left) {
+  for (const RegionId& region : allowed) {
     this->text += this->text.empty() ? "" : ",";
     this->text += region.Value();
   }
--- a/src/coordination/RouteTable.cpp
+++ b/src/coordination/RouteTable.cpp
@@ -26,19 +26,19 @@
     return nullptr;
   }
   const std::string_view name = aHost.substr(0, aHost.find(':'));
-  std::string place = absl::AsciiStrToLower(ForAbsl(name));
-  place += aPath;
-  while (place.size() > name.size()) {
-    const std::size_t slash = place.rfind('/');
+  std::string candidate = absl::AsciiStrToLower(ForAbsl(name));
+  candidate += aPath;
+  while (candidate.size() > name.size()) {
+    const std::size_t slash = candidate.rfind('/');
     if (slash == std::string::npos || slash < name.size()) {
       return nullptr;
     }
-    place.resize(slash + 1);
-    const auto found = this->routes.find(place);
+    candidate.resize(slash + 1);
+    const auto found = this->routes.find(candidate);
     if (found != this->routes.end()) {
       return found->second;
     }
-    place.resize(slash);
+    candidate.resize(slash);
   }
   return nullptr;
 }
@@ -57,12 +57,12 @@
   for (const ServiceShare& share : aRoute.shares) {
     total += share.weight;
   }
-  std::uint64_t rest = total == 0 ? 0 : aNumber % total;
+  std::uint64_t remaining = total == 0 ? 0 : aNumber % total;
   for (const ServiceShare& share : aRoute.shares) {
-    if (rest < share.weight) {
+    if (remaining < share.weight) {
       return share.service;
     }
-    rest -= share.weight;
+    remaining -= share.weight;
   }
   return aRoute.shares.front().service;
 }
--- a/src/coordination/ServingConfig.cpp
+++ b/src/coordination/ServingConfig.cpp
@@ -19,13 +19,13 @@
       return Fail(
         ErrorKind::InvalidArgument,
         Concat("route '", aRoute.name, "' names the unknown service '", share.service.Value(), "'"),
-        "declare the service or correct the route");
+        "add the service or correct the route");
     }
     total += share.weight;
   }
   if (total == 0) {
     return Fail(ErrorKind::InvalidArgument,
-                Concat("the weights of route '", aRoute.name, "' add up to zero"),
+                Concat("the weights of route '", aRoute.name, "' sum to zero"),
                 "give at least one service a weight above zero");
   }
   return Success();
@@ -34,17 +34,18 @@
 Result<void>
 CheckRoute(const ServingRoute& aRoute, const std::set<ServiceName>& aServices)
 {
-  const bool framed =
+  const bool hasSlashes =
     !aRoute.prefix.empty() && aRoute.prefix.front() == '/' && aRoute.prefix.back() == '/';
-  if (!framed) {
-    return Fail(ErrorKind::InvalidArgument,
-                Concat("the prefix of route '", aRoute.name, "' is not between slashes"),
-                "begin and end the prefix with a slash");
+  if (!hasSlashes) {
+    return Fail(
+      ErrorKind::InvalidArgument,
+      Concat("the prefix of route '", aRoute.name, "' does not begin and end with a slash"),
+      "begin and end the prefix with a slash");
   }
   if (aRoute.timeout <= Duration::zero()) {
     return Fail(ErrorKind::InvalidArgument,
                 Concat("the timeout of route '", aRoute.name, "' is zero"),
-                "give the route a timeout above zero");
+                "set a timeout above zero");
   }
   return CheckShares(aRoute, aServices);
 }
@@ -62,8 +63,8 @@
                            holder->second.Value(),
                            "' and '",
                            workspace.name.Value(),
-                           "' hold the same key"),
-                    "give each workspace keys of its own");
+                           "' have the same key"),
+                    "use different keys for each workspace");
       }
     }
   }
@@ -79,7 +80,7 @@
     if (!aRegions.contains(region)) {
       return Fail(ErrorKind::InvalidArgument,
                   Concat(aOwner, " names the unknown region '", region.Value(), "'"),
-                  "name regions of this deployment only");
+                  "use only regions of this deployment");
     }
   }
   return Success();
@@ -118,14 +119,14 @@
   for (const ServingService& service : aConfig.services) {
     services.insert(service.name);
   }
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> prefixes;
   for (const ServingRoute& route : aConfig.routes) {
     if (auto checked = CheckRoute(route, services); !checked) {
       return checked;
     }
-    if (!places.emplace(route.host, route.prefix).second) {
+    if (!prefixes.emplace(route.host, route.prefix).second) {
       return Fail(ErrorKind::InvalidArgument,
-                  Concat("two routes stand at ", route.host, route.prefix),
+                  Concat("two routes have the same host and prefix: ", route.host, route.prefix),
                   "remove one of them or change its prefix");
     }
   }
--- a/src/coordination/ServingStateMachine.cpp
+++ b/src/coordination/ServingStateMachine.cpp
@@ -8,7 +8,7 @@
 namespace damasklink {
 namespace {
 
-// These numbers stand in log files: never reuse one.
+// Stored in log files; numbers must not be reused.
 enum class CommandTag : std::uint8_t
 {
   PutDocument = 1,
@@ -26,7 +26,8 @@
     ErrorKind::Corrupt, std::move(aWhat), "run the same program version on all control hosts");
 }
 
-// What became of a command. These numbers travel between hosts; any but the first is understood.
+// The outcome of a command. Sent between hosts; all values but NotUnderstood mean that the command
+// could be decoded.
 enum class Outcome : std::uint8_t
 {
   NotUnderstood = 0,
@@ -156,7 +157,7 @@
 };
 
 std::string
-EncodeStanding(Revision aVersion, Outcome aOutcome)
+EncodeResult(Revision aVersion, Outcome aOutcome)
 {
   ByteWriter writer;
   writer.Number(aVersion.Value());
@@ -178,15 +179,15 @@
 DecodeServingCommandResult(std::string_view aAnswer)
 {
   ByteReader reader(aAnswer);
-  ServingCommandResult standing;
-  standing.version = Revision(reader.Number());
+  ServingCommandResult result;
+  result.version = Revision(reader.Number());
   const auto outcome = static_cast<Outcome>(reader.Byte());
-  standing.understood = outcome != Outcome::NotUnderstood;
-  standing.superseded = outcome == Outcome::Superseded;
+  result.understood = outcome != Outcome::NotUnderstood;
+  result.superseded = outcome == Outcome::Superseded;
   if (!reader.Finished()) {
-    return Unreadable("the answer to a serving command cannot be read");
+    return Unreadable("cannot decode the answer to a serving command");
   }
-  return standing;
+  return result;
 }
 
 std::string
@@ -194,7 +195,7 @@
 {
   std::optional<ServingCommand> command = DecodeCommand(aCommand);
   if (!command) {
-    return EncodeStanding(this->version, Outcome::NotUnderstood);
+    return EncodeResult(this->version, Outcome::NotUnderstood);
   }
   if (auto* put = std::get_if<PutDocument>(&*command); put != nullptr) {
     if (put->version > this->version) {
@@ -215,11 +216,11 @@
   } else if (const auto* order = std::get_if<SetEvacuation>(&*command); order != nullptr) {
     const EvacuationResult result = this->evacuations.Apply(*order);
     if (result == EvacuationResult::Superseded) {
-      return EncodeStanding(this->version, Outcome::Superseded);
+      return EncodeResult(this->version, Outcome::Superseded);
     }
     this->changes += result == EvacuationResult::Applied ? 1 : 0;
   }
-  return EncodeStanding(this->version, Outcome::Applied);
+  return EncodeResult(this->version, Outcome::Applied);
 }
 
 void
@@ -250,7 +251,7 @@
     writer.Number(named);
   }
   const std::map<ZoneId, ZoneEvacuation>& zones = this->evacuations.All();
-  // Snapshots of programs that knew no refused requests end here.
+  // Snapshots written by program versions without refused requests end here.
   if (!this->refused.empty() || !zones.empty()) {
     writer.Number(this->refused.size());
     for (const auto& [request, facts] : this->refused) {
@@ -258,7 +259,7 @@
       WriteFacts(writer, facts);
     }
   }
-  // Snapshots of programs that knew no evacuations end here.
+  // Snapshots written by program versions without evacuations end here.
   if (!zones.empty()) {
     writer.Number(zones.size());
     for (const auto& [zone, state] : zones) {
@@ -298,7 +299,7 @@
     state.since = ReadTime(reader);
   }
   if (!reader.Finished()) {
-    return Unreadable("the serving part of a snapshot cannot be read");
+    return Unreadable("cannot decode the serving state of a snapshot");
   }
   this->version = loadedVersion;
   this->document = std::move(loadedDocument);
--- a/src/coordination/StableWeightVersions.cpp
+++ b/src/coordination/StableWeightVersions.cpp
@@ -7,18 +7,18 @@
 void
 StableWeightVersions::Update(const std::vector<TargetRecord>& aEngines)
 {
-  std::map<ModelName, std::uint64_t> least;
+  std::map<ModelName, std::uint64_t> lowestOfEngines;
   for (const TargetRecord& engine : aEngines) {
     for (const ServedModel& served : engine.models) {
       const std::uint64_t version = WeightNumber(served.version);
-      const auto [position, isNew] = least.emplace(served.model, version);
+      const auto [position, isNew] = lowestOfEngines.emplace(served.model, version);
       position->second = std::min(position->second, version);
     }
   }
-  for (const auto& [model, version] : least) {
-    Level& level = this->levels[model];
-    if (level.version != version) {
-      level = Level{ version, this->clock.MonotonicNow() };
+  for (const auto& [model, version] : lowestOfEngines) {
+    LowestVersion& lowest = this->lowestVersions[model];
+    if (lowest.version != version) {
+      lowest = LowestVersion{ version, this->clock.MonotonicNow() };
     }
   }
 }
@@ -27,9 +27,9 @@
 StableWeightVersions::MinimumVersions() const
 {
   std::map<ModelName, std::uint64_t> settled;
-  for (const auto& [model, level] : this->levels) {
-    if (this->clock.MonotonicNow() - level.since >= this->settling) {
-      settled[model] = level.version;
+  for (const auto& [model, lowest] : this->lowestVersions) {
+    if (this->clock.MonotonicNow() - lowest.since >= this->settlingTime) {
+      settled[model] = lowest.version;
     }
   }
   return settled;
--- a/src/coordination/ZoneReachability.cpp
+++ b/src/coordination/ZoneReachability.cpp
@@ -6,8 +6,8 @@
 ZoneReachability::OnStart(const ZoneId& aZone)
 {
   const auto found = this->entries.find(aZone);
-  if (found != this->entries.end() && found->second.doubted) {
-    found->second.trying = true;
+  if (found != this->entries.end() && found->second.unreachable) {
+    found->second.probing = true;
   }
 }
 
@@ -20,39 +20,39 @@
   }
   if (aSign != HealthSign::Gone) {
     if (const auto found = this->entries.find(aZone); found != this->entries.end()) {
-      found->second.trying = false;
+      found->second.probing = false;
     }
     return;
   }
   const MonotonicTime now = this->clock.MonotonicNow();
   Entry& entry = this->entries[aZone];
-  entry.trying = false;
-  if (entry.gone.empty() || now - entry.goneSince > kDetectionWindow) {
-    entry.gone.clear();
-    entry.goneSince = now;
+  entry.probing = false;
+  if (entry.failedTargets.empty() || now - entry.firstFailureAt > kDetectionWindow) {
+    entry.failedTargets.clear();
+    entry.firstFailureAt = now;
   }
-  entry.gone.insert(aTarget);
-  if (entry.doubted || entry.gone.size() >= kUnreachableTargets) {
-    this->PutOut(entry);
+  entry.failedTargets.insert(aTarget);
+  if (entry.unreachable || entry.failedTargets.size() >= kUnreachableTargets) {
+    this->MarkUnreachable(entry);
   }
 }
 
 void
-ZoneReachability::PutOut(Entry& aEntry)
+ZoneReachability::MarkUnreachable(Entry& aEntry)
 {
   std::uniform_int_distribution<std::int64_t> jitter(0, kRetryDelay.count() / 4);
-  aEntry.outUntil = this->clock.MonotonicNow() + kRetryDelay + Duration(jitter(this->random));
-  aEntry.doubted = true;
+  aEntry.retryAt = this->clock.MonotonicNow() + kRetryDelay + Duration(jitter(this->random));
+  aEntry.unreachable = true;
 }
 
 bool
 ZoneReachability::IsUnreachable(const ZoneId& aZone) const
 {
   const auto found = this->entries.find(aZone);
-  if (found == this->entries.end() || !found->second.doubted) {
+  if (found == this->entries.end() || !found->second.unreachable) {
     return false;
   }
-  return found->second.trying || this->clock.MonotonicNow() < found->second.outUntil;
+  return found->second.probing || this->clock.MonotonicNow() < found->second.retryAt;
 }
 
 } // namespace damasklink
--- a/src/program/ConfigurationFeed.cpp
+++ b/src/program/ConfigurationFeed.cpp
@@ -130,12 +130,12 @@
   if (!ask) {
     return;
   }
-  const DocumentRequest& question = ask->question;
+  const DocumentRequest& question = ask->request;
   // Not for each piece: a transfer that goes on as it began needs no line.
-  if (question.offset == 0 || ask->silent) {
+  if (question.offset == 0 || ask->timedOut) {
     LogEvent(LogLevel::Info, "configuration_asked")
       .With("of", ask->source)
-      .With("silent", ask->silent.value_or(HostId()))
+      .With("silent", ask->timedOut.value_or(HostId()))
       .With("held", question.held)
       .With("version", question.transfer.version)
       .With("offset", question.offset)
--- a/test/coordination/CallerIndexTest.cpp
+++ b/test/coordination/CallerIndexTest.cpp
@@ -17,7 +17,7 @@
   aIndex.OnSubtreeChanged(aTree, change, before);
 }
 
-// One change at a time, or all at once: callers are the same.
+// Applying changes one at a time gives the same directory as building it from the final tree.
 RC_GTEST_PROP(CallerIndexTest, IncrementalUpdatesMatchFullRebuild, ())
 {
   RevisionedTree tree;
@@ -38,15 +38,15 @@
             { WorkspaceSubtree(WorkspaceId(name)),
               deleted ? nullptr : std::make_shared<const SubtreeContent>(AnyWorkspace(name)) });
   }
-  CallerIndex anew;
-  anew.OnTreeReplaced(tree);
-  RC_ASSERT(index.Directory().Size() == anew.Directory().Size());
-  RC_ASSERT(index.Directory().ServiceLevels() == anew.Directory().ServiceLevels());
+  CallerIndex rebuilt;
+  rebuilt.OnTreeReplaced(tree);
+  RC_ASSERT(index.Directory().Size() == rebuilt.Directory().Size());
+  RC_ASSERT(index.Directory().ServiceLevels() == rebuilt.Directory().ServiceLevels());
   for (const char* name : { "a", "b", "c" }) {
     for (const char* team : { "/team-0", "/team-1" }) {
       const Digest key = DigestOf(std::string(name) + team);
       const ResolvedPolicy* own = index.Directory().Find(key);
-      const ResolvedPolicy* expected = anew.Directory().Find(key);
+      const ResolvedPolicy* expected = rebuilt.Directory().Find(key);
       RC_ASSERT((own == nullptr) == (expected == nullptr));
       RC_ASSERT((own == nullptr || *own == *expected));
     }
--- a/test/coordination/ConfigDistributorTest.cpp
+++ b/test/coordination/ConfigDistributorTest.cpp
@@ -41,20 +41,20 @@
                        std::make_shared<const SubtreeContent>(workspace) } };
 }
 
-// Fails the test when a revision in force is followed by one that is not higher.
-class RisingObserver final : public TreeObserver
+// Records whether a revision in force was followed by a lower one.
+class MonotonicityObserver final : public TreeObserver
 {
 public:
   void OnSubtreeChanged(const RevisionedTree& aTree, const TreeChange&, const Subtree&) override
   {
-    this->Rise(aTree);
+    this->Check(aTree);
   }
-  void OnTreeReplaced(const RevisionedTree& aTree) override { this->Rise(aTree); }
+  void OnTreeReplaced(const RevisionedTree& aTree) override { this->Check(aTree); }
 
   bool wentBack = false;
 
 private:
-  void Rise(const RevisionedTree& aTree)
+  void Check(const RevisionedTree& aTree)
   {
     this->wentBack = this->wentBack || aTree.Current() < this->highest;
     this->highest = aTree.Current();
@@ -63,23 +63,23 @@
   Revision highest;
 };
 
-// One host's life, from its start to its kill.
+// One host between its start and its termination.
 struct Node
 {
-  Node(const Clock& aClock, std::size_t aIndex, std::uint64_t aLife)
+  Node(const Clock& aClock, std::size_t aIndex, std::uint64_t aIncarnation)
     : settings(SettingsOf(aIndex))
-    , membership(aClock, this->settings, Incarnation(aLife))
-    , spread(aClock, this->settings, this->membership, this->observer)
+    , membership(aClock, this->settings, Incarnation(aIncarnation))
+    , distributor(aClock, this->settings, this->membership, this->observer)
   {
   }
 
   HostSettings settings;
   HostMembership membership;
-  RisingObserver observer;
-  ConfigDistributor spread;
+  MonotonicityObserver observer;
+  ConfigDistributor distributor;
 };
 
-// Hosts, and the messages between them that a test may lose, delay, repeat and cut.
+// A set of hosts. Tests can drop and duplicate the messages between them and partition them.
 class FakeHosts
 {
 public:
@@ -90,11 +90,11 @@
     }
   }
 
-  // Starts a host anew with nothing in its memory.
+  // Restarts a host without any state.
   void Restart(std::size_t aIndex)
   {
     this->nodes.resize(kHosts);
-    this->nodes[aIndex] = std::make_unique<Node>(this->clock, aIndex, ++this->lives);
+    this->nodes[aIndex] = std::make_unique<Node>(this->clock, aIndex, ++this->incarnations);
   }
 
   void Commit()
@@ -103,8 +103,8 @@
     this->At(0).OnCommitted(ChangeAt(this->group.Current().Value()), true);
   }
 
-  // One step of time: heartbeats, ticks, then deliveries. aDeliver tells how often a message
-  // arrives: 0, 1 or 2 times.
+  // Advances the time by one step: heartbeats, ticks, then deliveries. aDeliver returns how often a
+  // message is delivered: 0, 1 or 2 times.
   void Step(const std::function<int()>& aDeliver)
   {
     this->clock.Advance(kStep);
@@ -112,15 +112,15 @@
       Node& node = *this->nodes[index];
       if (node.membership.TakeTurn()) {
         Heartbeat beat = node.membership.MakeHeartbeat();
-        beat.revision = node.spread.InForce();
-        beat.confirmedAge = node.spread.ConfirmedAge();
+        beat.revision = node.distributor.InForce();
+        beat.confirmedAge = node.distributor.ConfirmedAge();
         const std::size_t to = IndexOf(node.membership.Partner());
         if (this->Reaches(index, to) && aDeliver() > 0) {
           this->nodes[to]->membership.OnHeartbeat(HostName(index), beat);
           this->At(to).OnPeerRevision(HostName(index), beat.revision, beat.confirmedAge);
         }
       }
-      node.spread.OnTick(index == 0 && this->leaderHoldsLease);
+      node.distributor.OnTick(index == 0 && this->leaderHoldsLease);
     }
     this->DeliverAll(aDeliver);
   }
@@ -132,7 +132,7 @@
     }
   }
 
-  // Passes messages on until none is left.
+  // Delivers messages until none is queued.
   void DeliverAll(const std::function<int()>& aDeliver)
   {
     bool moved = true;
@@ -158,17 +158,17 @@
 
   bool Reaches(std::size_t aFrom, std::size_t aTo) const
   {
-    return this->cut.contains(aFrom) == this->cut.contains(aTo);
+    return this->isolated.contains(aFrom) == this->isolated.contains(aTo);
   }
 
   bool AllAt(Revision aRevision) const
   {
     return std::all_of(this->nodes.begin(), this->nodes.end(), [&](const auto& aNode) {
-      return aNode->spread.Joined() && aNode->spread.Tree().Current() == aRevision;
+      return aNode->distributor.Joined() && aNode->distributor.Tree().Current() == aRevision;
     });
   }
 
-  bool AnyWentBack() const
+  bool HasAnyGoneBack() const
   {
     return std::any_of(this->nodes.begin(), this->nodes.end(), [](const auto& aNode) {
       return aNode->observer.wentBack;
@@ -177,7 +177,7 @@
 
   static std::size_t IndexOf(const HostId& aHost) { return std::stoul(aHost.Value().substr(1)); }
 
-  ConfigDistributor& At(std::size_t aIndex) { return this->nodes[aIndex]->spread; }
+  ConfigDistributor& At(std::size_t aIndex) { return this->nodes[aIndex]->distributor; }
 
   struct Sent
   {
@@ -187,11 +187,11 @@
   };
 
   ManualClock clock;
-  std::uint64_t lives = 0;
+  std::uint64_t incarnations = 0;
   std::vector<std::unique_ptr<Node>> nodes;
   RevisionedTree group;
   bool leaderHoldsLease = true;
-  std::set<std::size_t> cut;
+  std::set<std::size_t> isolated;
   std::vector<Sent> sent;
 };
 
@@ -226,9 +226,9 @@
 }
 
 std::size_t
-CountOutgoingDeltas(ConfigDistributor& aSpread)
+CountOutgoingDeltas(ConfigDistributor& aDistributor)
 {
-  const auto outgoing = aSpread.TakeOutgoing();
+  const auto outgoing = aDistributor.TakeOutgoing();
   return static_cast<std::size_t>(
     std::count_if(outgoing.begin(), outgoing.end(), [](const OutgoingConfigMessage& aOutgoing) {
       return aOutgoing.message.kind == ConfigMessageKind::Delta;
@@ -256,7 +256,7 @@
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5));
-  hosts.cut = { 4 };
+  hosts.isolated = { 4 };
   hosts.Commit();
   hosts.Run(ConfigDistributor::kRingLimit + std::chrono::milliseconds(200));
   for (std::size_t host = 0; host < kHosts; ++host) {
@@ -270,14 +270,14 @@
   hosts.Commit();
   hosts.Run(std::chrono::seconds(10));
   EXPECT_FALSE(hosts.At(8).Stale());
-  hosts.cut = { 6, 7, 8 };
+  hosts.isolated = { 6, 7, 8 };
   hosts.Run(std::chrono::seconds(5));
   hosts.Commit();
   hosts.Run(ConfigDistributor::kStaleAfter);
   EXPECT_EQ(hosts.At(8).Tree().Current(), Revision(1));
   EXPECT_TRUE(hosts.At(8).Stale());
   EXPECT_FALSE(hosts.At(1).Stale());
-  hosts.cut.clear();
+  hosts.isolated.clear();
   hosts.Run(std::chrono::seconds(20));
   EXPECT_EQ(hosts.At(8).Tree().Current(), Revision(2));
   EXPECT_FALSE(hosts.At(8).Stale());
@@ -288,9 +288,9 @@
   FakeHosts hosts;
   hosts.Commit();
   hosts.Run(std::chrono::seconds(10));
-  hosts.cut = { 6, 7, 8 };
+  hosts.isolated = { 6, 7, 8 };
   hosts.Restart(7);
-  EXPECT_FALSE(hosts.At(7).Joined()) << "serves nobody before it has asked";
+  EXPECT_FALSE(hosts.At(7).Joined()) << "does not serve before its peers were queried";
   hosts.Run(ConfigDistributor::kJoinLimit + kStep);
   EXPECT_TRUE(hosts.At(7).Joined());
   EXPECT_EQ(hosts.At(7).Tree().Current(), Revision(1));
@@ -319,14 +319,15 @@
   RevisionedTree old;
   old.Apply(ChangeAt(3));
   hosts.At(3).OnTree(old);
-  ConfigMessage ask;
-  ask.kind = ConfigMessageKind::Query;
-  ask.revision = Revision(9);
+  ConfigMessage query;
+  query.kind = ConfigMessageKind::Query;
+  query.revision = Revision(9);
   for (std::size_t peer = 0; peer < kHosts; ++peer) {
-    hosts.At(3).OnMessage(HostName(peer), ask);
+    hosts.At(3).OnMessage(HostName(peer), query);
   }
   hosts.At(3).OnTick(false);
-  EXPECT_FALSE(hosts.At(3).Joined()) << "revision 3 must not come into force";
+  EXPECT_FALSE(hosts.At(3).Joined())
+    << "revision 3 must not come into force while a peer has revision 9";
   EXPECT_EQ(hosts.At(3).InForce(), Revision());
 }
 
@@ -339,21 +340,21 @@
   RevisionedTree old;
   old.Apply(ChangeAt(1));
   hosts.At(3).OnTree(old);
-  ConfigMessage whole;
-  whole.kind = ConfigMessageKind::FullTree;
-  whole.revision = Revision(9);
+  ConfigMessage fullTree;
+  fullTree.kind = ConfigMessageKind::FullTree;
+  fullTree.revision = Revision(9);
   CompactWriter writer;
   old.Pack(writer);
-  whole.body = std::move(writer).Take();
-  hosts.At(3).OnMessage(HostName(1), whole);
+  fullTree.body = std::move(writer).Take();
+  hosts.At(3).OnMessage(HostName(1), fullTree);
   hosts.At(3).OnCommitted(ChangeAt(1), false);
   EXPECT_EQ(hosts.At(3).Tree().Current(), Revision(2));
 }
 
-const std::vector<std::set<std::size_t>> kCuts{ {}, { 6, 7, 8 }, { 3, 4, 5 }, { 1 }, { 8 } };
+const std::vector<std::set<std::size_t>> kPartitions{ {}, { 6, 7, 8 }, { 3, 4, 5 }, { 1 }, { 8 } };
 
-// Changes, lost and repeated messages, restarts with empty memory and cuts, in any order: no host
-// goes back, and once all is well every host has what the group accepted.
+// Random order of changes, lost and duplicated messages, restarts without state and partitions: no
+// revision decreases, and after the faults every host gets the tree that the group accepted.
 RC_GTEST_PROP(ConfigDistributorTest, HostsConvergeOnAcceptedTreeAndNeverGoBack, ())
 {
   FakeHosts hosts;
@@ -364,18 +365,18 @@
     if (event < 4) {
       hosts.Commit();
     } else if (event == 4) {
-      // Never the leader: its tree is the group's.
+      // Never restarts the leader, which holds the tree of the group.
       hosts.Restart(*rc::gen::inRange<std::size_t>(1, kHosts));
     } else if (event == 5) {
-      hosts.cut = *rc::gen::elementOf(kCuts);
+      hosts.isolated = *rc::gen::elementOf(kPartitions);
     }
     const int lossOf10 = *rc::gen::inRange(0, 8);
     hosts.Step([&] { return *rc::gen::inRange(0, 10) < lossOf10 ? 0 : *rc::gen::inRange(1, 3); });
-    RC_ASSERT(!hosts.AnyWentBack());
+    RC_ASSERT(!hosts.HasAnyGoneBack());
   }
-  hosts.cut.clear();
+  hosts.isolated.clear();
   hosts.Run(std::chrono::seconds(20));
-  RC_ASSERT(!hosts.AnyWentBack());
+  RC_ASSERT(!hosts.HasAnyGoneBack());
   RC_ASSERT(hosts.AllAt(hosts.group.Current()));
   for (std::size_t host = 0; host < kHosts; ++host) {
     CompactWriter own;
--- a/test/coordination/DocumentFetcherTest.cpp
+++ b/test/coordination/DocumentFetcherTest.cpp
@@ -1,6 +1,6 @@
-// How an entry host gets a configuration from control hosts of which some fall silent, are cut off,
-// start again or are behind. The pattern: thousands of routes come at once, more follow before they
-// have arrived, and the link is full of calls.
+// Tests that an entry host obtains the configuration while control hosts stop responding, are
+// partitioned, restart or are behind. The scenario: thousands of routes are added at once, more
+// follow before those have arrived, and calls saturate the link.
 #include "damasklink/coordination/DocumentFetcher.h"
 
 #include <algorithm>
@@ -21,9 +21,9 @@
 const HostId kFirst("control-1");
 const HostId kSecond("control-2");
 
-constexpr std::size_t kMost = std::size_t{ 16 } * 1024 * 1024;
+constexpr std::size_t kMostBytes = std::size_t{ 16 } * 1024 * 1024;
 
-// A text that packing cannot shorten.
+// Returns a text that compression cannot shorten.
 std::string
 RandomText(std::size_t aBytes, std::uint32_t aSeed)
 {
@@ -36,48 +36,48 @@
 class DocumentFetcherTest : public ::testing::Test
 {
 protected:
-  // Control hosts with the same document of several pieces.
+  // Publishes a document of several chunks, which stands for the one of all control hosts.
   void Publish(std::uint64_t aVersion, std::size_t aBytes = 100'000)
   {
     this->text = RandomText(aBytes, static_cast<std::uint32_t>(aVersion));
-    this->source.Publish(Revision(aVersion), this->text);
+    this->publisher.Publish(Revision(aVersion), this->text);
   }
 
   void Announce(const HostId& aHost, std::uint64_t aVersion)
   {
-    this->fetch.OnVersionAnnounced(aHost, Revision(aVersion));
+    this->fetcher.OnVersionAnnounced(aHost, Revision(aVersion));
   }
 
-  // Asks and answers until the transfer is whole, and returns how many pieces that took.
-  int Finish()
+  // Runs requests and answers until the transfer is complete. Returns the number of chunks.
+  int CompleteTransfer()
   {
-    for (int pieces = 1;; ++pieces) {
-      const auto ask = this->fetch.Next();
-      if (!ask) {
+    for (int chunks = 1;; ++chunks) {
+      const auto outgoing = this->fetcher.Next();
+      if (!outgoing) {
         return 0;
       }
-      const auto answer = this->source.Answer(ask->question);
-      if (const auto whole = this->fetch.OnChunk(ask->source, *answer)) {
-        this->got = whole;
-        return pieces;
+      const auto answer = this->publisher.Answer(outgoing->request);
+      if (const auto document = this->fetcher.OnChunk(outgoing->source, *answer)) {
+        this->fetched = document;
+        return chunks;
       }
     }
   }
 
-  std::string Unpacked() const { return UnpackText(this->got->packed, "", kMost).value(); }
+  std::string Unpacked() const { return UnpackText(this->fetched->packed, "", kMostBytes).value(); }
 
   ManualClock clock;
-  DocumentPublisher source;
-  DocumentFetcher fetch{ this->clock };
+  DocumentPublisher publisher;
+  DocumentFetcher fetcher{ this->clock };
   std::string text;
-  std::optional<FetchedDocument> got;
+  std::optional<FetchedDocument> fetched;
 };
 
 TEST_F(DocumentFetcherTest, RequestsNothingBeforeAnnouncement)
 {
-  EXPECT_FALSE(this->fetch.Next());
+  EXPECT_FALSE(this->fetcher.Next());
   this->Announce(kFirst, 0);
-  EXPECT_FALSE(this->fetch.Next());
+  EXPECT_FALSE(this->fetcher.Next());
 }
 
 TEST_F(DocumentFetcherTest, FetchesAnnouncedVersionInChunksFromFirstAnnouncer)
@@ -85,21 +85,21 @@
   this->Publish(7);
   this->Announce(kSecond, 7);
   this->Announce(kFirst, 7);
-  EXPECT_EQ(this->fetch.Next()->source, kSecond);
-  EXPECT_FALSE(this->fetch.Next()) << "one piece at a time";
-  this->fetch.OnLost(kSecond);
-  EXPECT_GT(this->Finish(), 1);
+  EXPECT_EQ(this->fetcher.Next()->source, kSecond);
+  EXPECT_FALSE(this->fetcher.Next()) << "one chunk at a time";
+  this->fetcher.OnLost(kSecond);
+  EXPECT_GT(this->CompleteTransfer(), 1);
   EXPECT_EQ(this->Unpacked(), this->text);
-  this->fetch.OnVersionInstalled(Revision(7));
-  EXPECT_FALSE(this->fetch.Next());
+  this->fetcher.OnVersionInstalled(Revision(7));
+  EXPECT_FALSE(this->fetcher.Next());
 }
 
 TEST_F(DocumentFetcherTest, DoesNotRequestLowerOrEqualVersions)
 {
-  this->fetch.OnVersionInstalled(Revision(7));
+  this->fetcher.OnVersionInstalled(Revision(7));
   this->Announce(kFirst, 7);
   this->Announce(kSecond, 5);
-  EXPECT_FALSE(this->fetch.Next());
+  EXPECT_FALSE(this->fetcher.Next());
 }
 
 TEST_F(DocumentFetcherTest, ResumesTransferAtAnotherSourceAfterTimeout)
@@ -107,17 +107,18 @@
   this->Publish(7);
   this->Announce(kFirst, 7);
   this->Announce(kSecond, 7);
-  const auto begun = this->fetch.Next();
-  EXPECT_EQ(begun->source, kFirst);
-  EXPECT_FALSE(this->fetch.OnChunk(kFirst, *this->source.Answer(begun->question)));
-  EXPECT_EQ(this->fetch.Next()->source, kFirst);
+  const auto started = this->fetcher.Next();
+  EXPECT_EQ(started->source, kFirst);
+  EXPECT_FALSE(this->fetcher.OnChunk(kFirst, *this->publisher.Answer(started->request)));
+  EXPECT_EQ(this->fetcher.Next()->source, kFirst);
   this->clock.Advance(milliseconds(499));
-  EXPECT_FALSE(this->fetch.Next());
+  EXPECT_FALSE(this->fetcher.Next());
   this->clock.Advance(milliseconds(1));
-  const auto again = this->fetch.Next();
+  const auto again = this->fetcher.Next();
   ASSERT_TRUE(again);
   EXPECT_EQ(again->source, kSecond);
-  EXPECT_EQ(again->question.offset, begun->question.mostBytes) << "what has come is not sent again";
+  EXPECT_EQ(again->request.offset, started->request.mostBytes)
+    << "received bytes are not requested again";
 }
 
 TEST_F(DocumentFetcherTest, PrefersSourceThatAnsweredOverSilentOne)
@@ -125,12 +126,12 @@
   this->Publish(7);
   this->Announce(kFirst, 7);
   this->Announce(kSecond, 7);
-  EXPECT_EQ(this->fetch.Next()->source, kFirst);
+  EXPECT_EQ(this->fetcher.Next()->source, kFirst);
   this->clock.Advance(milliseconds(500));
-  const auto ask = this->fetch.Next();
-  ASSERT_EQ(ask->source, kSecond);
-  this->fetch.OnChunk(kSecond, *this->source.Answer(ask->question));
-  EXPECT_EQ(this->fetch.Next()->source, kSecond);
+  const auto outgoing = this->fetcher.Next();
+  ASSERT_EQ(outgoing->source, kSecond);
+  this->fetcher.OnChunk(kSecond, *this->publisher.Answer(outgoing->request));
+  EXPECT_EQ(this->fetcher.Next()->source, kSecond);
 }
 
 TEST_F(DocumentFetcherTest, ReachesThirdSourceWithinASecondWhenTwoAreSilent)
@@ -141,14 +142,14 @@
     this->Announce(host, 7);
   }
   std::set<HostId> asked;
-  const MonotonicTime begun = this->clock.MonotonicNow();
+  const MonotonicTime started = this->clock.MonotonicNow();
   while (asked.size() < 3) {
-    if (const auto ask = this->fetch.Next()) {
-      asked.insert(ask->source);
+    if (const auto outgoing = this->fetcher.Next()) {
+      asked.insert(outgoing->source);
     }
     this->clock.Advance(milliseconds(10));
   }
-  EXPECT_LE(this->clock.MonotonicNow() - begun, milliseconds(1010));
+  EXPECT_LE(this->clock.MonotonicNow() - started, milliseconds(1010));
 }
 
 TEST_F(DocumentFetcherTest, AcceptsLateChunkFromSourceThatTimedOut)
@@ -156,14 +157,14 @@
   this->Publish(7);
   this->Announce(kFirst, 7);
   this->Announce(kSecond, 7);
-  const auto first = this->fetch.Next();
+  const auto first = this->fetcher.Next();
   this->clock.Advance(milliseconds(500));
-  const auto second = this->fetch.Next();
+  const auto second = this->fetcher.Next();
   ASSERT_EQ(second->source, kSecond);
-  this->fetch.OnChunk(kFirst, *this->source.Answer(first->question));
-  EXPECT_GT(this->fetch.Next()->question.offset, 0U);
-  this->fetch.OnChunk(kSecond, *this->source.Answer(second->question));
-  EXPECT_FALSE(this->fetch.Next()) << "the same piece once more is no answer";
+  this->fetcher.OnChunk(kFirst, *this->publisher.Answer(first->request));
+  EXPECT_GT(this->fetcher.Next()->request.offset, 0U);
+  this->fetcher.OnChunk(kSecond, *this->publisher.Answer(second->request));
+  EXPECT_FALSE(this->fetcher.Next()) << "a duplicate chunk does not count as an answer";
 }
 
 TEST_F(DocumentFetcherTest, RetriesOnlySourceWithBackoff)
@@ -172,57 +173,57 @@
   this->Announce(kFirst, 7);
   int asks = 0;
   for (int step = 0; step < 600; ++step) {
-    asks += this->fetch.Next() ? 1 : 0;
+    asks += this->fetcher.Next() ? 1 : 0;
     this->clock.Advance(milliseconds(100));
   }
   EXPECT_GE(asks, 15);
-  EXPECT_LE(asks, 20) << "a full link must not get every piece many times";
+  EXPECT_LE(asks, 20) << "a saturated link must not be loaded with repeated chunks";
   this->clock.Advance(std::chrono::seconds(4));
-  EXPECT_GT(this->Finish(), 0);
+  EXPECT_GT(this->CompleteTransfer(), 0);
 }
 
 TEST_F(DocumentFetcherTest, CompletesStartedTransferBeforeNewerVersion)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
-  const auto begun = this->fetch.Next();
-  this->fetch.OnChunk(kFirst, *this->source.Answer(begun->question));
+  const auto started = this->fetcher.Next();
+  this->fetcher.OnChunk(kFirst, *this->publisher.Answer(started->request));
   const std::string seventh = this->text;
   this->Publish(9);
   this->Announce(kFirst, 9);
-  EXPECT_GT(this->Finish(), 0);
-  EXPECT_EQ(this->got->transfer.version, Revision(7));
+  EXPECT_GT(this->CompleteTransfer(), 0);
+  EXPECT_EQ(this->fetched->transfer.version, Revision(7));
   EXPECT_EQ(this->Unpacked(), seventh);
-  this->fetch.OnVersionInstalled(Revision(7));
-  EXPECT_EQ(this->fetch.Next()->question.held, Revision(7));
+  this->fetcher.OnVersionInstalled(Revision(7));
+  EXPECT_EQ(this->fetcher.Next()->request.held, Revision(7));
 }
 
 TEST_F(DocumentFetcherTest, AnnouncedAtReturnsTimeOfFirstAnnouncement)
 {
-  const MonotonicTime begun = this->clock.MonotonicNow();
+  const MonotonicTime started = this->clock.MonotonicNow();
   this->Announce(kFirst, 7);
   this->clock.Advance(milliseconds(30));
   this->Announce(kSecond, 7);
   this->Announce(kSecond, 9);
-  EXPECT_EQ(this->fetch.AnnouncedAt(Revision(7)), begun);
-  EXPECT_EQ(this->fetch.AnnouncedAt(Revision(9)), begun + milliseconds(30));
-  this->fetch.OnVersionInstalled(Revision(7));
-  EXPECT_EQ(this->fetch.AnnouncedAt(Revision(8)), begun + milliseconds(30));
+  EXPECT_EQ(this->fetcher.AnnouncedAt(Revision(7)), started);
+  EXPECT_EQ(this->fetcher.AnnouncedAt(Revision(9)), started + milliseconds(30));
+  this->fetcher.OnVersionInstalled(Revision(7));
+  EXPECT_EQ(this->fetcher.AnnouncedAt(Revision(8)), started + milliseconds(30));
 }
 
 TEST_F(DocumentFetcherTest, AbandonsTransferThatNoSourceCanContinue)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
-  const auto begun = this->fetch.Next();
-  this->fetch.OnChunk(kFirst, *this->source.Answer(begun->question));
+  const auto started = this->fetcher.Next();
+  this->fetcher.OnChunk(kFirst, *this->publisher.Answer(started->request));
   this->Announce(kSecond, 5);
-  this->fetch.OnLost(kFirst);
-  const auto ask = this->fetch.Next();
-  ASSERT_TRUE(ask);
-  EXPECT_EQ(ask->source, kSecond);
-  EXPECT_EQ(ask->question.offset, 0U);
-  EXPECT_EQ(ask->question.transfer, TransferId());
+  this->fetcher.OnLost(kFirst);
+  const auto outgoing = this->fetcher.Next();
+  ASSERT_TRUE(outgoing);
+  EXPECT_EQ(outgoing->source, kSecond);
+  EXPECT_EQ(outgoing->request.offset, 0U);
+  EXPECT_EQ(outgoing->request.transfer, TransferId());
 }
 
 TEST_F(DocumentFetcherTest, RestartsTransferWhenSourceCannotContinueIt)
@@ -230,52 +231,53 @@
   this->Publish(7);
   this->Announce(kFirst, 7);
   this->Announce(kSecond, 7);
-  this->fetch.OnChunk(kFirst, *this->source.Answer(this->fetch.Next()->question));
-  this->fetch.OnLost(kFirst);
+  this->fetcher.OnChunk(kFirst, *this->publisher.Answer(this->fetcher.Next()->request));
+  this->fetcher.OnLost(kFirst);
   DocumentPublisher other;
   other.Publish(Revision(7), "packed by another program");
-  const auto ask = this->fetch.Next();
-  ASSERT_EQ(ask->source, kSecond);
-  const auto whole = this->fetch.OnChunk(kSecond, *other.Answer(ask->question));
-  ASSERT_TRUE(whole);
-  EXPECT_EQ(UnpackText(whole->packed, "", kMost).value(), "packed by another program");
+  const auto outgoing = this->fetcher.Next();
+  ASSERT_EQ(outgoing->source, kSecond);
+  const auto document = this->fetcher.OnChunk(kSecond, *other.Answer(outgoing->request));
+  ASSERT_TRUE(document);
+  EXPECT_EQ(UnpackText(document->packed, "", kMostBytes).value(), "packed by another program");
 }
 
 TEST_F(DocumentFetcherTest, IgnoresUnrequestedChunkOfAnotherTransfer)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
-  this->fetch.OnChunk(kFirst, *this->source.Answer(this->fetch.Next()->question));
+  this->fetcher.OnChunk(kFirst, *this->publisher.Answer(this->fetcher.Next()->request));
   DocumentPublisher other;
   other.Publish(Revision(8), "not asked for");
-  EXPECT_FALSE(this->fetch.OnChunk(kSecond, *other.Answer(DocumentRequest{ {}, {}, 0, kMost })));
-  EXPECT_GT(this->Finish(), 0);
+  EXPECT_FALSE(
+    this->fetcher.OnChunk(kSecond, *other.Answer(DocumentRequest{ {}, {}, 0, kMostBytes })));
+  EXPECT_GT(this->CompleteTransfer(), 0);
   EXPECT_EQ(this->Unpacked(), this->text);
 }
 
 TEST_F(DocumentFetcherTest, RejectsChunkThatExceedsItsTransfer)
 {
   this->Announce(kFirst, 7);
-  this->fetch.Next();
+  this->fetcher.Next();
   const TransferId small{ Revision(7), Revision(), 3, 1 };
-  EXPECT_FALSE(this->fetch.OnChunk(kFirst, DocumentChunk{ small, 0, "more than three" }));
+  EXPECT_FALSE(this->fetcher.OnChunk(kFirst, DocumentChunk{ small, 0, "more than three" }));
   const TransferId endless{ Revision(7), Revision(), std::uint64_t{ 1 } << 60U, 1 };
-  EXPECT_FALSE(this->fetch.OnChunk(kFirst, DocumentChunk{ endless, 0, "abc" }));
-  EXPECT_FALSE(this->fetch.OnChunk(kFirst, DocumentChunk{ endless, ~std::uint64_t{ 0 }, "abc" }));
-  EXPECT_TRUE(this->fetch.OnChunk(kFirst, DocumentChunk{ small, 0, "abc" }));
+  EXPECT_FALSE(this->fetcher.OnChunk(kFirst, DocumentChunk{ endless, 0, "abc" }));
+  EXPECT_FALSE(this->fetcher.OnChunk(kFirst, DocumentChunk{ endless, ~std::uint64_t{ 0 }, "abc" }));
+  EXPECT_TRUE(this->fetcher.OnChunk(kFirst, DocumentChunk{ small, 0, "abc" }));
 }
 
 TEST_F(DocumentFetcherTest, RequestsFullDocumentWhenDeltaCannotBeUnpacked)
 {
-  this->fetch.OnVersionInstalled(Revision(6));
-  this->source.Publish(Revision(6), RandomText(1000, 6));
+  this->fetcher.OnVersionInstalled(Revision(6));
+  this->publisher.Publish(Revision(6), RandomText(1000, 6));
   this->Publish(7);
   this->Announce(kFirst, 7);
-  EXPECT_GT(this->Finish(), 0);
-  EXPECT_EQ(this->got->transfer.base, Revision(6));
-  this->fetch.OnUnpackFailed(this->got->transfer);
-  EXPECT_GT(this->Finish(), 0);
-  EXPECT_EQ(this->got->transfer.base, Revision());
+  EXPECT_GT(this->CompleteTransfer(), 0);
+  EXPECT_EQ(this->fetched->transfer.base, Revision(6));
+  this->fetcher.OnUnpackFailed(this->fetched->transfer);
+  EXPECT_GT(this->CompleteTransfer(), 0);
+  EXPECT_EQ(this->fetched->transfer.base, Revision());
   EXPECT_EQ(this->Unpacked(), this->text);
 }
 
@@ -283,32 +285,33 @@
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
-  EXPECT_GT(this->Finish(), 0);
-  this->fetch.OnUnpackFailed(this->got->transfer);
-  EXPECT_FALSE(this->fetch.Next());
+  EXPECT_GT(this->CompleteTransfer(), 0);
+  this->fetcher.OnUnpackFailed(this->fetched->transfer);
+  EXPECT_FALSE(this->fetcher.Next());
   this->Announce(kFirst, 8);
-  EXPECT_TRUE(this->fetch.Next());
+  EXPECT_TRUE(this->fetcher.Next());
 }
 
 TEST_F(DocumentFetcherTest, AdaptsChunkSizeToLinkSpeed)
 {
   this->Publish(7, 1'000'000);
   this->Announce(kFirst, 7);
-  const auto pieceAfter = [&](milliseconds aTook) {
-    const auto ask = this->fetch.Next();
+  const auto chunkBytesAfter = [&](milliseconds aTook) {
+    const auto outgoing = this->fetcher.Next();
     this->clock.Advance(aTook);
-    this->fetch.OnChunk(kFirst, *this->source.Answer(ask->question));
-    return ask->question.mostBytes;
+    this->fetcher.OnChunk(kFirst, *this->publisher.Answer(outgoing->request));
+    return outgoing->request.mostBytes;
   };
-  const std::uint64_t begun = pieceAfter(milliseconds(2));
-  const std::uint64_t grown = pieceAfter(milliseconds(200));
-  EXPECT_EQ(grown, 2 * begun);
-  EXPECT_EQ(pieceAfter(milliseconds(50)), begun);
-  EXPECT_EQ(pieceAfter(milliseconds(50)), begun) << "neither soon nor late";
+  const std::uint64_t started = chunkBytesAfter(milliseconds(2));
+  const std::uint64_t grown = chunkBytesAfter(milliseconds(200));
+  EXPECT_EQ(grown, 2 * started);
+  EXPECT_EQ(chunkBytesAfter(milliseconds(50)), started);
+  EXPECT_EQ(chunkBytesAfter(milliseconds(50)), started) << "neither fast nor slow";
 }
 
-// One entry host, several control hosts with the same versions, and whatever may go wrong between
-// them. A link carries what it carries: an answer takes the time of its bytes and of a round trip.
+// Simulates one entry host and several control hosts with the same versions, connection losses,
+// suspended control hosts and restarts. The link has a limited rate: an answer takes the
+// transmission time of its bytes.
 class Deployment
 {
 public:
@@ -319,11 +322,11 @@
   {
   }
 
-  // Lets time pass with faults, versions and answers, then heals everything.
-  void Play(int aSteps)
+  // Runs aSteps steps with faults and new versions, then removes all faults.
+  void RunWithFaults(int aSteps)
   {
     for (int step = 0; step < aSteps; ++step) {
-      this->Disturb();
+      this->InjectFaults();
       this->Step();
     }
     for (int host = 0; host < kHosts; ++host) {
@@ -332,34 +335,34 @@
     }
   }
 
-  // Returns how long it takes until the newest version is held; nothing when it never is.
+  // Returns the time until the newest version is installed; nothing if it is not within the limit.
   std::optional<Duration> TimeUntilNewest()
   {
-    const MonotonicTime begun = this->clock.MonotonicNow();
+    const MonotonicTime started = this->clock.MonotonicNow();
     for (int step = 0; step < 3000; ++step) {
-      if (this->held == this->newest && this->text == this->newestText) {
-        return this->clock.MonotonicNow() - begun;
+      if (this->installed == this->newest && this->text == this->newestText) {
+        return this->clock.MonotonicNow() - started;
       }
       this->Step();
     }
     return std::nullopt;
   }
 
-  bool WentBack() const { return this->wentBack; }
+  bool HasGoneBack() const { return this->wentBack; }
 
 private:
   struct Host
   {
-    DocumentPublisher source;
+    DocumentPublisher publisher;
     bool connected = false;
     bool suspended = false;
   };
 
-  struct OnItsWay
+  struct InFlightChunk
   {
     MonotonicTime at;
     int from = 0;
-    DocumentChunk piece;
+    DocumentChunk chunk;
   };
 
   static HostId Name(int aHost) { return HostId("control-" + std::to_string(aHost)); }
@@ -374,14 +377,15 @@
     }
     host.connected = aUp;
     if (aUp) {
-      this->fetch.OnVersionAnnounced(Name(aHost), this->newest);
+      this->fetcher.OnVersionAnnounced(Name(aHost), this->newest);
     } else {
-      this->fetch.OnLost(Name(aHost));
-      std::erase_if(this->way, [&](const OnItsWay& aItem) { return aItem.from == aHost; });
+      this->fetcher.OnLost(Name(aHost));
+      std::erase_if(this->inFlight,
+                    [&](const InFlightChunk& aItem) { return aItem.from == aHost; });
     }
   }
 
-  void Disturb()
+  void InjectFaults()
   {
     if (this->Chance(20)) {
       this->PublishNext();
@@ -394,10 +398,10 @@
         this->hosts.at(index).suspended = !this->hosts.at(index).suspended;
       }
       if (this->Chance(2)) {
-        // Started again: it knows the newest version alone.
+        // Restarted: it has only the newest version.
         this->SetConnected(index, false);
-        this->hosts.at(index).source = DocumentPublisher();
-        this->hosts.at(index).source.Publish(this->newest, this->newestText);
+        this->hosts.at(index).publisher = DocumentPublisher();
+        this->hosts.at(index).publisher.Publish(this->newest, this->newestText);
       }
     }
   }
@@ -410,9 +414,9 @@
       this->newestText.substr(0, 200'000);
     for (int index = 0; index < kHosts; ++index) {
       Host& host = this->hosts.at(index);
-      host.source.Publish(this->newest, this->newestText);
+      host.publisher.Publish(this->newest, this->newestText);
       if (host.connected) {
-        this->fetch.OnVersionAnnounced(Name(index), this->newest);
+        this->fetcher.OnVersionAnnounced(Name(index), this->newest);
       }
     }
   }
@@ -420,62 +424,62 @@
   void Step()
   {
     this->clock.Advance(milliseconds(10));
-    while (!this->way.empty() && this->way.front().at <= this->clock.MonotonicNow()) {
-      const OnItsWay item = std::move(this->way.front());
-      this->way.erase(this->way.begin());
-      this->Arrive(item);
+    while (!this->inFlight.empty() && this->inFlight.front().at <= this->clock.MonotonicNow()) {
+      const InFlightChunk item = std::move(this->inFlight.front());
+      this->inFlight.erase(this->inFlight.begin());
+      this->Deliver(item);
     }
-    const auto ask = this->fetch.Next();
-    if (!ask) {
+    const auto outgoing = this->fetcher.Next();
+    if (!outgoing) {
       return;
     }
     for (int index = 0; index < kHosts; ++index) {
-      if (Name(index) == ask->source) {
-        this->Ask(index, ask->question);
+      if (Name(index) == outgoing->source) {
+        this->Request(index, outgoing->request);
       }
     }
   }
 
-  void Ask(int aHost, const DocumentRequest& aQuestion)
+  void Request(int aHost, const DocumentRequest& aRequest)
   {
     Host& host = this->hosts.at(aHost);
     if (!host.connected || host.suspended) {
       return;
     }
-    if (auto piece = host.source.Answer(aQuestion)) {
-      const auto taken = std::chrono::microseconds(piece->bytes.size());
-      this->freeAt = std::max(this->freeAt, this->clock.MonotonicNow()) + taken;
-      this->way.push_back(OnItsWay{ this->freeAt, aHost, std::move(*piece) });
+    if (auto chunk = host.publisher.Answer(aRequest)) {
+      const auto taken = std::chrono::microseconds(chunk->bytes.size());
+      this->linkFreeAt = std::max(this->linkFreeAt, this->clock.MonotonicNow()) + taken;
+      this->inFlight.push_back(InFlightChunk{ this->linkFreeAt, aHost, std::move(*chunk) });
     }
   }
 
-  void Arrive(const OnItsWay& aItem)
+  void Deliver(const InFlightChunk& aItem)
   {
-    const auto whole = this->fetch.OnChunk(Name(aItem.from), aItem.piece);
-    if (!whole) {
+    const auto document = this->fetcher.OnChunk(Name(aItem.from), aItem.chunk);
+    if (!document) {
       return;
     }
-    const std::string base = whole->transfer.base == Revision() ? "" : this->text;
-    const auto unpacked = UnpackText(whole->packed, base, kMost);
+    const std::string base = document->transfer.base == Revision() ? "" : this->text;
+    const auto unpacked = UnpackText(document->packed, base, kMostBytes);
     if (!unpacked) {
-      this->fetch.OnUnpackFailed(whole->transfer);
+      this->fetcher.OnUnpackFailed(document->transfer);
       return;
     }
-    this->wentBack = this->wentBack || whole->transfer.version <= this->held;
-    this->held = whole->transfer.version;
+    this->wentBack = this->wentBack || document->transfer.version <= this->installed;
+    this->installed = document->transfer.version;
     this->text = unpacked.value();
-    this->fetch.OnVersionInstalled(this->held);
+    this->fetcher.OnVersionInstalled(this->installed);
   }
 
   ManualClock clock;
   std::mt19937 random;
   std::array<Host, kHosts> hosts;
-  DocumentFetcher fetch{ this->clock };
-  std::vector<OnItsWay> way;
-  MonotonicTime freeAt;
+  DocumentFetcher fetcher{ this->clock };
+  std::vector<InFlightChunk> inFlight;
+  MonotonicTime linkFreeAt;
   Revision newest;
   std::string newestText;
-  Revision held;
+  Revision installed;
   std::string text;
   bool wentBack = false;
 };
@@ -483,12 +487,12 @@
 RC_GTEST_PROP(DocumentFetcherProperty, ObtainsNewestVersionAfterFaultsAndNeverGoesBack, ())
 {
   Deployment deployment(*rc::gen::arbitrary<std::uint32_t>());
-  deployment.Play(*rc::gen::inRange(1, 600));
+  deployment.RunWithFaults(*rc::gen::inRange(1, 600));
   const std::optional<Duration> took = deployment.TimeUntilNewest();
   RC_ASSERT(took.has_value());
-  // The longest patience with a source that was silent, and the transfer.
+  // The longest timeout of a request to an unresponsive source, and the time of the transfer.
   RC_ASSERT(*took <= std::chrono::seconds(5));
-  RC_ASSERT(!deployment.WentBack());
+  RC_ASSERT(!deployment.HasGoneBack());
 }
 
 } // namespace
--- a/test/coordination/EvacuationRegistryTest.cpp
+++ b/test/coordination/EvacuationRegistryTest.cpp
@@ -31,7 +31,7 @@
   EXPECT_EQ(evacuations.Current().revision, 1U);
 }
 
-// Guards against a copy of an order that was given up on and is committed after its withdrawal.
+// A copy of an order whose sender timed out may be committed after the order was withdrawn.
 TEST(EvacuationRegistryTest, LateCopyOfWithdrawnOrderIsSuperseded)
 {
   EvacuationRegistry evacuations;
--- a/test/coordination/RegionRestrictionTest.cpp
+++ b/test/coordination/RegionRestrictionTest.cpp
@@ -13,28 +13,28 @@
 
 TEST(RegionRestrictionTest, EmptyListsRestrictNothing)
 {
-  const RegionRestriction homes({}, {}, kRegions);
-  EXPECT_FALSE(homes.Binds());
-  EXPECT_TRUE(homes.Allows(ZoneId("elsewhere")));
-  EXPECT_TRUE(homes.Text().empty());
+  const RegionRestriction restriction({}, {}, kRegions);
+  EXPECT_FALSE(restriction.IsRestricted());
+  EXPECT_TRUE(restriction.Allows(ZoneId("elsewhere")));
+  EXPECT_TRUE(restriction.Text().empty());
 }
 
 TEST(RegionRestrictionTest, RouteOrWorkspaceAloneRestricts)
 {
-  for (const RegionRestriction& homes : { RegionRestriction({ kNorth }, {}, kRegions),
-                                          RegionRestriction({}, { kNorth }, kRegions) }) {
-    EXPECT_TRUE(homes.Allows(ZoneId("n2")));
-    EXPECT_FALSE(homes.Allows(ZoneId("s1")));
-    EXPECT_FALSE(homes.Allows(ZoneId("elsewhere")));
-    EXPECT_EQ(homes.Text(), "north");
+  for (const RegionRestriction& restriction : { RegionRestriction({ kNorth }, {}, kRegions),
+                                                RegionRestriction({}, { kNorth }, kRegions) }) {
+    EXPECT_TRUE(restriction.Allows(ZoneId("n2")));
+    EXPECT_FALSE(restriction.Allows(ZoneId("s1")));
+    EXPECT_FALSE(restriction.Allows(ZoneId("elsewhere")));
+    EXPECT_EQ(restriction.Text(), "north");
   }
 }
 
 TEST(RegionRestrictionTest, AllowsOnlyRegionsInBothLists)
 {
-  const RegionRestriction homes({ kSouth, kNorth }, { kSouth }, kRegions);
-  EXPECT_TRUE(homes.Allows(ZoneId("s1")));
-  EXPECT_FALSE(homes.Allows(ZoneId("n1")));
+  const RegionRestriction restriction({ kSouth, kNorth }, { kSouth }, kRegions);
+  EXPECT_TRUE(restriction.Allows(ZoneId("s1")));
+  EXPECT_FALSE(restriction.Allows(ZoneId("n1")));
 }
 
 TEST(RegionRestrictionTest, AllowsNoZoneWithoutCommonRegion)
--- a/test/coordination/ServingStateMachineTest.cpp
+++ b/test/coordination/ServingStateMachineTest.cpp
@@ -166,14 +166,14 @@
   EXPECT_FALSE(Apply(machine, SetEvacuation{ kZone, true, 0, WallTime() }).superseded);
   Apply(machine, SetEvacuation{ kZone, false, 1, WallTime() });
   const std::uint64_t changes = machine.Changes();
-  const ServingCommandResult standing = Apply(machine, SetEvacuation{ kZone, true, 0, WallTime() });
-  EXPECT_TRUE(standing.understood);
-  EXPECT_TRUE(standing.superseded);
+  const ServingCommandResult result = Apply(machine, SetEvacuation{ kZone, true, 0, WallTime() });
+  EXPECT_TRUE(result.understood);
+  EXPECT_TRUE(result.superseded);
   EXPECT_EQ(machine.Changes(), changes);
 }
 
-// Whatever orders come and are sent again: replicas that apply the same ones hold the same, and the
-// last order that was not overtaken is in force.
+// Random orders, some of them resent: replicas that apply the same orders have the same state, and
+// the last order that was not superseded is in force.
 RC_GTEST_PROP(ServingStateMachineTest, EvacuationsFollowLastOrderNotSuperseded, ())
 {
   ServingStateMachine machine;
--- a/test/coordination/StableWeightVersionsTest.cpp
+++ b/test/coordination/StableWeightVersionsTest.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 const ModelName kModel("m");
-constexpr Duration kSettling = std::chrono::seconds(3);
+constexpr Duration kSettlingTime = std::chrono::seconds(3);
 
 TargetRecord
 Engine(std::uint64_t aVersion)
@@ -21,41 +21,41 @@
 protected:
   std::uint64_t MinimumVersion() const
   {
-    const auto least = this->settled.MinimumVersions();
-    const auto found = least.find(kModel);
-    return found == least.end() ? 0 : found->second;
+    const auto minimums = this->versions.MinimumVersions();
+    const auto found = minimums.find(kModel);
+    return found == minimums.end() ? 0 : found->second;
   }
 
   ManualClock clock;
-  StableWeightVersions settled{ this->clock, kSettling };
+  StableWeightVersions versions{ this->clock, kSettlingTime };
 };
 
 TEST_F(StableWeightVersionsTest, ReportsLowestVersionAfterSettlingTime)
 {
-  this->settled.Update({ Engine(2), Engine(3) });
+  this->versions.Update({ Engine(2), Engine(3) });
   EXPECT_EQ(this->MinimumVersion(), 0U);
-  this->clock.Advance(kSettling);
-  this->settled.Update({ Engine(2), Engine(3) });
+  this->clock.Advance(kSettlingTime);
+  this->versions.Update({ Engine(2), Engine(3) });
   EXPECT_EQ(this->MinimumVersion(), 2U);
 }
 
 TEST_F(StableWeightVersionsTest, UpgradeOfLastEngineRestartsSettlingTime)
 {
-  this->settled.Update({ Engine(1), Engine(2) });
-  this->clock.Advance(kSettling);
-  this->settled.Update({ Engine(2), Engine(2) });
+  this->versions.Update({ Engine(1), Engine(2) });
+  this->clock.Advance(kSettlingTime);
+  this->versions.Update({ Engine(2), Engine(2) });
   EXPECT_EQ(this->MinimumVersion(), 0U);
-  this->clock.Advance(kSettling);
+  this->clock.Advance(kSettlingTime);
   EXPECT_EQ(this->MinimumVersion(), 2U);
 }
 
 TEST_F(StableWeightVersionsTest, EngineWithOlderWeightsRestartsSettlingTime)
 {
-  this->settled.Update({ Engine(2) });
-  this->clock.Advance(kSettling);
-  this->settled.Update({ Engine(2), Engine(1) });
+  this->versions.Update({ Engine(2) });
+  this->clock.Advance(kSettlingTime);
+  this->versions.Update({ Engine(2), Engine(1) });
   EXPECT_EQ(this->MinimumVersion(), 0U);
-  this->clock.Advance(kSettling);
+  this->clock.Advance(kSettlingTime);
   EXPECT_EQ(this->MinimumVersion(), 1U);
 }
 
--- a/test/coordination/StartupWaitLimiterTest.cpp
+++ b/test/coordination/StartupWaitLimiterTest.cpp
@@ -12,32 +12,33 @@
 
 TEST(StartupWaitLimiterTest, WaitIsBoundedShareOfCallerPatience)
 {
-  StartupWaitLimiter waits;
-  EXPECT_EQ(waits.Begin(milliseconds(400), 1), milliseconds(100));
-  EXPECT_EQ(waits.Begin(seconds(12), 1), StartupWaitLimiter::kLongestWait);
-  EXPECT_EQ(waits.Begin(Duration::zero(), 1), Duration::zero());
+  StartupWaitLimiter limiter;
+  EXPECT_EQ(limiter.Begin(milliseconds(400), 1), milliseconds(100));
+  EXPECT_EQ(limiter.Begin(seconds(12), 1), StartupWaitLimiter::kLongestWait);
+  EXPECT_EQ(limiter.Begin(Duration::zero(), 1), Duration::zero());
 }
 
 TEST(StartupWaitLimiterTest, RefusesCallsBeyondCountLimit)
 {
-  StartupWaitLimiter waits;
+  StartupWaitLimiter limiter;
   for (std::size_t call = 0; call < StartupWaitLimiter::kMostCalls; ++call) {
-    EXPECT_GT(waits.Begin(seconds(1), 1), Duration::zero());
+    EXPECT_GT(limiter.Begin(seconds(1), 1), Duration::zero());
   }
-  EXPECT_EQ(waits.Begin(seconds(1), 1), Duration::zero());
-  waits.End(1);
-  EXPECT_GT(waits.Begin(seconds(1), 1), Duration::zero());
+  EXPECT_EQ(limiter.Begin(seconds(1), 1), Duration::zero());
+  limiter.End(1);
+  EXPECT_GT(limiter.Begin(seconds(1), 1), Duration::zero());
 }
 
 TEST(StartupWaitLimiterTest, RefusesCallsBeyondByteLimit)
 {
-  StartupWaitLimiter waits;
-  EXPECT_GT(waits.Begin(seconds(1), StartupWaitLimiter::kMostBytes), Duration::zero());
-  EXPECT_EQ(waits.Begin(seconds(1), 1), Duration::zero());
+  StartupWaitLimiter limiter;
+  EXPECT_GT(limiter.Begin(seconds(1), StartupWaitLimiter::kMostBytes), Duration::zero());
+  EXPECT_EQ(limiter.Begin(seconds(1), 1), Duration::zero());
 }
 
-// A second without power, 80 hosts and 1,000 calls a second: the configuration comes some time
-// after the hosts. Counts the calls that could be relayed before their callers had to come again.
+// After a power failure of one second, 80 hosts get 1,000 calls a second, and the configuration
+// arrives 130 ms after the hosts have started. Counts the calls that need not be retried by their
+// callers.
 TEST(StartupWaitLimiterTest, ServesCallsThatArriveJustBeforeFirstConfiguration)
 {
   constexpr std::size_t kHosts = 80;
@@ -47,8 +48,8 @@
   std::size_t served = 0;
   std::size_t calls = 0;
   for (Duration at = Duration::zero(); at < kConfigured; at += kBetweenCalls) {
-    const Duration most = hosts[calls % kHosts].Begin(seconds(3), 12'000);
-    served += at + most >= kConfigured ? 1 : 0;
+    const Duration longest = hosts[calls % kHosts].Begin(seconds(3), 12'000);
+    served += at + longest >= kConfigured ? 1 : 0;
     ++calls;
   }
   EXPECT_EQ(served, calls);
--- a/test/coordination/ZoneReachabilityTest.cpp
+++ b/test/coordination/ZoneReachabilityTest.cpp
@@ -8,87 +8,87 @@
 class ZoneReachabilityTest : public testing::Test
 {
 protected:
-  // Lets so many targets of the zone be found gone.
-  void LoseTargets(std::size_t aCount)
+  // Reports aCount different targets of the zone as not reached.
+  void FailTargets(std::size_t aCount)
   {
     for (std::size_t index = 0; index < aCount; ++index) {
-      this->reach.OnEnd(this->zone, TargetId(std::to_string(index)), HealthSign::Gone);
+      this->reachability.OnEnd(this->zone, TargetId(std::to_string(index)), HealthSign::Gone);
     }
   }
 
-  bool IsUnreachable() const { return this->reach.IsUnreachable(this->zone); }
+  bool IsUnreachable() const { return this->reachability.IsUnreachable(this->zone); }
 
   ManualClock clock;
   ZoneId zone{ "far" };
-  ZoneReachability reach{ this->clock, 1 };
+  ZoneReachability reachability{ this->clock, 1 };
 };
 
 TEST_F(ZoneReachabilityTest, ZoneIsUnreachableWhenSeveralTargetsFailTogether)
 {
-  this->LoseTargets(ZoneReachability::kUnreachableTargets - 1);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
   EXPECT_FALSE(this->IsUnreachable());
-  this->LoseTargets(ZoneReachability::kUnreachableTargets);
+  this->FailTargets(ZoneReachability::kUnreachableTargets);
   EXPECT_TRUE(this->IsUnreachable());
-  EXPECT_FALSE(this->reach.IsUnreachable(ZoneId("near")));
+  EXPECT_FALSE(this->reachability.IsUnreachable(ZoneId("near")));
 }
 
 TEST_F(ZoneReachabilityTest, RepeatedFailuresOfOneTargetDoNotAffectZone)
 {
   for (int time = 0; time < 10; ++time) {
-    this->LoseTargets(1);
+    this->FailTargets(1);
   }
   EXPECT_FALSE(this->IsUnreachable());
 }
 
 TEST_F(ZoneReachabilityTest, SuccessfulCallResetsFailures)
 {
-  this->LoseTargets(ZoneReachability::kUnreachableTargets - 1);
-  this->reach.OnEnd(this->zone, TargetId("good"), HealthSign::Good);
-  this->LoseTargets(ZoneReachability::kUnreachableTargets - 1);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
+  this->reachability.OnEnd(this->zone, TargetId("good"), HealthSign::Good);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
 TEST_F(ZoneReachabilityTest, ReceivedBytesResetFailures)
 {
-  this->LoseTargets(ZoneReachability::kUnreachableTargets - 1);
-  this->reach.OnBytes(this->zone);
-  this->LoseTargets(ZoneReachability::kUnreachableTargets - 1);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
+  this->reachability.OnBytes(this->zone);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
   EXPECT_FALSE(this->IsUnreachable());
-  this->LoseTargets(ZoneReachability::kUnreachableTargets);
+  this->FailTargets(ZoneReachability::kUnreachableTargets);
   EXPECT_TRUE(this->IsUnreachable());
-  this->reach.OnBytes(this->zone);
+  this->reachability.OnBytes(this->zone);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
 TEST_F(ZoneReachabilityTest, FailuresOutsideDetectionWindowDoNotAddUp)
 {
-  this->LoseTargets(ZoneReachability::kUnreachableTargets - 1);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
   this->clock.Advance(ZoneReachability::kDetectionWindow * 2);
-  this->reach.OnEnd(this->zone, TargetId("another"), HealthSign::Gone);
+  this->reachability.OnEnd(this->zone, TargetId("another"), HealthSign::Gone);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
 TEST_F(ZoneReachabilityTest, ProbesZoneWithOneCallAtATimeAfterRetryDelay)
 {
-  this->LoseTargets(ZoneReachability::kUnreachableTargets);
+  this->FailTargets(ZoneReachability::kUnreachableTargets);
   this->clock.Advance(ZoneReachability::kRetryDelay * 2);
   EXPECT_FALSE(this->IsUnreachable());
-  this->reach.OnStart(this->zone);
+  this->reachability.OnStart(this->zone);
   EXPECT_TRUE(this->IsUnreachable());
-  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Gone);
+  this->reachability.OnEnd(this->zone, TargetId("0"), HealthSign::Gone);
   EXPECT_TRUE(this->IsUnreachable());
   this->clock.Advance(ZoneReachability::kRetryDelay * 2);
-  this->reach.OnStart(this->zone);
-  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Good);
+  this->reachability.OnStart(this->zone);
+  this->reachability.OnEnd(this->zone, TargetId("0"), HealthSign::Good);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
 TEST_F(ZoneReachabilityTest, InconclusiveProbeAllowsAnother)
 {
-  this->LoseTargets(ZoneReachability::kUnreachableTargets);
+  this->FailTargets(ZoneReachability::kUnreachableTargets);
   this->clock.Advance(ZoneReachability::kRetryDelay * 2);
-  this->reach.OnStart(this->zone);
-  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::None);
+  this->reachability.OnStart(this->zone);
+  this->reachability.OnEnd(this->zone, TargetId("0"), HealthSign::None);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
