--- a/include/damasklink/coordination/DocumentFetcher.h
+++ b/include/damasklink/coordination/DocumentFetch.h
@@ -1,6 +1,6 @@
 // Fetches the configuration document for an entry host: the receiving side of DocumentTransfer.h.
 //
-//   DocumentFetcher fetcher(clock);
+//   DocumentFetch fetcher(clock);
 //   // For each ServingUpdate of a control host:
 //   fetcher.OnVersionAnnounced(controlHost, version);
 //   // After each event, and on a timer:
@@ -40,10 +40,10 @@
 };
 
 // Not thread-safe.
-class DocumentFetcher
+class DocumentFetch
 {
 public:
-  explicit DocumentFetcher(const Clock& aClock);
+  explicit DocumentFetch(const Clock& aClock);
 
   // A connected control host has announced the version that is in force.
   void OnVersionAnnounced(const HostId& aSource, Revision aVersion);
--- a/include/damasklink/coordination/RegionRestriction.h
+++ b/include/damasklink/coordination/HomeRegions.h
@@ -1,8 +1,8 @@
 // Restricts a call to the regions that its route and its workspace allow.
 //
-//   const RegionRestriction restriction(
+//   const HomeRegions homes(
 //     route.allowedRegions, workspace.allowedRegions, settings.regions);
-//   if (restriction.Allows(target.zone)) ...
+//   if (homes.Allows(target.zone)) ...
 //
 // Applies to the targets of the call and to the stores that cache parts of its prompt. Immutable.
 #pragma once
@@ -15,17 +15,17 @@
 
 namespace damasklink {
 
-class RegionRestriction
+class HomeRegions
 {
 public:
   // No restriction: allows every zone.
-  RegionRestriction() = default;
+  HomeRegions() = default;
 
   // An empty list does not restrict; if both lists have regions, only those in both are allowed.
   // aRegions maps each zone to its region.
-  RegionRestriction(const std::vector<RegionId>& aRouteRegions,
-                    const std::vector<RegionId>& aWorkspaceRegions,
-                    const ZoneRegions& aRegions);
+  HomeRegions(const std::vector<RegionId>& aRouteRegions,
+              const std::vector<RegionId>& aWorkspaceRegions,
+              const ZoneRegions& aRegions);
 
   bool IsRestricted() const { return this->restricted; }
 
@@ -37,7 +37,7 @@
     return !this->restricted || this->zones.contains(aZone);
   }
 
-  // Returns the allowed regions as a canonical comma-separated text; empty without a restriction.
+  // Returns the allowed regions as a canonical comma-separated text; empty without a homes.
   const std::string& Text() const { return this->text; }
 
 private:
--- a/include/damasklink/coordination/HubSelector.h
+++ b/include/damasklink/coordination/HubChoice.h
@@ -1,10 +1,10 @@
 // Selects the hub of an entry host: the control host to which it sends its load reports.
 //
-//   HubSelector selector(clock, zone);
-//   selector.Choose(candidates);     // Control hosts that have sent something on their connection.
-//   selector.OnReportSent();         // The hub now has to reply with its sums.
-//   selector.OnMessageFrom(host);
-//   selector.OnLost(host);
+//   HubChoice choice(clock, zone);
+//   choice.Choose(candidates);     // Control hosts that have sent something on their connection.
+//   choice.OnReportSent();         // The hub now has to reply with its sums.
+//   choice.OnMessageFrom(host);
+//   choice.OnLost(host);
 //
 // Entry hosts of one zone select the same hub if they reach the same control hosts. A control host
 // that has contact with a leader is preferred, then one of the own zone, where traffic is cheap,
@@ -31,14 +31,14 @@
   bool hearsLeader = false;
 };
 
-class HubSelector
+class HubChoice
 {
 public:
   // A hub replies to a report with its sums within 50 ms. Ten times that suffices under any load,
   // and is a third of the time after which a silent connection is closed.
   static constexpr Duration kReplyTimeout = std::chrono::milliseconds(500);
 
-  HubSelector(const Clock& aClock, ZoneId aZone)
+  HubChoice(const Clock& aClock, ZoneId aZone)
     : clock(aClock)
     , zone(std::move(aZone))
   {
--- a/include/damasklink/coordination/StableWeightVersions.h
+++ b/include/damasklink/coordination/SettledWeights.h
@@ -1,9 +1,9 @@
 // Determines, for each model, the weight version that all engines have reached for some time.
 // Cached parts made by lower versions are then of no use any more.
 //
-//   StableWeightVersions versions(clock, std::chrono::seconds(3));
-//   versions.Update(engines);      // All engines that have not left, including silent ones.
-//   versions.MinimumVersions();    // By model.
+//   SettledWeights settled(clock, std::chrono::seconds(3));
+//   settled.Update(engines);      // All engines that have not left, including silent ones.
+//   settled.MinimumVersions();    // By model.
 //
 // An engine refuses calls that expect weights it no longer has, and a transfer takes at most two
 // seconds. After that time no engine can be reading parts that older weights made. Not thread-safe.
@@ -17,10 +17,10 @@
 
 namespace damasklink {
 
-class StableWeightVersions
+class SettledWeights
 {
 public:
-  StableWeightVersions(const Clock& aClock, Duration aSettlingTime)
+  SettledWeights(const Clock& aClock, Duration aSettlingTime)
     : clock(aClock)
     , settlingTime(aSettlingTime)
   {
--- a/include/damasklink/coordination/StartupWaitLimiter.h
+++ b/include/damasklink/coordination/StartupWait.h
@@ -1,8 +1,8 @@
 // Limits which calls may wait for the first configuration of an entry host that has just started.
 //
-//   StartupWaitLimiter limiter;
-//   const Duration longest = limiter.Begin(patience, body.size());
-//   if (longest > Duration::zero()) { ... wait for up to that time; limiter.End(body.size()); }
+//   StartupWait wait;
+//   const Duration longest = wait.Begin(patience, body.size());
+//   if (longest > Duration::zero()) { ... wait for up to that time; wait.End(body.size()); }
 //
 // After an outage of all hosts, callers that found no host for a second call again at once, some
 // tenths of a second before the control hosts have elected a leader and distributed the
@@ -18,7 +18,7 @@
 
 namespace damasklink {
 
-class StartupWaitLimiter
+class StartupWait
 {
 public:
   // The time from the start of all hosts until a leader has configured them, provided that all
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -26,7 +26,7 @@
 #include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/coordination/Target.h"
 #include "damasklink/coordination/TargetHealth.h"
-#include "damasklink/coordination/ZoneReachability.h"
+#include "damasklink/coordination/ZoneReach.h"
 
 namespace damasklink {
 
@@ -124,7 +124,7 @@
   static constexpr std::uint64_t kLongReading = 1000;
 
   TargetPicker(const TargetHealth& aHealth,
-               const ZoneReachability& aReach,
+               const ZoneReach& aReach,
                std::uint64_t aSeed,
                PickCosts aCosts = PickCosts());
 
@@ -209,7 +209,7 @@
   double QueueAt(const PickQuestion& aQuestion, const TargetRecord& aTarget) const;
 
   const TargetHealth& health;
-  const ZoneReachability& reach;
+  const ZoneReach& reach;
   PickCosts costs;
   std::minstd_rand random;
   HeldParts held;
--- a/include/damasklink/coordination/ZoneReachability.h
+++ b/include/damasklink/coordination/ZoneReach.h
@@ -1,9 +1,9 @@
 // Detects availability zones whose targets this host cannot reach: a circuit breaker for each zone.
 //
-//   ZoneReachability reachability(clock, seed);
-//   reachability.OnStart(target.zone);                  // A call is sent.
-//   reachability.OnEnd(target.zone, target.id, sign);   // The call has ended.
-//   if (reachability.IsUnreachable(target.zone)) ...    // Choose another zone.
+//   ZoneReach reach(clock, seed);
+//   reach.OnStart(target.zone);                  // A call is sent.
+//   reach.OnEnd(target.zone, target.id, sign);   // The call has ended.
+//   if (reach.IsUnreachable(target.zone)) ...    // Choose another zone.
 //
 // When a zone is partitioned, all its targets become unreachable at once. Without this class each
 // target costs one call until it is ejected individually, and each kept connection another one: a
@@ -23,7 +23,7 @@
 
 namespace damasklink {
 
-class ZoneReachability
+class ZoneReach
 {
 public:
   // The number of targets that must fail, without an answer from any other, to make their zone
@@ -35,7 +35,7 @@
   // do not probe at the same time.
   static constexpr Duration kRetryDelay = std::chrono::seconds(2);
 
-  ZoneReachability(const Clock& aClock, std::uint64_t aSeed)
+  ZoneReach(const Clock& aClock, std::uint64_t aSeed)
     : clock(aClock)
     , random(aSeed)
   {
--- a/src/coordination/ConfigStateMachine.cpp
+++ b/src/coordination/ConfigStateMachine.cpp
@@ -276,7 +276,7 @@
   loaded.answers = ChangeAnswerCache::Unpack(reader);
   if (version != kSnapshotVersion || !reader.AtCleanEnd()) {
     return Fail(ErrorKind::Corrupt,
-                Concat("cannot read a configuration snapshot of format version ", version),
+                Concat("the configuration snapshot of format version ", version, " cannot be read"),
                 "run the program version that wrote it, or restore this host from its group");
   }
   for (const SubtreeName& name : loaded.tree.Names()) {
--- a/src/coordination/DocumentFetcher.cpp
+++ b/src/coordination/DocumentFetch.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/DocumentFetcher.h"
+#include "damasklink/coordination/DocumentFetch.h"
 
 #include <algorithm>
 
@@ -32,7 +32,7 @@
 
 } // namespace
 
-DocumentFetcher::DocumentFetcher(const Clock& aClock)
+DocumentFetch::DocumentFetch(const Clock& aClock)
   : clock(aClock)
   , timeout(kInitialTimeout)
   , chunkBytes(kInitialChunkBytes)
@@ -40,7 +40,7 @@
 }
 
 void
-DocumentFetcher::OnVersionAnnounced(const HostId& aSource, Revision aVersion)
+DocumentFetch::OnVersionAnnounced(const HostId& aSource, Revision aVersion)
 {
   this->sources[aSource] = aVersion;
   if (aVersion > this->newest) {
@@ -53,7 +53,7 @@
 }
 
 MonotonicTime
-DocumentFetcher::AnnouncedAt(Revision aVersion) const
+DocumentFetch::AnnouncedAt(Revision aVersion) const
 {
   MonotonicTime earliest = this->clock.MonotonicNow();
   for (auto item = this->announcedAt.lower_bound(aVersion); item != this->announcedAt.end();
@@ -64,7 +64,7 @@
 }
 
 void
-DocumentFetcher::OnLost(const HostId& aSource)
+DocumentFetch::OnLost(const HostId& aSource)
 {
   this->sources.erase(aSource);
   this->timedOut.erase(aSource);
@@ -74,7 +74,7 @@
 }
 
 void
-DocumentFetcher::OnVersionInstalled(Revision aVersion)
+DocumentFetch::OnVersionInstalled(Revision aVersion)
 {
   this->installed = std::max(this->installed, aVersion);
   this->wantsFullDocument = false;
@@ -83,7 +83,7 @@
 }
 
 void
-DocumentFetcher::OnUnpackFailed(const TransferId& aTransfer)
+DocumentFetch::OnUnpackFailed(const TransferId& aTransfer)
 {
   if (aTransfer.base == Revision()) {
     this->unreadable = aTransfer.version;
@@ -94,14 +94,14 @@
 
 // Returns the lowest version that is worth requesting: that of the started transfer, if any.
 Revision
-DocumentFetcher::LowestWantedVersion() const
+DocumentFetch::LowestWantedVersion() const
 {
   const Revision started = this->transfer.version;
   return started != Revision() ? started : std::max(this->installed, this->unreadable).Next();
 }
 
 bool
-DocumentFetcher::IsWantedVersionAvailable() const
+DocumentFetch::IsWantedVersionAvailable() const
 {
   return std::any_of(this->sources.begin(), this->sources.end(), [this](const auto& aSource) {
     return aSource.second >= this->LowestWantedVersion();
@@ -112,7 +112,7 @@
 // OnChunk() additionally requires that a chunk which replaces a started transfer comes from the
 // control host that was requested, which then does not have the started one.
 bool
-DocumentFetcher::IsAcceptable(const DocumentChunk& aChunk) const
+DocumentFetch::IsAcceptable(const DocumentChunk& aChunk) const
 {
   const TransferId& offered = aChunk.transfer;
   const bool baseMatches = offered.base == this->installed && !this->wantsFullDocument;
@@ -126,7 +126,7 @@
 }
 
 std::optional<FetchedDocument>
-DocumentFetcher::OnChunk(const HostId& aFrom, const DocumentChunk& aChunk)
+DocumentFetch::OnChunk(const HostId& aFrom, const DocumentChunk& aChunk)
 {
   const bool wasRequested = this->pending && this->pending->source == aFrom;
   const bool started = this->transfer.version != Revision();
@@ -150,14 +150,14 @@
 }
 
 void
-DocumentFetcher::AbandonTransfer()
+DocumentFetch::AbandonTransfer()
 {
   this->transfer = TransferId();
   this->received.clear();
 }
 
 void
-DocumentFetcher::OnProgress()
+DocumentFetch::OnProgress()
 {
   if (this->pending) {
     const Duration took = this->clock.MonotonicNow() - this->pending->sentAt;
@@ -173,7 +173,7 @@
 }
 
 void
-DocumentFetcher::OnTimeout()
+DocumentFetch::OnTimeout()
 {
   this->timedOut.insert(this->pending->source);
   this->pending.reset();
@@ -183,7 +183,7 @@
 // Returns a control host that has a wanted version and did not time out for this chunk, preferably
 // the one that answered last, else the one with the newest version.
 std::optional<HostId>
-DocumentFetcher::ChooseSource() const
+DocumentFetch::ChooseSource() const
 {
   const Revision least = this->LowestWantedVersion();
   const auto can = [&](const HostId& aHost, Revision aVersion) {
@@ -207,7 +207,7 @@
 
 // As ChooseSource(), but tries the control hosts that timed out again when no other is left.
 std::optional<HostId>
-DocumentFetcher::ChooseSourceOrRetry()
+DocumentFetch::ChooseSourceOrRetry()
 {
   std::optional<HostId> source = this->ChooseSource();
   if (!source && !this->timedOut.empty()) {
@@ -219,7 +219,7 @@
 }
 
 std::optional<OutgoingDocumentRequest>
-DocumentFetcher::Next()
+DocumentFetch::Next()
 {
   if (!this->IsWantedVersionAvailable()) {
     // No control host has the started transfer any more, but others may have a newer version than
--- a/src/coordination/HubSelector.cpp
+++ b/src/coordination/HubChoice.cpp
@@ -1,9 +1,9 @@
-#include "damasklink/coordination/HubSelector.h"
+#include "damasklink/coordination/HubChoice.h"
 
 namespace damasklink {
 
 int
-HubSelector::RankOf(const HubCandidate& aCandidate) const
+HubChoice::RankOf(const HubCandidate& aCandidate) const
 {
   const int responsive = this->unresponsive.contains(aCandidate.host) ? 0 : 4;
   const int hearsLeader = aCandidate.hearsLeader ? 2 : 0;
@@ -12,7 +12,7 @@
 }
 
 std::optional<HostId>
-HubSelector::Choose(const std::vector<HubCandidate>& aCandidates)
+HubChoice::Choose(const std::vector<HubCandidate>& aCandidates)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   if (this->hub && this->awaitingReplySince && now - *this->awaitingReplySince >= kReplyTimeout) {
@@ -35,7 +35,7 @@
 }
 
 void
-HubSelector::OnReportSent()
+HubChoice::OnReportSent()
 {
   if (!this->awaitingReplySince) {
     this->awaitingReplySince = this->clock.MonotonicNow();
@@ -43,7 +43,7 @@
 }
 
 void
-HubSelector::OnMessageFrom(const HostId& aHost)
+HubChoice::OnMessageFrom(const HostId& aHost)
 {
   this->unresponsive.erase(aHost);
   if (this->hub == aHost) {
@@ -52,7 +52,7 @@
 }
 
 void
-HubSelector::OnLost(const HostId& aHost)
+HubChoice::OnLost(const HostId& aHost)
 {
   this->unresponsive.erase(aHost);
   if (this->hub == aHost) {
--- a/src/coordination/StableWeightVersions.cpp
+++ b/src/coordination/SettledWeights.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/StableWeightVersions.h"
+#include "damasklink/coordination/SettledWeights.h"
 
 #include <algorithm>
 
 namespace damasklink {
 
 void
-StableWeightVersions::Update(const std::vector<TargetRecord>& aEngines)
+SettledWeights::Update(const std::vector<TargetRecord>& aEngines)
 {
   std::map<ModelName, std::uint64_t> lowestOfEngines;
   for (const TargetRecord& engine : aEngines) {
@@ -24,7 +24,7 @@
 }
 
 std::map<ModelName, std::uint64_t>
-StableWeightVersions::MinimumVersions() const
+SettledWeights::MinimumVersions() const
 {
   std::map<ModelName, std::uint64_t> settled;
   for (const auto& [model, lowest] : this->lowestVersions) {
--- a/src/coordination/StartupWaitLimiter.cpp
+++ b/src/coordination/StartupWait.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/StartupWaitLimiter.h"
+#include "damasklink/coordination/StartupWait.h"
 
 #include <algorithm>
 
 namespace damasklink {
 
 Duration
-StartupWaitLimiter::Begin(Duration aPatience, std::size_t aBytes)
+StartupWait::Begin(Duration aPatience, std::size_t aBytes)
 {
   if (this->calls >= kMostCalls || this->bytes + aBytes > kMostBytes) {
     return Duration::zero();
@@ -20,7 +20,7 @@
 }
 
 void
-StartupWaitLimiter::End(std::size_t aBytes)
+StartupWait::End(std::size_t aBytes)
 {
   --this->calls;
   this->bytes -= aBytes;
--- a/src/coordination/TargetPicker.cpp
+++ b/src/coordination/TargetPicker.cpp
@@ -39,7 +39,7 @@
 }
 
 TargetPicker::TargetPicker(const TargetHealth& aHealth,
-                           const ZoneReachability& aReach,
+                           const ZoneReach& aReach,
                            std::uint64_t aSeed,
                            PickCosts aCosts)
   : health(aHealth)
--- a/src/coordination/ZoneReachability.cpp
+++ b/src/coordination/ZoneReach.cpp
@@ -1,9 +1,9 @@
-#include "damasklink/coordination/ZoneReachability.h"
+#include "damasklink/coordination/ZoneReach.h"
 
 namespace damasklink {
 
 void
-ZoneReachability::OnStart(const ZoneId& aZone)
+ZoneReach::OnStart(const ZoneId& aZone)
 {
   const auto found = this->entries.find(aZone);
   if (found != this->entries.end() && found->second.unreachable) {
@@ -12,7 +12,7 @@
 }
 
 void
-ZoneReachability::OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSign aSign)
+ZoneReach::OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSign aSign)
 {
   if (aSign == HealthSign::Good) {
     this->entries.erase(aZone);
@@ -38,7 +38,7 @@
 }
 
 void
-ZoneReachability::MarkUnreachable(Entry& aEntry)
+ZoneReach::MarkUnreachable(Entry& aEntry)
 {
   std::uniform_int_distribution<std::int64_t> jitter(0, kRetryDelay.count() / 4);
   aEntry.retryAt = this->clock.MonotonicNow() + kRetryDelay + Duration(jitter(this->random));
@@ -46,7 +46,7 @@
 }
 
 bool
-ZoneReachability::IsUnreachable(const ZoneId& aZone) const
+ZoneReach::IsUnreachable(const ZoneId& aZone) const
 {
   const auto found = this->entries.find(aZone);
   if (found == this->entries.end() || !found->second.unreachable) {
--- a/src/program/ConfigurationFeed.h
+++ b/src/program/ConfigurationFeed.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "EntryPicture.h"
-#include "damasklink/coordination/DocumentFetcher.h"
+#include "damasklink/coordination/DocumentFetch.h"
 #include "damasklink/state/Metrics.h"
 #include "damasklink/transport/EventLoop.h"
 #include "damasklink/transport/PeerNetwork.h"
@@ -67,7 +67,7 @@
   PeerSender& peers;
   Metrics& metrics;
   std::function<void()> inForce;
-  DocumentFetcher fetch;
+  DocumentFetch fetch;
   // What is in force, for the next version to be unpacked against.
   TextPtr document;
   // While one is read nothing is asked for: the next one is packed against it.
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -10,7 +10,7 @@
 #include "StoreWatcher.h"
 #include "WeightsDesk.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
-#include "damasklink/coordination/StableWeightVersions.h"
+#include "damasklink/coordination/SettledWeights.h"
 #include "damasklink/protocol/ServingCodec.h"
 #include "damasklink/state/MetricsRegistry.h"
 #include "damasklink/transport/ChannelListener.h"
@@ -139,7 +139,7 @@
   ControlPicture picture;
   StoreWatcher stores;
   WeightsDesk weights;
-  StableWeightVersions settled{ this->clock, kSettling };
+  SettledWeights settled{ this->clock, kSettling };
   HostRoster roster{ this->settings.host, this->settings.zone };
   CrashLedger crashes{ this->clock };
   RefusalDesk refusals{ this->loop, this->group, this->crashes };
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -10,7 +10,7 @@
 #include "Exchange.h"
 #include "MetricsPage.h"
 #include "damasklink/coordination/ControlLinks.h"
-#include "damasklink/coordination/HubSelector.h"
+#include "damasklink/coordination/HubChoice.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
 #include "damasklink/protocol/ServingCodec.h"
 #include "damasklink/state/MetricsRegistry.h"
@@ -150,7 +150,7 @@
   FirstConfiguration firstConfiguration;
   RetryShares retries;
   TargetHealth health;
-  ZoneReachability reach;
+  ZoneReach reach;
   TargetPicker picker;
   TargetChannelPool pool;
   StorePace pace;
@@ -172,7 +172,7 @@
   Channels open;
   ControlLinks links{ this->settings.host, this->settings.zone };
   // The control host that is told what this host has where.
-  HubSelector hub{ this->clock, this->settings.zone };
+  HubChoice hub{ this->clock, this->settings.zone };
   bool wasReady = false;
 };
 
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -137,9 +137,9 @@
     return std::nullopt;
   }
   this->homes =
-    RegionRestriction(this->route->allowedRegions,
-                      this->workspace == nullptr ? kAnywhere : this->workspace->allowedRegions,
-                      this->context.settings.regions);
+    HomeRegions(this->route->allowedRegions,
+                this->workspace == nullptr ? kAnywhere : this->workspace->allowedRegions,
+                this->context.settings.regions);
   if (this->homes.AllowsNoZone()) {
     return Refusal(ErrorKind::NotPermitted,
                    "the route and the workspace have no home region in common",
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -14,7 +14,7 @@
 #include "damasklink/coordination/CrashWatch.h"
 #include "damasklink/coordination/EventFramer.h"
 #include "damasklink/coordination/ExchangePlan.h"
-#include "damasklink/coordination/RegionRestriction.h"
+#include "damasklink/coordination/HomeRegions.h"
 #include "damasklink/coordination/RequestFingerprint.h"
 #include "damasklink/coordination/RetryShares.h"
 #include "damasklink/coordination/ReturnQueue.h"
@@ -40,7 +40,7 @@
   FirstConfiguration& firstConfiguration;
   RetryShares& retries;
   TargetHealth& health;
-  ZoneReachability& reach;
+  ZoneReach& reach;
   TargetPicker& picker;
   TargetChannelPool& pool;
   StorePace& pace;
@@ -151,7 +151,7 @@
   const WorkspaceEntry* workspace = nullptr;
   CallerCall call;
   ServiceName service;
-  RegionRestriction homes;
+  HomeRegions homes;
   // Those of the home regions, where they bind.
   std::vector<TargetRecord> atHome;
   PickQuestion question;
--- a/src/program/FirstConfiguration.h
+++ b/src/program/FirstConfiguration.h
@@ -3,7 +3,7 @@
 
 #include <set>
 
-#include "damasklink/coordination/StartupWaitLimiter.h"
+#include "damasklink/coordination/StartupWait.h"
 #include "damasklink/transport/EventLoop.h"
 
 namespace damasklink {
@@ -26,7 +26,7 @@
 
 private:
   asio::io_context& loop;
-  StartupWaitLimiter waits;
+  StartupWait waits;
   std::set<asio::steady_timer*> waiting;
 };
 
--- a/src/program/StoreWatcher.h
+++ b/src/program/StoreWatcher.h
@@ -41,7 +41,7 @@
   std::vector<StoreUpdate> All() const;
 
   // Orders the stores to drop parts that were made by weights older than these, and those whose
-  // writers broke off. Requires that nobody can be reading the former (StableWeightVersions.h).
+  // writers broke off. Requires that nobody can be reading the former (SettledWeights.h).
   void FreeUnused(const std::map<ModelName, std::uint64_t>& aWeights);
 
 private:
--- a/test/coordination/DocumentPublisherTest.cpp
+++ b/test/coordination/DocumentPublisherTest.cpp
@@ -7,10 +7,10 @@
 namespace damasklink {
 namespace {
 
-constexpr std::uint64_t kMostBytes = 1'000'000;
+constexpr std::uint64_t kMany = 1'000'000;
 
 DocumentRequest
-RequestOfHostWith(std::uint64_t aVersion, std::uint64_t aMostBytes = kMostBytes)
+Holding(std::uint64_t aVersion, std::uint64_t aMostBytes = kMany)
 {
   DocumentRequest request;
   request.held = Revision(aVersion);
@@ -31,37 +31,37 @@
 
 TEST_F(DocumentPublisherTest, SendsNothingBeforeFirstVersion)
 {
-  EXPECT_FALSE(this->publisher.Answer(RequestOfHostWith(0)));
+  EXPECT_FALSE(this->publisher.Answer(Holding(0)));
   this->Publish(0, "");
-  EXPECT_FALSE(this->publisher.Answer(RequestOfHostWith(0)));
+  EXPECT_FALSE(this->publisher.Answer(Holding(0)));
 }
 
 TEST_F(DocumentPublisherTest, SendsFullDocumentToHostWithoutOne)
 {
   this->Publish(7, "seven");
-  const auto chunk = this->publisher.Answer(RequestOfHostWith(0));
+  const auto chunk = this->publisher.Answer(Holding(0));
   ASSERT_TRUE(chunk);
   EXPECT_EQ(chunk->transfer.version, Revision(7));
   EXPECT_EQ(chunk->transfer.base, Revision());
   EXPECT_EQ(chunk->transfer.bytes, chunk->bytes.size());
-  EXPECT_EQ(UnpackText(chunk->bytes, "", kMostBytes).value(), "seven");
+  EXPECT_EQ(UnpackText(chunk->bytes, "", kMany).value(), "seven");
 }
 
 TEST_F(DocumentPublisherTest, SendsDeltaToHostWithEarlierVersion)
 {
   this->Publish(7, "seven");
   this->Publish(9, "nine");
-  const auto chunk = this->publisher.Answer(RequestOfHostWith(7));
+  const auto chunk = this->publisher.Answer(Holding(7));
   ASSERT_TRUE(chunk);
   EXPECT_EQ(chunk->transfer.base, Revision(7));
-  EXPECT_EQ(UnpackText(chunk->bytes, "seven", kMostBytes).value(), "nine");
+  EXPECT_EQ(UnpackText(chunk->bytes, "seven", kMany).value(), "nine");
 }
 
 TEST_F(DocumentPublisherTest, SendsNothingToHostWithNewestVersion)
 {
   this->Publish(7, "seven");
-  EXPECT_FALSE(this->publisher.Answer(RequestOfHostWith(7)));
-  EXPECT_FALSE(this->publisher.Answer(RequestOfHostWith(8)));
+  EXPECT_FALSE(this->publisher.Answer(Holding(7)));
+  EXPECT_FALSE(this->publisher.Answer(Holding(8)));
 }
 
 TEST_F(DocumentPublisherTest, IgnoresLowerOrRepeatedVersion)
@@ -69,30 +69,30 @@
   this->Publish(7, "seven");
   this->Publish(5, "five");
   this->Publish(7, "other");
-  const auto chunk = this->publisher.Answer(RequestOfHostWith(0));
-  EXPECT_EQ(UnpackText(chunk->bytes, "", kMostBytes).value(), "seven");
+  const auto chunk = this->publisher.Answer(Holding(0));
+  EXPECT_EQ(UnpackText(chunk->bytes, "", kMany).value(), "seven");
 }
 
 TEST_F(DocumentPublisherTest, ContinuesStartedTransferAfterNewerVersion)
 {
   this->Publish(7, "a text of more than a few bytes");
-  const auto first = this->publisher.Answer(RequestOfHostWith(0, 10));
+  const auto first = this->publisher.Answer(Holding(0, 10));
   this->Publish(8, "another");
-  DocumentRequest next = RequestOfHostWith(0);
+  DocumentRequest next = Holding(0);
   next.transfer = first->transfer;
   next.offset = 10;
   const auto rest = this->publisher.Answer(next);
   ASSERT_TRUE(rest);
   EXPECT_EQ(rest->transfer, first->transfer);
   EXPECT_EQ(rest->offset, 10U);
-  EXPECT_EQ(UnpackText(first->bytes + rest->bytes, "", kMostBytes).value(),
+  EXPECT_EQ(UnpackText(first->bytes + rest->bytes, "", kMany).value(),
             "a text of more than a few bytes");
 }
 
 TEST_F(DocumentPublisherTest, RestartsTransferWithUnknownChecksum)
 {
   this->Publish(7, "seven");
-  DocumentRequest next = RequestOfHostWith(0);
+  DocumentRequest next = Holding(0);
   next.transfer = TransferId{ Revision(7), Revision(), 1000, 1 };
   next.offset = 500;
   const auto chunk = this->publisher.Answer(next);
@@ -107,15 +107,15 @@
   for (std::uint64_t version = 1; version <= 6; ++version) {
     this->Publish(version, large + std::to_string(version));
   }
-  EXPECT_EQ(this->publisher.Answer(RequestOfHostWith(1))->transfer.base, Revision());
-  EXPECT_EQ(this->publisher.Answer(RequestOfHostWith(5))->transfer.base, Revision(5));
+  EXPECT_EQ(this->publisher.Answer(Holding(1))->transfer.base, Revision());
+  EXPECT_EQ(this->publisher.Answer(Holding(5))->transfer.base, Revision(5));
 }
 
 TEST_F(DocumentPublisherTest, KeepsNewestVersionBeyondMemoryLimit)
 {
   this->Publish(1, "small");
   this->Publish(2, std::string(20'000'000, 'x'));
-  EXPECT_EQ(this->publisher.Answer(RequestOfHostWith(0))->transfer.version, Revision(2));
+  EXPECT_EQ(this->publisher.Answer(Holding(0))->transfer.version, Revision(2));
 }
 
 } // namespace
--- a/test/coordination/StableWeightVersionsTest.cpp
+++ b/test/coordination/SettledWeightsTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StableWeightVersions.h"
+#include "damasklink/coordination/SettledWeights.h"
 
 #include <gtest/gtest.h>
 
@@ -16,44 +16,44 @@
   return record;
 }
 
-class StableWeightVersionsTest : public ::testing::Test
+class SettledWeightsTest : public ::testing::Test
 {
 protected:
   std::uint64_t MinimumVersion() const
   {
-    const auto minimums = this->versions.MinimumVersions();
+    const auto minimums = this->settled.MinimumVersions();
     const auto found = minimums.find(kModel);
     return found == minimums.end() ? 0 : found->second;
   }
 
   ManualClock clock;
-  StableWeightVersions versions{ this->clock, kSettlingTime };
+  SettledWeights settled{ this->clock, kSettlingTime };
 };
 
-TEST_F(StableWeightVersionsTest, ReportsLowestVersionAfterSettlingTime)
+TEST_F(SettledWeightsTest, ReportsLowestVersionAfterSettlingTime)
 {
-  this->versions.Update({ Engine(2), Engine(3) });
+  this->settled.Update({ Engine(2), Engine(3) });
   EXPECT_EQ(this->MinimumVersion(), 0U);
   this->clock.Advance(kSettlingTime);
-  this->versions.Update({ Engine(2), Engine(3) });
+  this->settled.Update({ Engine(2), Engine(3) });
   EXPECT_EQ(this->MinimumVersion(), 2U);
 }
 
-TEST_F(StableWeightVersionsTest, UpgradeOfLastEngineRestartsSettlingTime)
+TEST_F(SettledWeightsTest, UpgradeOfLastEngineRestartsSettlingTime)
 {
-  this->versions.Update({ Engine(1), Engine(2) });
+  this->settled.Update({ Engine(1), Engine(2) });
   this->clock.Advance(kSettlingTime);
-  this->versions.Update({ Engine(2), Engine(2) });
+  this->settled.Update({ Engine(2), Engine(2) });
   EXPECT_EQ(this->MinimumVersion(), 0U);
   this->clock.Advance(kSettlingTime);
   EXPECT_EQ(this->MinimumVersion(), 2U);
 }
 
-TEST_F(StableWeightVersionsTest, EngineWithOlderWeightsRestartsSettlingTime)
+TEST_F(SettledWeightsTest, EngineWithOlderWeightsRestartsSettlingTime)
 {
-  this->versions.Update({ Engine(2) });
+  this->settled.Update({ Engine(2) });
   this->clock.Advance(kSettlingTime);
-  this->versions.Update({ Engine(2), Engine(1) });
+  this->settled.Update({ Engine(2), Engine(1) });
   EXPECT_EQ(this->MinimumVersion(), 0U);
   this->clock.Advance(kSettlingTime);
   EXPECT_EQ(this->MinimumVersion(), 1U);
--- a/test/coordination/TargetPickerTest.cpp
+++ b/test/coordination/TargetPickerTest.cpp
@@ -38,7 +38,7 @@
 
   ManualClock clock;
   TargetHealth health{ this->clock, 1 };
-  ZoneReachability reach{ this->clock, 1 };
+  ZoneReach reach{ this->clock, 1 };
   TargetPicker picker{ this->health, this->reach, 1 };
   PickQuestion question;
   std::vector<TargetRecord> targets{ Target("a", "z"), Target("b", "z"), Target("c", "z") };
--- /dev/null
+++ b/test/coordination/ZoneReachTest.cpp
@@ -0,0 +1,96 @@
+#include "damasklink/coordination/ZoneReach.h"
+
+#include <gtest/gtest.h>
+
+namespace damasklink {
+namespace {
+
+class ZoneReachTest : public testing::Test
+{
+protected:
+  // Reports aCount different targets of the zone as not reached.
+  void FailTargets(std::size_t aCount)
+  {
+    for (std::size_t index = 0; index < aCount; ++index) {
+      this->reach.OnEnd(this->zone, TargetId(std::to_string(index)), HealthSign::Gone);
+    }
+  }
+
+  bool IsUnreachable() const { return this->reach.IsUnreachable(this->zone); }
+
+  ManualClock clock;
+  ZoneId zone{ "far" };
+  ZoneReach reach{ this->clock, 1 };
+};
+
+TEST_F(ZoneReachTest, ZoneIsUnreachableWhenSeveralTargetsFailTogether)
+{
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  EXPECT_FALSE(this->IsUnreachable());
+  this->FailTargets(ZoneReach::kUnreachableTargets);
+  EXPECT_TRUE(this->IsUnreachable());
+  EXPECT_FALSE(this->reach.IsUnreachable(ZoneId("near")));
+}
+
+TEST_F(ZoneReachTest, RepeatedFailuresOfOneTargetDoNotAffectZone)
+{
+  for (int time = 0; time < 10; ++time) {
+    this->FailTargets(1);
+  }
+  EXPECT_FALSE(this->IsUnreachable());
+}
+
+TEST_F(ZoneReachTest, SuccessfulCallResetsFailures)
+{
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  this->reach.OnEnd(this->zone, TargetId("good"), HealthSign::Good);
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  EXPECT_FALSE(this->IsUnreachable());
+}
+
+TEST_F(ZoneReachTest, ReceivedBytesResetFailures)
+{
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  this->reach.OnBytes(this->zone);
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  EXPECT_FALSE(this->IsUnreachable());
+  this->FailTargets(ZoneReach::kUnreachableTargets);
+  EXPECT_TRUE(this->IsUnreachable());
+  this->reach.OnBytes(this->zone);
+  EXPECT_FALSE(this->IsUnreachable());
+}
+
+TEST_F(ZoneReachTest, FailuresOutsideDetectionWindowDoNotAddUp)
+{
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  this->clock.Advance(ZoneReach::kDetectionWindow * 2);
+  this->reach.OnEnd(this->zone, TargetId("another"), HealthSign::Gone);
+  EXPECT_FALSE(this->IsUnreachable());
+}
+
+TEST_F(ZoneReachTest, ProbesZoneWithOneCallAtATimeAfterRetryDelay)
+{
+  this->FailTargets(ZoneReach::kUnreachableTargets);
+  this->clock.Advance(ZoneReach::kRetryDelay * 2);
+  EXPECT_FALSE(this->IsUnreachable());
+  this->reach.OnStart(this->zone);
+  EXPECT_TRUE(this->IsUnreachable());
+  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Gone);
+  EXPECT_TRUE(this->IsUnreachable());
+  this->clock.Advance(ZoneReach::kRetryDelay * 2);
+  this->reach.OnStart(this->zone);
+  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Good);
+  EXPECT_FALSE(this->IsUnreachable());
+}
+
+TEST_F(ZoneReachTest, InconclusiveProbeAllowsAnother)
+{
+  this->FailTargets(ZoneReach::kUnreachableTargets);
+  this->clock.Advance(ZoneReach::kRetryDelay * 2);
+  this->reach.OnStart(this->zone);
+  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::None);
+  EXPECT_FALSE(this->IsUnreachable());
+}
+
+} // namespace
+} // namespace damasklink
--- a/test/program/ExchangeFixture.h
+++ b/test/program/ExchangeFixture.h
@@ -215,7 +215,7 @@
   FirstConfiguration firstConfiguration{ this->loop };
   RetryShares retries{ RetryAllowance{} };
   TargetHealth health{ this->clock, 1 };
-  ZoneReachability reach{ this->clock, 1 };
+  ZoneReach reach{ this->clock, 1 };
   TargetPicker picker{ this->health, this->reach, 1 };
   TargetChannelPool pool{ this->clock };
   StorePace pace{ 1 };
