--- a/include/damasklink/coordination/HomeRegions.h
+++ b/include/damasklink/coordination/HomeRegions.h
@@ -1,7 +1,6 @@
 // Restricts a call to the regions that its route and its workspace allow.
 //
-//   const HomeRegions homes(
-//     route.allowedRegions, workspace.allowedRegions, settings.regions);
+//   const HomeRegions homes(route.allowedRegions, workspace.allowedRegions, settings.regions);
 //   if (homes.Allows(target.zone)) ...
 //
 // Applies to the targets of the call and to the stores that cache parts of its prompt. Immutable.
--- a/test/coordination/ConfigStateMachineTest.cpp
+++ b/test/coordination/ConfigStateMachineTest.cpp
@@ -154,7 +154,8 @@
   EXPECT_EQ(machine.History(WorkspaceSubtree(WorkspaceId("a")), 10).size(), 1U);
 }
 
-// Any commands, in any order, with a snapshot in the middle: replicas stay the same byte for byte.
+// Random commands, with a snapshot installed in between: both replicas stay identical byte for
+// byte.
 RC_GTEST_PROP(ConfigStateMachineTest, ReplicaRestoredFromSnapshotStaysIdentical, ())
 {
   ConfigStateMachine machine;
