--- a/test/coordination/ColdModelTest.cpp
+++ b/test/coordination/ColdModelTest.cpp
@@ -194,7 +194,7 @@
   void Settle()
   {
     for (Control& control : this->controls) {
-      control.recent.Note(this->Roster(), this->Now());
+      control.recent.Update(this->Roster(), this->Now());
     }
     this->clock.Advance(kGathers);
   }
@@ -351,7 +351,7 @@
       if (!this->IsUp(control)) {
         continue;
       }
-      control.recent.Note(this->RosterOf(index), this->Now());
+      control.recent.Update(this->RosterOf(index), this->Now());
       control.book.ForgetWarm(this->Now());
       const bool gathers = this->Now() - control.startedAt < kGathers;
       const std::vector<TargetLimit> shares =
