--- a/include/damasklink/coordination/CrashLedger.h
+++ b/include/damasklink/coordination/CrashLedger.h
@@ -18,8 +18,8 @@
 #include <set>
 #include <vector>
 
-#include "damasklink/coordination/ServingMachine.h"
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
+#include "damasklink/coordination/ServingStateMachine.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
@@ -47,7 +47,7 @@
 
   void Add(const std::vector<CrashReport>& aReports);
   // Removes the crashes at the service of each run, and marks refused requests for release.
-  void AddSuccessfulRuns(const std::vector<SoundRun>& aRuns);
+  void AddSuccessfulRuns(const std::vector<SuccessfulRun>& aRuns);
   // Sets the requests that the replicated log refuses. Those that are missing now were released and
   // are counted from zero again.
   void SetRefused(const RefusedRequests& aRefused);
--- a/include/damasklink/coordination/CrashWatch.h
+++ b/include/damasklink/coordination/CrashWatch.h
@@ -13,7 +13,7 @@
 #include <set>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
@@ -39,7 +39,7 @@
   // A target crashed while it ran a request.
   void OnCrash(CrashReport aReport);
   // A request ran without a crash. This clears its reports of the same service.
-  void OnSuccessfulRun(const SoundRun& aRun);
+  void OnSuccessfulRun(const SuccessfulRun& aRun);
 
   // Replaces the verdicts of a control host.
   void SetVerdicts(const HostId& aFrom, const CrashingRequests& aVerdicts);
@@ -53,7 +53,7 @@
 
   // Return the reports and successful runs to send to the hub, each once.
   std::vector<CrashReport> TakeReports();
-  std::vector<SoundRun> TakeSuccessfulRuns();
+  std::vector<SuccessfulRun> TakeSuccessfulRuns();
 
 private:
   struct Verdicts
@@ -78,7 +78,7 @@
   std::set<RequestFingerprint> watched;
   // Oldest first.
   std::vector<PendingReport> reports;
-  std::set<SoundRun> successfulRuns;
+  std::set<SuccessfulRun> successfulRuns;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/HomeRegions.h
+++ b/include/damasklink/coordination/HomeRegions.h
@@ -1,9 +1,9 @@
-// The regions that a call may not leave.
+// Restricts a call to the regions that its route and its workspace allow.
 //
-//   const HomeRegions homes(route.homes, workspace.homes, settings.regions);
+//   const HomeRegions homes(route.allowedRegions, workspace.allowedRegions, settings.regions);
 //   if (homes.Allows(target.zone)) ...
 //
-// They bind what the call is sent to and where the cached parts of its prompt are kept. Immutable.
+// Applies to the targets of the call and to the stores that cache parts of its prompt. Immutable.
 #pragma once
 
 #include <set>
@@ -17,26 +17,30 @@
 class HomeRegions
 {
 public:
-  // Binds nothing.
+  // No restriction: allows every zone.
   HomeRegions() = default;
 
-  // A list without regions binds nothing; of two lists, the regions in both are left.
-  HomeRegions(const std::vector<RegionId>& aOfRoute,
-              const std::vector<RegionId>& aOfWorkspace,
+  // An empty list does not restrict; if both lists have regions, only those in both are allowed.
+  // aRegions maps each zone to its region.
+  HomeRegions(const std::vector<RegionId>& aRouteRegions,
+              const std::vector<RegionId>& aWorkspaceRegions,
               const ZoneRegions& aRegions);
 
-  bool Binds() const { return this->binds; }
+  bool IsRestricted() const { return this->restricted; }
 
-  // Returns whether no availability zone is left.
-  bool AllowsNothing() const { return this->binds && this->zones.empty(); }
+  // Returns true if no availability zone is allowed.
+  bool AllowsNoZone() const { return this->restricted && this->zones.empty(); }
 
-  bool Allows(const ZoneId& aZone) const { return !this->binds || this->zones.contains(aZone); }
+  bool Allows(const ZoneId& aZone) const
+  {
+    return !this->restricted || this->zones.contains(aZone);
+  }
 
-  // Returns the regions as one text, the same for the same regions; empty where nothing binds.
+  // Returns the allowed regions as a canonical comma-separated text; empty without a homes.
   const std::string& Text() const { return this->text; }
 
 private:
-  bool binds = false;
+  bool restricted = false;
   std::set<ZoneId> zones;
   std::string text;
 };
--- a/include/damasklink/coordination/SendsHub.h
+++ b/include/damasklink/coordination/SendsHub.h
@@ -5,8 +5,8 @@
 //   SendsHub aggregator;
 //   aggregator.Update(report, clock.MonotonicNow());      // From an entry host.
 //   aggregator.UpdatePeerSum(sum, clock.MonotonicNow());  // From another control host.
-//   SendsNews sum = aggregator.TakeChanges(ownHost);      // For the other control hosts.
-//   SendsNews total = aggregator.TakeTotals(ownHost);     // For its own entry hosts.
+//   LoadReport sum = aggregator.TakeChanges(ownHost);      // For the other control hosts.
+//   LoadReport total = aggregator.TakeTotals(ownHost);     // For its own entry hosts.
 //
 // TakeTotals() is called after TakeChanges().
 //
@@ -28,10 +28,10 @@
 public:
   // Processes the report of an entry host, which becomes one of Publishers(). A report with `last`
   // set removes the host.
-  void Update(const SendsNews& aReport, MonotonicTime aNow);
+  void Update(const LoadReport& aReport, MonotonicTime aNow);
 
   // Processes the sums of another control host.
-  void UpdatePeerSum(const SendsNews& aReport, MonotonicTime aNow);
+  void UpdatePeerSum(const LoadReport& aReport, MonotonicTime aNow);
 
   // Removes an entry host that has disconnected or reports to another control host.
   void Remove(const HostId& aHost);
@@ -44,27 +44,27 @@
 
   // Returns the sums over this host's entry hosts that have changed since the last call, with the
   // parts that were sent since. The sender is aSelf.
-  SendsNews TakeChanges(const HostId& aSelf);
+  LoadReport TakeChanges(const HostId& aSelf);
 
   // Returns the totals over all entry hosts that have changed since the last call, with the parts
   // that were sent since. The sender is aSelf.
-  SendsNews TakeTotals(const HostId& aSelf);
+  LoadReport TakeTotals(const HostId& aSelf);
 
   // Returns all totals, for an entry host that has just started to report to this host.
-  SendsNews AllTotals(const HostId& aSelf) const;
+  LoadReport AllTotals(const HostId& aSelf) const;
 
 private:
   // Changes that were received and not sent yet.
   struct PendingUpdate
   {
-    void Add(const SendsNews& aReport);
+    void Add(const LoadReport& aReport);
     // Moves the excesses and findings into aTo.
-    void MoveExcessesAndFindings(SendsNews& aTo);
+    void MoveExcessesAndFindings(LoadReport& aTo);
 
     // Targets whose load has changed, with the parts that were sent there since.
     std::map<TargetId, std::vector<SizedPart>> sends;
-    std::map<std::string, StoreExcess> excesses;
-    std::map<TargetId, TargetFindings> findings;
+    std::map<std::string, StoreFetchDelay> excesses;
+    std::map<TargetId, TargetReachabilityReport> findings;
   };
 
   LoadCounts TotalOf(const TargetId& aTarget) const;
--- a/include/damasklink/coordination/SendsSum.h
+++ b/include/damasklink/coordination/SendsSum.h
@@ -15,7 +15,7 @@
 
 #include <absl/container/flat_hash_map.h>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
@@ -45,7 +45,7 @@
 
   // Sets the load of a host at the targets of the report. It counts until the host reports another
   // value or is removed.
-  void Update(const SendsNews& aReport, MonotonicTime aNow);
+  void Update(const LoadReport& aReport, MonotonicTime aNow);
 
   // Removes the load of a host. Returns the targets at which it had any.
   std::vector<TargetId> Remove(const HostId& aHost);
@@ -74,7 +74,7 @@
 };
 
 // Makes the entry of a load report for a target, with the parts of prompts that were sent there.
-TargetSendsNow
+InFlightLoad
 ToInFlightLoad(const TargetId& aTarget, const LoadCounts& aLoad, std::vector<SizedPart> aParts);
 
 } // namespace damasklink
--- a/include/damasklink/coordination/StoreContentTracker.h
+++ b/include/damasklink/coordination/StoreContentTracker.h
@@ -14,7 +14,7 @@
 #include <optional>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/state/Clock.h"
 
 namespace damasklink {
@@ -96,10 +96,10 @@
   void MarkUnreachable();
 
   // Returns the changes since the last call, or nothing if there are none.
-  std::optional<StoreStatement> TakeChanges();
+  std::optional<StoreUpdate> TakeChanges();
 
   // Returns the complete content.
-  StoreStatement Snapshot() const;
+  StoreUpdate Snapshot() const;
 
   // Returns at most aMax parts that were computed with older weights than the given ones, by model.
   std::vector<PartName> PartsOfOlderWeights(const std::map<ModelName, std::uint64_t>& aWeights,
@@ -128,7 +128,7 @@
   // Incomplete parts of the last list, and since when they have not grown.
   std::map<PartKey, Unfinished> unfinished;
   // What the next TakeChanges() returns.
-  StoreStatement changes;
+  StoreUpdate changes;
   bool changed = false;
 };
 
--- a/include/damasklink/coordination/StorePace.h
+++ b/include/damasklink/coordination/StorePace.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 
 namespace damasklink {
 
@@ -46,10 +46,10 @@
 
   // Returns the observations since the last call, for the other hosts. A single one of many hosts
   // uses a store less than once a second, too rarely to detect that it has become slow.
-  std::vector<StoreExcess> TakeObservations();
+  std::vector<StoreFetchDelay> TakeObservations();
 
   // Adds observations of other hosts.
-  void Merge(const std::vector<StoreExcess>& aObservations);
+  void Merge(const std::vector<StoreFetchDelay>& aObservations);
 
   // Returns whether the store is too slow for parts that take aPrefillTime milliseconds to prefill.
   bool IsSlow(const std::string& aStore, double aPrefillTime = 0) const;
@@ -69,7 +69,7 @@
   void Add(const std::string& aStore, std::uint64_t aCount, double aTotal);
 
   std::minstd_rand random;
-  std::map<std::string, StoreExcess> unreported;
+  std::map<std::string, StoreFetchDelay> unreported;
   std::map<std::string, Average> averages;
 };
 
--- a/include/damasklink/coordination/StoredParts.h
+++ b/include/damasklink/coordination/StoredParts.h
@@ -17,7 +17,7 @@
 #include <absl/container/flat_hash_map.h>
 
 #include "damasklink/coordination/ServingConfig.h"
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 
 namespace damasklink {
 
@@ -26,7 +26,7 @@
 {
   // Address and port.
   std::string name;
-  PromptStoreTraits traits;
+  PromptStoreSpec traits;
   // Whether the control host can reach the store.
   bool live = false;
   std::uint64_t storedTokens = 0;
@@ -45,7 +45,7 @@
   void SetStores(const std::vector<ServingService>& aServices);
 
   // Applies an update from the control host. Ignores stores that are not in the configuration.
-  void Apply(const StoreStatement& aUpdate);
+  void Apply(const StoreUpdate& aUpdate);
 
   // Returns the names of all stores.
   std::vector<std::string> StoreNames() const;
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -23,7 +23,7 @@
 #include "damasklink/coordination/EngineCacheModel.h"
 #include "damasklink/coordination/EnginePace.h"
 #include "damasklink/coordination/SendsSum.h"
-#include "damasklink/coordination/ServingPicture.h"
+#include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/coordination/Target.h"
 #include "damasklink/coordination/TargetHealth.h"
 #include "damasklink/coordination/ZoneReach.h"
@@ -162,14 +162,14 @@
 
   // Returns what this host has at the targets where that has changed since the last call, and the
   // parts that it sent there; for the control host that adds it up.
-  std::vector<TargetSendsNow> TakeSends();
+  std::vector<InFlightLoad> TakeSends();
 
   // The next TakeSends() returns all that this host has: it is for another control host.
   void TellAllAnew();
 
   // Takes the totals that a control host made of what entry hosts have, this one among them. They
   // count until the control host tells otherwise or is forgotten.
-  void TakeSum(const SendsNews& aNews, MonotonicTime aNow);
+  void TakeSum(const LoadReport& aNews, MonotonicTime aNow);
 
   // Forgets control hosts that have told nothing since a time.
   void ForgetSumsBefore(MonotonicTime aTime) { this->told.RemoveSilentSince(aTime); }
--- a/src/coordination/CallerIndex.cpp
+++ b/src/coordination/CallerIndex.cpp
@@ -18,21 +18,21 @@
 } // namespace
 
 void
-CallerIndex::OnInstalled(const RevisionedTree& aTree,
-                         const TreeChange& aChange,
-                         const Subtree& aBefore)
+CallerIndex::OnSubtreeChanged(const RevisionedTree& aTree,
+                              const TreeChange& aChange,
+                              const Subtree& aBefore)
 {
   const SubtreeName& name = aChange.subtree.name;
   if (name.kind == SubtreeKind::Defaults) {
-    this->OnReplaced(aTree);
+    this->OnTreeReplaced(aTree);
     return;
   }
   if (name.kind != SubtreeKind::Workspace) {
     return;
   }
-  std::vector<DigestBytes> gone;
+  std::vector<DigestBytes> removedKeys;
   if (const WorkspaceNode* before = WorkspaceOf(aBefore)) {
-    gone = KeysOf(*before);
+    removedKeys = KeysOf(*before);
   }
   std::vector<CallerEntry> added;
   std::optional<ServiceLevel> level;
@@ -40,12 +40,12 @@
     level = ServiceLevelOf(aTree.Defaults(), *after);
     added = CallerEntriesOf(this->resolver, name.workspace, *after);
   }
-  this->directory = this->directory.Replace(gone, std::move(added));
+  this->directory = this->directory.Replace(removedKeys, std::move(added));
   this->directory.SetServiceLevel(name.workspace, level);
 }
 
 void
-CallerIndex::OnReplaced(const RevisionedTree& aTree)
+CallerIndex::OnTreeReplaced(const RevisionedTree& aTree)
 {
   this->resolver = PolicyResolver(aTree.Defaults());
   std::vector<CallerEntry> all;
--- a/src/coordination/ConfigMachine.cpp
+++ b/src/coordination/ConfigStateMachine.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ConfigMachine.h"
+#include "damasklink/coordination/ConfigStateMachine.h"
 
 #include <set>
 
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t kSnapshotVersion = 1;
 
-// Returns what the first one is, empty when there is none.
+// Returns the path and the problem of the first widening, or an empty text.
 std::string
 DescribeFirst(const std::vector<Widening>& aWidenings)
 {
@@ -35,14 +35,15 @@
       }
     }
     if (deployment.targets.empty() || deployment.keepServing >= deployment.targets.size()) {
-      return Concat("deployment '", name.Value(), "' leaves no engine that may load");
+      return Concat("deployment '", name.Value(), "' leaves no engine free to load new weights");
     }
   }
   return "";
 }
 
-// What a change asks for, without its id and author: the same change sent again has the same.
-ChangeAnswers::Fingerprint
+// Covers the base version and the content, but neither id nor author, so that a resent change has
+// the same fingerprint.
+ChangeAnswerCache::Fingerprint
 FingerprintOfChange(const ConfigChange& aChange)
 {
   CompactWriter writer;
@@ -54,13 +55,13 @@
 
 } // namespace
 
-ConfigMachine::ConfigMachine(ConfigListener* aListener)
+ConfigStateMachine::ConfigStateMachine(CommittedTreeObserver* aListener)
   : listener(aListener)
 {
 }
 
 std::string
-ConfigMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
+ConfigStateMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
 {
   CompactReader reader(aCommand);
   const std::uint64_t command = reader.Number();
@@ -81,11 +82,11 @@
     }
   }
   return PackChangeAnswer(
-    ChangeAnswer{ ChangeVerdict::Refused, Revision(), "the change cannot be read" });
+    ChangeAnswer{ ChangeVerdict::Refused, Revision(), "cannot decode the change" });
 }
 
 std::string
-ConfigMachine::AnswerHistory(CompactReader& aQuery) const
+ConfigStateMachine::AnswerHistory(CompactReader& aQuery) const
 {
   const std::size_t most = aQuery.Number();
   std::optional<SubtreeName> name;
@@ -96,9 +97,9 @@
 }
 
 ChangeAnswer
-ConfigMachine::ApplyChange(const ApplyContext& aContext, const ConfigChange& aChange)
+ConfigStateMachine::ApplyChange(const ApplyContext& aContext, const ConfigChange& aChange)
 {
-  const ChangeAnswers::Fingerprint content = FingerprintOfChange(aChange);
+  const ChangeAnswerCache::Fingerprint content = FingerprintOfChange(aChange);
   if (auto kept = this->answers.Find(aChange.id, content)) {
     return *kept;
   }
@@ -110,7 +111,7 @@
     answer.problem = Concat(FormatSubtreeName(aChange.subtree.name),
                             " is at version ",
                             inForce.Value(),
-                            ", the change was made from version ",
+                            ", but the change is based on version ",
                             aChange.base.Value());
   } else if (std::string problem = this->FindProblem(aChange); !problem.empty()) {
     answer.verdict = ChangeVerdict::Refused;
@@ -125,20 +126,20 @@
 }
 
 ChangeAnswer
-ConfigMachine::ApplySeed(const ApplyContext& aContext,
-                         const ChangeId& aId,
-                         const std::string& aAuthor,
-                         RevisionedTree aTree)
+ConfigStateMachine::ApplySeed(const ApplyContext& aContext,
+                              const ChangeId& aId,
+                              const std::string& aAuthor,
+                              RevisionedTree aTree)
 {
   if (this->tree.Current() != Revision()) {
     return ChangeAnswer{ ChangeVerdict::Conflict,
                          this->tree.Current(),
-                         Concat("a tree exists already, at revision ",
+                         Concat("the tree is not empty, it is at revision ",
                                 this->tree.Current().Value()) };
   }
   this->tree = std::move(aTree);
   for (const SubtreeName& name : this->tree.Names()) {
-    this->HoldKeys(name, WorkspaceOf(this->tree.Get(name)));
+    this->RegisterKeys(name, WorkspaceOf(this->tree.Get(name)));
     this->Remember(
       HistoryEntry{ this->tree.VersionOf(name), aContext.proposedAt, aId, aAuthor, name, false });
   }
@@ -149,7 +150,7 @@
 }
 
 std::string
-ConfigMachine::FindProblem(const ConfigChange& aChange) const
+ConfigStateMachine::FindProblem(const ConfigChange& aChange) const
 {
   const SubtreeName& name = aChange.subtree.name;
   if (aChange.subtree.content == nullptr) {
@@ -165,26 +166,26 @@
   }
   const auto* workspace = std::get_if<WorkspaceNode>(&content);
   if (name.kind != SubtreeKind::Workspace || workspace == nullptr || name.workspace.Empty()) {
-    return Concat(FormatSubtreeName(name), " holds content of another kind");
+    return Concat(FormatSubtreeName(name), " has content of another kind");
   }
   std::string widening = DescribeFirst(FindWidening(this->tree.Defaults(), *workspace));
   return widening.empty() ? this->FindKeyProblem(name.workspace, *workspace) : widening;
 }
 
 std::string
-ConfigMachine::FindKeyProblem(const WorkspaceId& aId, const WorkspaceNode& aWorkspace) const
+ConfigStateMachine::FindKeyProblem(const WorkspaceId& aId, const WorkspaceNode& aWorkspace) const
 {
   std::set<DigestBytes> own;
   for (const auto& [teamId, team] : aWorkspace.teams) {
     for (const Digest& key : team.keys) {
       if (!IsDigest(key)) {
-        return Concat("teams.", teamId.Value(), ".keys holds an entry that is not a digest");
+        return Concat("teams.", teamId.Value(), ".keys contains an entry that is not a digest");
       }
       const DigestBytes packed = PackDigest(key);
       const auto holder = this->keyHolders.find(packed);
       const bool heldElsewhere = holder != this->keyHolders.end() && holder->second != aId;
       if (heldElsewhere || !own.insert(packed).second) {
-        return Concat("teams.", teamId.Value(), ".keys holds a key that another team has");
+        return Concat("teams.", teamId.Value(), ".keys contains a key that another team holds");
       }
     }
   }
@@ -192,15 +193,15 @@
 }
 
 void
-ConfigMachine::Install(const ApplyContext& aContext, const ConfigChange& aChange)
+ConfigStateMachine::Install(const ApplyContext& aContext, const ConfigChange& aChange)
 {
   const SubtreeName& name = aChange.subtree.name;
-  // The subtree keeps the old content alive while its keys are released.
+  // Shares ownership of the old content while its keys are unregistered.
   const Subtree before = this->tree.Get(name);
-  this->ReleaseKeys(WorkspaceOf(before));
+  this->UnregisterKeys(WorkspaceOf(before));
   const TreeChange accepted{ this->tree.Current().Next(), aChange.subtree };
   this->tree.Apply(accepted);
-  this->HoldKeys(name, WorkspaceOf(aChange.subtree));
+  this->RegisterKeys(name, WorkspaceOf(aChange.subtree));
   this->Remember(HistoryEntry{ accepted.revision,
                                aContext.proposedAt,
                                aChange.id,
@@ -213,7 +214,7 @@
 }
 
 void
-ConfigMachine::Remember(HistoryEntry aEntry)
+ConfigStateMachine::Remember(HistoryEntry aEntry)
 {
   this->history.push_back(std::move(aEntry));
   if (this->history.size() > kKeptHistory) {
@@ -222,7 +223,7 @@
 }
 
 void
-ConfigMachine::HoldKeys(const SubtreeName& aName, const WorkspaceNode* aWorkspace)
+ConfigStateMachine::RegisterKeys(const SubtreeName& aName, const WorkspaceNode* aWorkspace)
 {
   if (aWorkspace == nullptr) {
     return;
@@ -235,7 +236,7 @@
 }
 
 void
-ConfigMachine::ReleaseKeys(const WorkspaceNode* aWorkspace)
+ConfigStateMachine::UnregisterKeys(const WorkspaceNode* aWorkspace)
 {
   if (aWorkspace == nullptr) {
     return;
@@ -248,7 +249,7 @@
 }
 
 std::string
-ConfigMachine::Save() const
+ConfigStateMachine::Save() const
 {
   CompactWriter writer;
   writer.Number(kSnapshotVersion);
@@ -262,24 +263,24 @@
 }
 
 Result<void>
-ConfigMachine::Load(std::string_view aSnapshot)
+ConfigStateMachine::Load(std::string_view aSnapshot)
 {
   CompactReader reader(aSnapshot);
   const std::uint64_t version = reader.Number();
-  ConfigMachine loaded;
+  ConfigStateMachine loaded;
   loaded.tree = RevisionedTree::Unpack(reader);
   const std::size_t entries = reader.Count();
   for (std::size_t index = 0; index < entries && !reader.Bad(); ++index) {
     loaded.history.push_back(internal::UnpackHistoryEntry(reader));
   }
-  loaded.answers = ChangeAnswers::Unpack(reader);
+  loaded.answers = ChangeAnswerCache::Unpack(reader);
   if (version != kSnapshotVersion || !reader.AtCleanEnd()) {
     return Fail(ErrorKind::Corrupt,
-                Concat("a snapshot of the configuration, version ", version, ", cannot be read"),
-                "run the program version that wrote it, or repair this host from the group");
+                Concat("the configuration snapshot of format version ", version, " cannot be read"),
+                "run the program version that wrote it, or restore this host from its group");
   }
   for (const SubtreeName& name : loaded.tree.Names()) {
-    loaded.HoldKeys(name, WorkspaceOf(loaded.tree.Get(name)));
+    loaded.RegisterKeys(name, WorkspaceOf(loaded.tree.Get(name)));
   }
   loaded.listener = this->listener;
   *this = std::move(loaded);
@@ -290,7 +291,7 @@
 }
 
 std::vector<HistoryEntry>
-ConfigMachine::History(const std::optional<SubtreeName>& aName, std::size_t aMost) const
+ConfigStateMachine::History(const std::optional<SubtreeName>& aName, std::size_t aMost) const
 {
   std::vector<HistoryEntry> found;
   for (auto entry = this->history.rbegin(); entry != this->history.rend(); ++entry) {
--- a/src/coordination/CrashLedger.cpp
+++ b/src/coordination/CrashLedger.cpp
@@ -36,9 +36,9 @@
 }
 
 void
-CrashLedger::AddSuccessfulRuns(const std::vector<SoundRun>& aRuns)
+CrashLedger::AddSuccessfulRuns(const std::vector<SuccessfulRun>& aRuns)
 {
-  for (const SoundRun& run : aRuns) {
+  for (const SuccessfulRun& run : aRuns) {
     const auto found = this->entries.find(run.request);
     if (found != this->entries.end()) {
       std::erase_if(found->second.crashed,
--- a/src/coordination/CrashWatch.cpp
+++ b/src/coordination/CrashWatch.cpp
@@ -15,7 +15,7 @@
 }
 
 void
-CrashWatch::OnSuccessfulRun(const SoundRun& aRun)
+CrashWatch::OnSuccessfulRun(const SuccessfulRun& aRun)
 {
   const auto isSameRequest = [&](const PendingReport& aPending) {
     return aPending.report.request == aRun.request && aPending.report.service == aRun.service;
@@ -90,11 +90,11 @@
   return unsent;
 }
 
-std::vector<SoundRun>
+std::vector<SuccessfulRun>
 CrashWatch::TakeSuccessfulRuns()
 {
-  const std::set<SoundRun> taken = std::exchange(this->successfulRuns, {});
-  return std::vector<SoundRun>(taken.begin(), taken.end());
+  const std::set<SuccessfulRun> taken = std::exchange(this->successfulRuns, {});
+  return std::vector<SuccessfulRun>(taken.begin(), taken.end());
 }
 
 } // namespace damasklink
--- a/src/coordination/SendsHub.cpp
+++ b/src/coordination/SendsHub.cpp
@@ -5,20 +5,20 @@
 namespace damasklink {
 
 void
-SendsHub::PendingUpdate::Add(const SendsNews& aReport)
+SendsHub::PendingUpdate::Add(const LoadReport& aReport)
 {
-  for (const TargetSendsNow& entry : aReport.sends) {
+  for (const InFlightLoad& entry : aReport.sends) {
     std::vector<SizedPart>& parts = this->sends[entry.target];
     parts.insert(parts.end(), entry.parts.begin(), entry.parts.end());
   }
-  for (const StoreExcess& entry : aReport.excesses) {
-    StoreExcess& excess = this->excesses[entry.store];
+  for (const StoreFetchDelay& entry : aReport.excesses) {
+    StoreFetchDelay& excess = this->excesses[entry.store];
     excess.store = entry.store;
     excess.count += entry.count;
     excess.total += entry.total;
   }
-  for (const TargetFindings& entry : aReport.findings) {
-    TargetFindings& finding = this->findings[entry.target];
+  for (const TargetReachabilityReport& entry : aReport.findings) {
+    TargetReachabilityReport& finding = this->findings[entry.target];
     finding.target = entry.target;
     finding.gone += entry.gone;
     finding.back += entry.back;
@@ -26,7 +26,7 @@
 }
 
 void
-SendsHub::PendingUpdate::MoveExcessesAndFindings(SendsNews& aTo)
+SendsHub::PendingUpdate::MoveExcessesAndFindings(LoadReport& aTo)
 {
   for (auto& [store, excess] : std::exchange(this->excesses, {})) {
     aTo.excesses.push_back(std::move(excess));
@@ -37,7 +37,7 @@
 }
 
 void
-SendsHub::Update(const SendsNews& aReport, MonotonicTime aNow)
+SendsHub::Update(const LoadReport& aReport, MonotonicTime aNow)
 {
   if (aReport.last) {
     this->Remove(aReport.host);
@@ -50,7 +50,7 @@
 }
 
 void
-SendsHub::UpdatePeerSum(const SendsNews& aReport, MonotonicTime aNow)
+SendsHub::UpdatePeerSum(const LoadReport& aReport, MonotonicTime aNow)
 {
   this->peerSums.Update(aReport, aNow);
   this->totals.Add(aReport);
@@ -95,10 +95,10 @@
 
 // Moves the pending changes into a report from aSelf; aLoadOf returns the current load of a target.
 template<typename PendingUpdate, typename LoadOf>
-SendsNews
+LoadReport
 DrainPending(PendingUpdate& aPending, const HostId& aSelf, LoadOf aLoadOf)
 {
-  SendsNews report;
+  LoadReport report;
   report.host = aSelf;
   for (auto& [target, parts] : std::exchange(aPending.sends, {})) {
     report.sends.push_back(ToInFlightLoad(target, aLoadOf(target), std::move(parts)));
@@ -109,27 +109,27 @@
 
 } // namespace
 
-SendsNews
+LoadReport
 SendsHub::TakeChanges(const HostId& aSelf)
 {
   return DrainPending(
     this->changes, aSelf, [this](const TargetId& aTarget) { return this->sum.Of(aTarget); });
 }
 
-SendsNews
+LoadReport
 SendsHub::TakeTotals(const HostId& aSelf)
 {
   return DrainPending(
     this->totals, aSelf, [this](const TargetId& aTarget) { return this->TotalOf(aTarget); });
 }
 
-SendsNews
+LoadReport
 SendsHub::AllTotals(const HostId& aSelf) const
 {
   std::set<TargetId> targets;
   this->sum.AddTargets(targets);
   this->peerSums.AddTargets(targets);
-  SendsNews report;
+  LoadReport report;
   report.host = aSelf;
   for (const TargetId& target : targets) {
     report.sends.push_back(ToInFlightLoad(target, this->TotalOf(target), {}));
--- a/src/coordination/SendsSum.cpp
+++ b/src/coordination/SendsSum.cpp
@@ -24,11 +24,11 @@
 }
 
 void
-SendsSum::Update(const SendsNews& aReport, MonotonicTime aNow)
+SendsSum::Update(const LoadReport& aReport, MonotonicTime aNow)
 {
   Host& host = this->hosts[aReport.host];
   host.reportedAt = aNow;
-  for (const TargetSendsNow& sends : aReport.sends) {
+  for (const InFlightLoad& sends : aReport.sends) {
     const LoadCounts now{ sends.requests, sends.unread.Value(), sends.memory.Value() };
     LoadCounts& load = host.loads[sends.target];
     LoadCounts& sum = this->sums[sends.target];
@@ -104,10 +104,10 @@
   return found == this->sums.end() ? LoadCounts() : found->second;
 }
 
-TargetSendsNow
+InFlightLoad
 ToInFlightLoad(const TargetId& aTarget, const LoadCounts& aLoad, std::vector<SizedPart> aParts)
 {
-  TargetSendsNow sends;
+  InFlightLoad sends;
   sends.target = aTarget;
   sends.requests = aLoad.requests;
   sends.unread = TokenCount(aLoad.unread);
--- a/src/coordination/ServingMachine.cpp
+++ b/src/coordination/ServingStateMachine.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ServingMachine.h"
+#include "damasklink/coordination/ServingStateMachine.h"
 
 #include <algorithm>
 #include <optional>
@@ -8,12 +8,12 @@
 namespace damasklink {
 namespace {
 
-// These numbers stand in log files: never reuse one.
+// Stored in log files; numbers must not be reused.
 enum class CommandTag : std::uint8_t
 {
   PutDocument = 1,
-  NameWeights = 2,
-  ReadMarker = 3,
+  SetWeightVersion = 2,
+  ReadBarrier = 3,
   RefuseRequest = 4,
   ReleaseRequest = 5,
   SetEvacuation = 6,
@@ -26,7 +26,8 @@
     ErrorKind::Corrupt, std::move(aWhat), "run the same program version on all control hosts");
 }
 
-// What became of a command. These numbers travel between hosts; any but the first is understood.
+// The outcome of a command. Sent between hosts; all values but NotUnderstood mean that the command
+// could be decoded.
 enum class Outcome : std::uint8_t
 {
   NotUnderstood = 0,
@@ -84,13 +85,13 @@
       command = PutDocument{ version, reader.Text() };
       break;
     }
-    case CommandTag::NameWeights: {
+    case CommandTag::SetWeightVersion: {
       const ModelName model(reader.Text());
-      command = NameWeights{ model, reader.Number() };
+      command = SetWeightVersion{ model, reader.Number() };
       break;
     }
-    case CommandTag::ReadMarker:
-      command = ReadMarker{};
+    case CommandTag::ReadBarrier:
+      command = ReadBarrier{};
       break;
     case CommandTag::RefuseRequest: {
       const RequestFingerprint request(reader.Number());
@@ -120,16 +121,16 @@
     this->writer.Text(aCommand.document);
   }
 
-  void operator()(const NameWeights& aCommand)
+  void operator()(const SetWeightVersion& aCommand)
   {
-    this->writer.Byte(static_cast<std::uint8_t>(CommandTag::NameWeights));
+    this->writer.Byte(static_cast<std::uint8_t>(CommandTag::SetWeightVersion));
     this->writer.Text(aCommand.model.Value());
     this->writer.Number(aCommand.version);
   }
 
-  void operator()(const ReadMarker& /*aCommand*/)
+  void operator()(const ReadBarrier& /*aCommand*/)
   {
-    this->writer.Byte(static_cast<std::uint8_t>(CommandTag::ReadMarker));
+    this->writer.Byte(static_cast<std::uint8_t>(CommandTag::ReadBarrier));
   }
 
   void operator()(const RefuseRequest& aCommand)
@@ -156,7 +157,7 @@
 };
 
 std::string
-EncodeStanding(Revision aVersion, Outcome aOutcome)
+EncodeResult(Revision aVersion, Outcome aOutcome)
 {
   ByteWriter writer;
   writer.Number(aVersion.Value());
@@ -174,27 +175,27 @@
   return writer.Take();
 }
 
-Result<ServingStanding>
-DecodeServingStanding(std::string_view aAnswer)
+Result<ServingCommandResult>
+DecodeServingCommandResult(std::string_view aAnswer)
 {
   ByteReader reader(aAnswer);
-  ServingStanding standing;
-  standing.version = Revision(reader.Number());
+  ServingCommandResult result;
+  result.version = Revision(reader.Number());
   const auto outcome = static_cast<Outcome>(reader.Byte());
-  standing.understood = outcome != Outcome::NotUnderstood;
-  standing.superseded = outcome == Outcome::Superseded;
+  result.understood = outcome != Outcome::NotUnderstood;
+  result.superseded = outcome == Outcome::Superseded;
   if (!reader.Finished()) {
-    return Unreadable("the answer to a serving command cannot be read");
+    return Unreadable("cannot decode the answer to a serving command");
   }
-  return standing;
+  return result;
 }
 
 std::string
-ServingMachine::Apply(const ApplyContext& /*aContext*/, std::string_view aCommand)
+ServingStateMachine::Apply(const ApplyContext& /*aContext*/, std::string_view aCommand)
 {
   std::optional<ServingCommand> command = DecodeCommand(aCommand);
   if (!command) {
-    return EncodeStanding(this->version, Outcome::NotUnderstood);
+    return EncodeResult(this->version, Outcome::NotUnderstood);
   }
   if (auto* put = std::get_if<PutDocument>(&*command); put != nullptr) {
     if (put->version > this->version) {
@@ -202,7 +203,7 @@
       this->document = std::move(put->document);
       ++this->changes;
     }
-  } else if (const auto* named = std::get_if<NameWeights>(&*command); named != nullptr) {
+  } else if (const auto* named = std::get_if<SetWeightVersion>(&*command); named != nullptr) {
     std::uint64_t& held = this->weights[named->model];
     if (named->version > held) {
       held = named->version;
@@ -215,15 +216,15 @@
   } else if (const auto* order = std::get_if<SetEvacuation>(&*command); order != nullptr) {
     const EvacuationResult result = this->evacuations.Apply(*order);
     if (result == EvacuationResult::Superseded) {
-      return EncodeStanding(this->version, Outcome::Superseded);
+      return EncodeResult(this->version, Outcome::Superseded);
     }
     this->changes += result == EvacuationResult::Applied ? 1 : 0;
   }
-  return EncodeStanding(this->version, Outcome::Applied);
+  return EncodeResult(this->version, Outcome::Applied);
 }
 
 void
-ServingMachine::Refuse(const RefuseRequest& aCommand)
+ServingStateMachine::Refuse(const RefuseRequest& aCommand)
 {
   if (!this->refused.try_emplace(aCommand.request, aCommand.facts).second) {
     return;
@@ -239,7 +240,7 @@
 }
 
 std::string
-ServingMachine::Save() const
+ServingStateMachine::Save() const
 {
   ByteWriter writer;
   writer.Number(this->version.Value());
@@ -250,7 +251,7 @@
     writer.Number(named);
   }
   const std::map<ZoneId, ZoneEvacuation>& zones = this->evacuations.All();
-  // Snapshots of programs that knew no refused requests end here.
+  // Snapshots written by program versions without refused requests end here.
   if (!this->refused.empty() || !zones.empty()) {
     writer.Number(this->refused.size());
     for (const auto& [request, facts] : this->refused) {
@@ -258,7 +259,7 @@
       WriteFacts(writer, facts);
     }
   }
-  // Snapshots of programs that knew no evacuations end here.
+  // Snapshots written by program versions without evacuations end here.
   if (!zones.empty()) {
     writer.Number(zones.size());
     for (const auto& [zone, state] : zones) {
@@ -272,7 +273,7 @@
 }
 
 Result<void>
-ServingMachine::Load(std::string_view aSnapshot)
+ServingStateMachine::Load(std::string_view aSnapshot)
 {
   ByteReader reader(aSnapshot);
   const Revision loadedVersion(reader.Number());
@@ -298,7 +299,7 @@
     state.since = ReadTime(reader);
   }
   if (!reader.Finished()) {
-    return Unreadable("the serving part of a snapshot cannot be read");
+    return Unreadable("cannot decode the serving state of a snapshot");
   }
   this->version = loadedVersion;
   this->document = std::move(loadedDocument);
--- a/src/coordination/StartupWait.cpp
+++ b/src/coordination/StartupWait.cpp
@@ -11,7 +11,7 @@
     return Duration::zero();
   }
   const auto share = std::chrono::duration_cast<Duration>(aPatience * kShareOfPatience);
-  const Duration longest = std::clamp(share, Duration::zero(), kLongest);
+  const Duration longest = std::clamp(share, Duration::zero(), kLongestWait);
   if (longest > Duration::zero()) {
     ++this->calls;
     this->bytes += aBytes;
--- a/src/coordination/StorePace.cpp
+++ b/src/coordination/StorePace.cpp
@@ -11,7 +11,7 @@
 StorePace::Observe(const std::string& aStore, double aDelay)
 {
   const double delay = std::max(aDelay, 0.0);
-  StoreExcess& observed = this->unreported[aStore];
+  StoreFetchDelay& observed = this->unreported[aStore];
   observed.store = aStore;
   ++observed.count;
   observed.total += delay;
@@ -30,10 +30,10 @@
   average.observations = std::min(average.observations + aCount, kMinObservationsPerStore);
 }
 
-std::vector<StoreExcess>
+std::vector<StoreFetchDelay>
 StorePace::TakeObservations()
 {
-  std::vector<StoreExcess> taken;
+  std::vector<StoreFetchDelay> taken;
   for (auto& [store, observed] : std::exchange(this->unreported, {})) {
     taken.push_back(std::move(observed));
   }
@@ -41,9 +41,9 @@
 }
 
 void
-StorePace::Merge(const std::vector<StoreExcess>& aObservations)
+StorePace::Merge(const std::vector<StoreFetchDelay>& aObservations)
 {
-  for (const StoreExcess& observed : aObservations) {
+  for (const StoreFetchDelay& observed : aObservations) {
     if (observed.count > 0) {
       this->Add(observed.store, observed.count, observed.total);
     }
--- a/src/coordination/StoredParts.cpp
+++ b/src/coordination/StoredParts.cpp
@@ -69,7 +69,7 @@
 }
 
 void
-StoredParts::Apply(const StoreStatement& aUpdate)
+StoredParts::Apply(const StoreUpdate& aUpdate)
 {
   const auto found = this->stores.find(FormatEndpoint(aUpdate.store));
   if (found == this->stores.end()) {
--- a/src/program/ConfigurationFeed.h
+++ b/src/program/ConfigurationFeed.h
@@ -28,10 +28,10 @@
                     std::function<void()> aInForce);
 
   // A control host told a picture.
-  void OnPicture(const HostId& aFrom, const Picture& aPicture);
+  void OnPicture(const HostId& aFrom, const ServingUpdate& aPicture);
 
   // A control host answered.
-  void OnPiece(const HostId& aFrom, const DocumentPiece& aPiece);
+  void OnPiece(const HostId& aFrom, const DocumentChunk& aPiece);
 
   void OnLost(const HostId& aHost);
 
--- a/test/coordination/ColdModelTest.cpp
+++ b/test/coordination/ColdModelTest.cpp
@@ -198,7 +198,7 @@
   void AnnounceHosts()
   {
     for (Control& control : this->controls) {
-      control.recentHosts.Note(this->EntryHostsUp(), this->Now());
+      control.recentHosts.Update(this->EntryHostsUp(), this->Now());
     }
     this->clock.Advance(kGatherTime);
   }
@@ -356,7 +356,7 @@
       if (!this->IsUp(control)) {
         continue;
       }
-      control.recentHosts.Note(this->EntryHostsKnownTo(index), this->Now());
+      control.recentHosts.Update(this->EntryHostsKnownTo(index), this->Now());
       control.allocator.RemoveWarmTargets(this->Now());
       const bool isGathering = this->Now() - control.startedAt < kGatherTime;
       const std::vector<TargetLimit> shares =
--- a/test/coordination/CrashLedgerTest.cpp
+++ b/test/coordination/CrashLedgerTest.cpp
@@ -8,7 +8,7 @@
 const RequestFingerprint kRequest(7);
 const WorkspaceId kWorkspace("w");
 const ServiceName kService("s");
-const SoundRun kSuccessfulRun{ kRequest, kService };
+const SuccessfulRun kSuccessfulRun{ kRequest, kService };
 
 CrashReport
 Crash(const std::string& aTarget,
@@ -72,7 +72,7 @@
 TEST_F(CrashLedgerTest, SuccessfulRunAtAnotherServiceClearsNothing)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
-  this->registry.AddSuccessfulRuns({ SoundRun{ kRequest, ServiceName("another") } });
+  this->registry.AddSuccessfulRuns({ SuccessfulRun{ kRequest, ServiceName("another") } });
   this->PassSettleTime();
   EXPECT_TRUE(this->IsRefused());
 }
--- a/test/coordination/CrashModelTest.cpp
+++ b/test/coordination/CrashModelTest.cpp
@@ -113,7 +113,7 @@
   {
     MonotonicTime at;
     std::size_t to = 0;
-    SendsNews report;
+    LoadReport report;
     bool fromEntry = false;
     std::optional<CrashingRequests> verdicts;
     HostId from;
@@ -249,7 +249,7 @@
                                             Incarnation(this->targets[target].incarnation) });
         this->toRepeat.push_back(request);
       } else {
-        entry.Filter().OnSuccessfulRun(SoundRun{ request, {} });
+        entry.Filter().OnSuccessfulRun(SuccessfulRun{ request, {} });
       }
     }
   }
@@ -263,7 +263,7 @@
       if (entry.Filter().IsRefused(kShared)) {
         ++this->sharedRefused;
       } else {
-        entry.Filter().OnSuccessfulRun(SoundRun{ kShared, {} });
+        entry.Filter().OnSuccessfulRun(SuccessfulRun{ kShared, {} });
       }
     }
   }
@@ -322,7 +322,7 @@
       if (this->IsUp(entry) && !entry.synced) {
         this->Sync(entry);
       }
-      SendsNews report;
+      LoadReport report;
       report.crashes = entry.Filter().TakeReports();
       report.sound = entry.Filter().TakeSuccessfulRuns();
       if (this->IsUp(entry) && (!report.crashes.empty() || !report.sound.empty())) {
@@ -363,7 +363,7 @@
   std::vector<TargetState> targets;
   std::vector<Message> messages;
   std::vector<RequestFingerprint> toRepeat;
-  ServingMachine log;
+  ServingStateMachine log;
   std::uint64_t nextRequest = 0;
   int crashes = 0;
   std::optional<MonotonicTime> thirdCrash;
--- a/test/coordination/CrashWatchTest.cpp
+++ b/test/coordination/CrashWatchTest.cpp
@@ -7,7 +7,7 @@
 
 const RequestFingerprint kRequest(7);
 const ServiceName kService("s");
-const SoundRun kSuccessfulRun{ kRequest, kService };
+const SuccessfulRun kSuccessfulRun{ kRequest, kService };
 const HostId kOne("control-1");
 const HostId kTwo("control-2");
 const CrashReport kReport{ kRequest, WorkspaceId("w"), kService, TargetId("t"), Incarnation(1) };
@@ -46,12 +46,12 @@
 {
   this->filter.OnCrash(kReport);
   this->filter.OnSuccessfulRun(kSuccessfulRun);
-  EXPECT_EQ(this->filter.TakeSuccessfulRuns(), std::vector<SoundRun>{ kSuccessfulRun });
-  const SoundRun suspected{ RequestFingerprint(8), kService };
+  EXPECT_EQ(this->filter.TakeSuccessfulRuns(), std::vector<SuccessfulRun>{ kSuccessfulRun });
+  const SuccessfulRun suspected{ RequestFingerprint(8), kService };
   this->filter.SetVerdicts(kOne, CrashingRequests{ {}, { suspected.request } });
   this->filter.OnSuccessfulRun(suspected);
-  this->filter.OnSuccessfulRun(SoundRun{ RequestFingerprint(9), kService });
-  EXPECT_EQ(this->filter.TakeSuccessfulRuns(), std::vector<SoundRun>{ suspected });
+  this->filter.OnSuccessfulRun(SuccessfulRun{ RequestFingerprint(9), kService });
+  EXPECT_EQ(this->filter.TakeSuccessfulRuns(), std::vector<SuccessfulRun>{ suspected });
 }
 
 TEST_F(CrashWatchTest, OneControlHostIsEnoughToRefuse)
--- a/test/coordination/HomeRegionsTest.cpp
+++ b/test/coordination/HomeRegionsTest.cpp
@@ -11,15 +11,15 @@
                             { ZoneId("n2"), kNorth },
                             { ZoneId("s1"), kSouth } };
 
-TEST(HomeRegionsTest, ListsWithoutRegionsBindNothing)
+TEST(HomeRegionsTest, EmptyListsRestrictNothing)
 {
   const HomeRegions homes({}, {}, kRegions);
-  EXPECT_FALSE(homes.Binds());
+  EXPECT_FALSE(homes.IsRestricted());
   EXPECT_TRUE(homes.Allows(ZoneId("elsewhere")));
   EXPECT_TRUE(homes.Text().empty());
 }
 
-TEST(HomeRegionsTest, ARouteOrAWorkspaceBindsAlone)
+TEST(HomeRegionsTest, RouteOrWorkspaceAloneRestricts)
 {
   for (const HomeRegions& homes :
        { HomeRegions({ kNorth }, {}, kRegions), HomeRegions({}, { kNorth }, kRegions) }) {
@@ -30,17 +30,17 @@
   }
 }
 
-TEST(HomeRegionsTest, WhereBothHaveSomeBothBind)
+TEST(HomeRegionsTest, AllowsOnlyRegionsInBothLists)
 {
   const HomeRegions homes({ kSouth, kNorth }, { kSouth }, kRegions);
   EXPECT_TRUE(homes.Allows(ZoneId("s1")));
   EXPECT_FALSE(homes.Allows(ZoneId("n1")));
 }
 
-TEST(HomeRegionsTest, WithoutACommonRegionNothingIsAllowed)
+TEST(HomeRegionsTest, AllowsNoZoneWithoutCommonRegion)
 {
-  EXPECT_TRUE(HomeRegions({ kSouth }, { kNorth }, kRegions).AllowsNothing());
-  EXPECT_FALSE(HomeRegions({ kSouth }, {}, kRegions).AllowsNothing());
+  EXPECT_TRUE(HomeRegions({ kSouth }, { kNorth }, kRegions).AllowsNoZone());
+  EXPECT_FALSE(HomeRegions({ kSouth }, {}, kRegions).AllowsNoZone());
 }
 
 } // namespace
--- a/test/coordination/LimitModelTest.cpp
+++ b/test/coordination/LimitModelTest.cpp
@@ -101,7 +101,7 @@
   {
     MonotonicTime at;
     std::size_t to = 0;
-    SendsNews report;
+    LoadReport report;
     // The sender if it is a control host. An entry host accepts messages of its hub only.
     std::optional<std::size_t> fromControl;
     bool fromEntry = false;
@@ -219,7 +219,7 @@
   void SendReportsAndShares()
   {
     for (Entry& entry : this->entries) {
-      SendsNews report;
+      LoadReport report;
       report.limitReports = entry.limiter->TakeReports();
       if (this->IsUp(entry) && !report.limitReports.empty()) {
         this->Post(Message{ {}, entry.hub, std::move(report), std::nullopt, true });
@@ -236,7 +236,7 @@
         const bool needsSync = this->IsUp(entry) && !entry.synced;
         if (entry.hub == index && (changed || needsSync)) {
           entry.synced = entry.synced || needsSync;
-          SendsNews report;
+          LoadReport report;
           report.limits = shares;
           this->Post(Message{ {}, to, std::move(report), index, false });
         }
--- a/test/coordination/SendsHubTest.cpp
+++ b/test/coordination/SendsHubTest.cpp
@@ -7,20 +7,18 @@
 
 const HostId kSelf("hub");
 
-TargetSendsNow
+InFlightLoad
 Load(const std::string& aTarget, std::uint64_t aRequests)
 {
-  return TargetSendsNow{
-    TargetId(aTarget), aRequests, TokenCount(aRequests * 10), TokenCount(), {}
-  };
+  return InFlightLoad{ TargetId(aTarget), aRequests, TokenCount(aRequests * 10), TokenCount(), {} };
 }
 
 class SendsHubTest : public testing::Test
 {
 protected:
-  void Update(const std::string& aHost, std::vector<TargetSendsNow> aLoads)
+  void Update(const std::string& aHost, std::vector<InFlightLoad> aLoads)
   {
-    this->aggregator.Update(SendsNews{ HostId(aHost), std::move(aLoads), {}, {}, false },
+    this->aggregator.Update(LoadReport{ HostId(aHost), std::move(aLoads), {}, {}, false },
                             this->clock.MonotonicNow());
   }
 
@@ -32,9 +30,9 @@
 {
   this->Update("x", { Load("a", 2) });
   this->Update("y", { Load("a", 3), Load("b", 1) });
-  const SendsNews report = this->aggregator.TakeChanges(kSelf);
+  const LoadReport report = this->aggregator.TakeChanges(kSelf);
   EXPECT_EQ(report.host, kSelf);
-  EXPECT_EQ(report.sends, (std::vector<TargetSendsNow>{ Load("a", 5), Load("b", 1) }));
+  EXPECT_EQ(report.sends, (std::vector<InFlightLoad>{ Load("a", 5), Load("b", 1) }));
 }
 
 TEST_F(SendsHubTest, TakeChangesReturnsOnlyChangedTargets)
@@ -43,14 +41,14 @@
   this->aggregator.TakeChanges(kSelf);
   EXPECT_TRUE(this->aggregator.TakeChanges(kSelf).sends.empty());
   this->Update("x", { Load("b", 4) });
-  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Load("b", 4) });
+  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Load("b", 4) });
 }
 
 TEST_F(SendsHubTest, LaterUpdateOfAHostReplacesEarlierOnes)
 {
   this->Update("x", { Load("a", 2) });
   this->Update("x", { Load("a", 1) });
-  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Load("a", 1) });
+  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Load("a", 1) });
 }
 
 TEST_F(SendsHubTest, RemovingAHostSubtractsItsLoad)
@@ -59,38 +57,40 @@
   this->Update("y", { Load("a", 3) });
   this->aggregator.TakeChanges(kSelf);
   this->aggregator.Remove(HostId("x"));
-  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Load("a", 3) });
+  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Load("a", 3) });
   EXPECT_EQ(this->aggregator.Publishers(), std::set<HostId>{ HostId("y") });
 }
 
 TEST_F(SendsHubTest, LastUpdateOfAHostRemovesIt)
 {
   this->Update("x", { Load("a", 2) });
-  this->aggregator.Update(SendsNews{ HostId("x"), {}, {}, {}, true }, this->clock.MonotonicNow());
+  this->aggregator.Update(LoadReport{ HostId("x"), {}, {}, {}, true }, this->clock.MonotonicNow());
   EXPECT_TRUE(this->aggregator.Publishers().empty());
-  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Load("a", 0) });
+  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Load("a", 0) });
 }
 
 TEST_F(SendsHubTest, AddsUpStoreExcessesOnce)
 {
-  this->aggregator.Update(SendsNews{ HostId("x"), {}, { StoreExcess{ "s", 2, 10 } }, {}, false },
-                          this->clock.MonotonicNow());
-  this->aggregator.Update(SendsNews{ HostId("y"), {}, { StoreExcess{ "s", 1, 200 } }, {}, false },
-                          this->clock.MonotonicNow());
-  const std::vector<StoreExcess> expected{ StoreExcess{ "s", 3, 210 } };
+  this->aggregator.Update(
+    LoadReport{ HostId("x"), {}, { StoreFetchDelay{ "s", 2, 10 } }, {}, false },
+    this->clock.MonotonicNow());
+  this->aggregator.Update(
+    LoadReport{ HostId("y"), {}, { StoreFetchDelay{ "s", 1, 200 } }, {}, false },
+    this->clock.MonotonicNow());
+  const std::vector<StoreFetchDelay> expected{ StoreFetchDelay{ "s", 3, 210 } };
   EXPECT_EQ(this->aggregator.TakeChanges(kSelf).excesses, expected);
   EXPECT_TRUE(this->aggregator.TakeChanges(kSelf).excesses.empty());
 }
 
 TEST_F(SendsHubTest, ReturnsPartsOfAllHostsOnce)
 {
-  TargetSendsNow first = Load("a", 1);
+  InFlightLoad first = Load("a", 1);
   first.parts = { SizedPart{ PartKey(1), TokenCount(800) } };
-  TargetSendsNow second = Load("a", 1);
+  InFlightLoad second = Load("a", 1);
   second.parts = { SizedPart{ PartKey(2), TokenCount(900) } };
   this->Update("x", { first });
   this->Update("y", { second });
-  const SendsNews report = this->aggregator.TakeChanges(kSelf);
+  const LoadReport report = this->aggregator.TakeChanges(kSelf);
   ASSERT_EQ(report.sends.size(), 1U);
   EXPECT_EQ(report.sends.front().parts.size(), 2U);
   this->Update("x", { Load("a", 0) });
@@ -101,45 +101,47 @@
 {
   this->Update("x", { Load("a", 2) });
   this->aggregator.UpdatePeerSum(
-    SendsNews{ HostId("north"), { Load("a", 5), Load("b", 1) }, {}, {}, false },
+    LoadReport{ HostId("north"), { Load("a", 5), Load("b", 1) }, {}, {}, false },
     this->clock.MonotonicNow());
-  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<TargetSendsNow>{ Load("a", 2) });
-  const SendsNews totals = this->aggregator.TakeTotals(kSelf);
+  EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Load("a", 2) });
+  const LoadReport totals = this->aggregator.TakeTotals(kSelf);
   EXPECT_EQ(totals.host, kSelf);
-  EXPECT_EQ(totals.sends, (std::vector<TargetSendsNow>{ Load("a", 7), Load("b", 1) }));
+  EXPECT_EQ(totals.sends, (std::vector<InFlightLoad>{ Load("a", 7), Load("b", 1) }));
   EXPECT_TRUE(this->aggregator.TakeTotals(kSelf).sends.empty());
 }
 
 TEST_F(SendsHubTest, RemovingASilentControlHostSubtractsItsLoad)
 {
   this->Update("x", { Load("a", 2) });
-  this->aggregator.UpdatePeerSum(SendsNews{ HostId("north"), { Load("a", 5) }, {}, {}, false },
+  this->aggregator.UpdatePeerSum(LoadReport{ HostId("north"), { Load("a", 5) }, {}, {}, false },
                                  this->clock.MonotonicNow());
   this->aggregator.TakeTotals(kSelf);
   this->clock.Advance(std::chrono::seconds(3));
   this->aggregator.RemovePeersSilentSince(this->clock.MonotonicNow() - std::chrono::seconds(2));
-  EXPECT_EQ(this->aggregator.TakeTotals(kSelf).sends, std::vector<TargetSendsNow>{ Load("a", 2) });
+  EXPECT_EQ(this->aggregator.TakeTotals(kSelf).sends, std::vector<InFlightLoad>{ Load("a", 2) });
 }
 
 TEST_F(SendsHubTest, AllTotalsContainEveryTargetInUse)
 {
   this->Update("x", { Load("a", 2) });
-  this->aggregator.UpdatePeerSum(SendsNews{ HostId("north"), { Load("b", 1) }, {}, {}, false },
+  this->aggregator.UpdatePeerSum(LoadReport{ HostId("north"), { Load("b", 1) }, {}, {}, false },
                                  this->clock.MonotonicNow());
   this->aggregator.TakeTotals(kSelf);
   EXPECT_EQ(this->aggregator.AllTotals(kSelf).sends,
-            (std::vector<TargetSendsNow>{ Load("a", 2), Load("b", 1) }));
+            (std::vector<InFlightLoad>{ Load("a", 2), Load("b", 1) }));
 }
 
 TEST_F(SendsHubTest, ReturnsFindingsOfAllHostsOnce)
 {
   this->aggregator.Update(
-    SendsNews{ HostId("x"), {}, {}, { TargetFindings{ TargetId("a"), 1, 0 } }, false },
+    LoadReport{ HostId("x"), {}, {}, { TargetReachabilityReport{ TargetId("a"), 1, 0 } }, false },
     this->clock.MonotonicNow());
   this->aggregator.UpdatePeerSum(
-    SendsNews{ HostId("north"), {}, {}, { TargetFindings{ TargetId("a"), 2, 0 } }, false },
+    LoadReport{
+      HostId("north"), {}, {}, { TargetReachabilityReport{ TargetId("a"), 2, 0 } }, false },
     this->clock.MonotonicNow());
-  const std::vector<TargetFindings> expected{ TargetFindings{ TargetId("a"), 3, 0 } };
+  const std::vector<TargetReachabilityReport> expected{ TargetReachabilityReport{
+    TargetId("a"), 3, 0 } };
   EXPECT_EQ(this->aggregator.TakeTotals(kSelf).findings, expected);
   EXPECT_TRUE(this->aggregator.TakeTotals(kSelf).findings.empty());
 }
@@ -155,7 +157,7 @@
     ManualClock clock;
     std::vector<SendsHub> controlHosts(kControlHosts);
     for (int host = 0; host < aEntryHosts; ++host) {
-      SendsNews report;
+      LoadReport report;
       report.host = HostId("entry-" + std::to_string(host));
       for (int sent = 0; sent < 3; ++sent) {
         report.sends.push_back(Load("target-" + std::to_string((host * 7 + sent) % kTargets), 1));
@@ -169,8 +171,8 @@
                                          clock.MonotonicNow());
     }
     std::uint64_t requests = 0;
-    const SendsNews totals = controlHosts.front().TakeTotals(kSelf);
-    for (const TargetSendsNow& sends : totals.sends) {
+    const LoadReport totals = controlHosts.front().TakeTotals(kSelf);
+    for (const InFlightLoad& sends : totals.sends) {
       requests += sends.requests;
     }
     EXPECT_EQ(requests, static_cast<std::uint64_t>(aEntryHosts) * 3);
--- a/test/coordination/SettledWeightsTest.cpp
+++ b/test/coordination/SettledWeightsTest.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 const ModelName kModel("m");
-constexpr Duration kSettling = std::chrono::seconds(3);
+constexpr Duration kSettlingTime = std::chrono::seconds(3);
 
 TargetRecord
 Engine(std::uint64_t aVersion)
@@ -19,44 +19,44 @@
 class SettledWeightsTest : public ::testing::Test
 {
 protected:
-  std::uint64_t Least() const
+  std::uint64_t MinimumVersion() const
   {
-    const auto least = this->settled.Least();
-    const auto found = least.find(kModel);
-    return found == least.end() ? 0 : found->second;
+    const auto minimums = this->settled.MinimumVersions();
+    const auto found = minimums.find(kModel);
+    return found == minimums.end() ? 0 : found->second;
   }
 
   ManualClock clock;
-  SettledWeights settled{ this->clock, kSettling };
+  SettledWeights settled{ this->clock, kSettlingTime };
 };
 
-TEST_F(SettledWeightsTest, LowestEngineCountsOnceItHasSettled)
+TEST_F(SettledWeightsTest, ReportsLowestVersionAfterSettlingTime)
 {
-  this->settled.Note({ Engine(2), Engine(3) });
-  EXPECT_EQ(this->Least(), 0U);
-  this->clock.Advance(kSettling);
-  this->settled.Note({ Engine(2), Engine(3) });
-  EXPECT_EQ(this->Least(), 2U);
+  this->settled.Update({ Engine(2), Engine(3) });
+  EXPECT_EQ(this->MinimumVersion(), 0U);
+  this->clock.Advance(kSettlingTime);
+  this->settled.Update({ Engine(2), Engine(3) });
+  EXPECT_EQ(this->MinimumVersion(), 2U);
 }
 
-TEST_F(SettledWeightsTest, LastEngineThatIsExchangedBeginsTheTimeAnew)
+TEST_F(SettledWeightsTest, UpgradeOfLastEngineRestartsSettlingTime)
 {
-  this->settled.Note({ Engine(1), Engine(2) });
-  this->clock.Advance(kSettling);
-  this->settled.Note({ Engine(2), Engine(2) });
-  EXPECT_EQ(this->Least(), 0U);
-  this->clock.Advance(kSettling);
-  EXPECT_EQ(this->Least(), 2U);
+  this->settled.Update({ Engine(1), Engine(2) });
+  this->clock.Advance(kSettlingTime);
+  this->settled.Update({ Engine(2), Engine(2) });
+  EXPECT_EQ(this->MinimumVersion(), 0U);
+  this->clock.Advance(kSettlingTime);
+  EXPECT_EQ(this->MinimumVersion(), 2U);
 }
 
-TEST_F(SettledWeightsTest, EngineThatComesBackWithOlderWeightsHoldsItUp)
+TEST_F(SettledWeightsTest, EngineWithOlderWeightsRestartsSettlingTime)
 {
-  this->settled.Note({ Engine(2) });
-  this->clock.Advance(kSettling);
-  this->settled.Note({ Engine(2), Engine(1) });
-  EXPECT_EQ(this->Least(), 0U);
-  this->clock.Advance(kSettling);
-  EXPECT_EQ(this->Least(), 1U);
+  this->settled.Update({ Engine(2) });
+  this->clock.Advance(kSettlingTime);
+  this->settled.Update({ Engine(2), Engine(1) });
+  EXPECT_EQ(this->MinimumVersion(), 0U);
+  this->clock.Advance(kSettlingTime);
+  EXPECT_EQ(this->MinimumVersion(), 1U);
 }
 
 } // namespace
--- a/test/coordination/StartupWaitTest.cpp
+++ b/test/coordination/StartupWaitTest.cpp
@@ -10,35 +10,36 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(StartupWaitTest, WaitIsAShareOfWhatTheCallerWaits)
+TEST(StartupWaitTest, WaitIsBoundedShareOfCallerPatience)
 {
-  StartupWait waits;
-  EXPECT_EQ(waits.Begin(milliseconds(400), 1), milliseconds(100));
-  EXPECT_EQ(waits.Begin(seconds(12), 1), StartupWait::kLongest);
-  EXPECT_EQ(waits.Begin(Duration::zero(), 1), Duration::zero());
+  StartupWait wait;
+  EXPECT_EQ(wait.Begin(milliseconds(400), 1), milliseconds(100));
+  EXPECT_EQ(wait.Begin(seconds(12), 1), StartupWait::kLongestWait);
+  EXPECT_EQ(wait.Begin(Duration::zero(), 1), Duration::zero());
 }
 
-TEST(StartupWaitTest, BeyondSoManyCallsTheNextIsRefusedAtOnce)
+TEST(StartupWaitTest, RefusesCallsBeyondCountLimit)
 {
-  StartupWait waits;
+  StartupWait wait;
   for (std::size_t call = 0; call < StartupWait::kMostCalls; ++call) {
-    EXPECT_GT(waits.Begin(seconds(1), 1), Duration::zero());
+    EXPECT_GT(wait.Begin(seconds(1), 1), Duration::zero());
   }
-  EXPECT_EQ(waits.Begin(seconds(1), 1), Duration::zero());
-  waits.End(1);
-  EXPECT_GT(waits.Begin(seconds(1), 1), Duration::zero());
+  EXPECT_EQ(wait.Begin(seconds(1), 1), Duration::zero());
+  wait.End(1);
+  EXPECT_GT(wait.Begin(seconds(1), 1), Duration::zero());
 }
 
-TEST(StartupWaitTest, BodiesTakeUpABoundedMemory)
+TEST(StartupWaitTest, RefusesCallsBeyondByteLimit)
 {
-  StartupWait waits;
-  EXPECT_GT(waits.Begin(seconds(1), StartupWait::kMostBytes), Duration::zero());
-  EXPECT_EQ(waits.Begin(seconds(1), 1), Duration::zero());
+  StartupWait wait;
+  EXPECT_GT(wait.Begin(seconds(1), StartupWait::kMostBytes), Duration::zero());
+  EXPECT_EQ(wait.Begin(seconds(1), 1), Duration::zero());
 }
 
-// A second without power, 80 hosts and 1,000 calls a second: the configuration comes some time
-// after the hosts. Counts the calls that could be relayed before their callers had to come again.
-TEST(StartupWaitTest, CallsThatComeJustBeforeTheFirstConfigurationAreServed)
+// After a power failure of one second, 80 hosts get 1,000 calls a second, and the configuration
+// arrives 130 ms after the hosts have started. Counts the calls that need not be retried by their
+// callers.
+TEST(StartupWaitTest, ServesCallsThatArriveJustBeforeFirstConfiguration)
 {
   constexpr std::size_t kHosts = 80;
   constexpr Duration kBetweenCalls = milliseconds(1);
@@ -47,8 +48,8 @@
   std::size_t served = 0;
   std::size_t calls = 0;
   for (Duration at = Duration::zero(); at < kConfigured; at += kBetweenCalls) {
-    const Duration most = hosts[calls % kHosts].Begin(seconds(3), 12'000);
-    served += at + most >= kConfigured ? 1 : 0;
+    const Duration longest = hosts[calls % kHosts].Begin(seconds(3), 12'000);
+    served += at + longest >= kConfigured ? 1 : 0;
     ++calls;
   }
   EXPECT_EQ(served, calls);
--- a/test/coordination/ZoneReachTest.cpp
+++ b/test/coordination/ZoneReachTest.cpp
@@ -8,88 +8,88 @@
 class ZoneReachTest : public testing::Test
 {
 protected:
-  // Lets so many targets of the zone be found gone.
-  void LoseTargets(std::size_t aCount)
+  // Reports aCount different targets of the zone as not reached.
+  void FailTargets(std::size_t aCount)
   {
     for (std::size_t index = 0; index < aCount; ++index) {
       this->reach.OnEnd(this->zone, TargetId(std::to_string(index)), HealthSign::Gone);
     }
   }
 
-  bool IsOut() const { return this->reach.IsOut(this->zone); }
+  bool IsUnreachable() const { return this->reach.IsUnreachable(this->zone); }
 
   ManualClock clock;
   ZoneId zone{ "far" };
   ZoneReach reach{ this->clock, 1 };
 };
 
-TEST_F(ZoneReachTest, ZoneIsOutWhenSeveralOfItsTargetsAreGoneAtOnce)
+TEST_F(ZoneReachTest, ZoneIsUnreachableWhenSeveralTargetsFailTogether)
 {
-  this->LoseTargets(ZoneReach::kTargetsGone - 1);
-  EXPECT_FALSE(this->IsOut());
-  this->LoseTargets(ZoneReach::kTargetsGone);
-  EXPECT_TRUE(this->IsOut());
-  EXPECT_FALSE(this->reach.IsOut(ZoneId("near")));
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  EXPECT_FALSE(this->IsUnreachable());
+  this->FailTargets(ZoneReach::kUnreachableTargets);
+  EXPECT_TRUE(this->IsUnreachable());
+  EXPECT_FALSE(this->reach.IsUnreachable(ZoneId("near")));
 }
 
-TEST_F(ZoneReachTest, OneTargetThatIsGoneAgainAndAgainIsNotTheZone)
+TEST_F(ZoneReachTest, RepeatedFailuresOfOneTargetDoNotAffectZone)
 {
   for (int time = 0; time < 10; ++time) {
-    this->LoseTargets(1);
+    this->FailTargets(1);
   }
-  EXPECT_FALSE(this->IsOut());
+  EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, AnswerInBetweenSpeaksForTheZone)
+TEST_F(ZoneReachTest, SuccessfulCallResetsFailures)
 {
-  this->LoseTargets(ZoneReach::kTargetsGone - 1);
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
   this->reach.OnEnd(this->zone, TargetId("good"), HealthSign::Good);
-  this->LoseTargets(ZoneReach::kTargetsGone - 1);
-  EXPECT_FALSE(this->IsOut());
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, BytesFromAnyTargetSpeakForTheZone)
+TEST_F(ZoneReachTest, ReceivedBytesResetFailures)
 {
-  this->LoseTargets(ZoneReach::kTargetsGone - 1);
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
   this->reach.OnBytes(this->zone);
-  this->LoseTargets(ZoneReach::kTargetsGone - 1);
-  EXPECT_FALSE(this->IsOut());
-  this->LoseTargets(ZoneReach::kTargetsGone);
-  EXPECT_TRUE(this->IsOut());
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  EXPECT_FALSE(this->IsUnreachable());
+  this->FailTargets(ZoneReach::kUnreachableTargets);
+  EXPECT_TRUE(this->IsUnreachable());
   this->reach.OnBytes(this->zone);
-  EXPECT_FALSE(this->IsOut());
+  EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, FindingsThatAreFarApartDoNotAddUp)
+TEST_F(ZoneReachTest, FailuresOutsideDetectionWindowDoNotAddUp)
 {
-  this->LoseTargets(ZoneReach::kTargetsGone - 1);
-  this->clock.Advance(ZoneReach::kGoneWithin * 2);
+  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  this->clock.Advance(ZoneReach::kDetectionWindow * 2);
   this->reach.OnEnd(this->zone, TargetId("another"), HealthSign::Gone);
-  EXPECT_FALSE(this->IsOut());
+  EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, LaterOneCallAtATimeTriesTheZone)
+TEST_F(ZoneReachTest, ProbesZoneWithOneCallAtATimeAfterRetryDelay)
 {
-  this->LoseTargets(ZoneReach::kTargetsGone);
-  this->clock.Advance(ZoneReach::kOutFor * 2);
-  EXPECT_FALSE(this->IsOut());
+  this->FailTargets(ZoneReach::kUnreachableTargets);
+  this->clock.Advance(ZoneReach::kRetryDelay * 2);
+  EXPECT_FALSE(this->IsUnreachable());
   this->reach.OnStart(this->zone);
-  EXPECT_TRUE(this->IsOut());
+  EXPECT_TRUE(this->IsUnreachable());
   this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Gone);
-  EXPECT_TRUE(this->IsOut());
-  this->clock.Advance(ZoneReach::kOutFor * 2);
+  EXPECT_TRUE(this->IsUnreachable());
+  this->clock.Advance(ZoneReach::kRetryDelay * 2);
   this->reach.OnStart(this->zone);
   this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Good);
-  EXPECT_FALSE(this->IsOut());
+  EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, TryThatSaysNothingLeavesTheZoneToTheNextOne)
+TEST_F(ZoneReachTest, InconclusiveProbeAllowsAnother)
 {
-  this->LoseTargets(ZoneReach::kTargetsGone);
-  this->clock.Advance(ZoneReach::kOutFor * 2);
+  this->FailTargets(ZoneReach::kUnreachableTargets);
+  this->clock.Advance(ZoneReach::kRetryDelay * 2);
   this->reach.OnStart(this->zone);
   this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::None);
-  EXPECT_FALSE(this->IsOut());
+  EXPECT_FALSE(this->IsUnreachable());
 }
 
 } // namespace
