--- a/bench/ConfigurationBench.cpp
+++ b/bench/ConfigurationBench.cpp
@@ -196,7 +196,7 @@
     HostMembership membership;
     CallerIndex index;
     ConfigSpread spread;
-    TargetSpread targets;
+    TargetBroadcaster targets;
   };
 
   struct Counts
--- a/bench/PolicyBench.cpp
+++ b/bench/PolicyBench.cpp
@@ -235,10 +235,11 @@
   using Change = void (*)(SimOptions&);
   const std::vector<std::pair<const char*, Change>> ideas{
     { "everything", [](SimOptions&) {} },
-    { "no own sends", [](SimOptions& aOptions) { aOptions.router.correctByOwn = false; } },
-    { "no peer sends", [](SimOptions& aOptions) { aOptions.router.correctByPeers = false; } },
+    { "no own sends", [](SimOptions& aOptions) { aOptions.router.countOwnSends = false; } },
+    { "no peer sends", [](SimOptions& aOptions) { aOptions.router.countPeerSends = false; } },
     { "no learnt rates", [](SimOptions& aOptions) { aOptions.router.learnRates = false; } },
-    { "no equal spread", [](SimOptions& aOptions) { aOptions.router.spreadEqual = false; } },
+    { "no equal spread",
+      [](SimOptions& aOptions) { aOptions.router.breakTiesByAffinity = false; } },
     { "no cache views", [](SimOptions& aOptions) { aOptions.router.useCaches = false; } },
     { "no imports", [](SimOptions& aOptions) { aOptions.router.useStores = false; } },
     { "keep everything", [](SimOptions& aOptions) { aOptions.choosy = false; } },
--- a/bench/PolicySim.cpp
+++ b/bench/PolicySim.cpp
@@ -201,7 +201,7 @@
 Simulation::Exchange()
 {
   for (std::uint32_t host = 0; host < this->costRouters.size(); ++host) {
-    const std::vector<TargetSends> sends = this->costRouters[host]->TakeSends();
+    const std::vector<TargetSendsDelta> sends = this->costRouters[host]->TakeSends();
     for (std::uint32_t peer = 0; peer < this->costRouters.size(); ++peer) {
       if (peer != host && !sends.empty() && !this->IsCut(host, peer)) {
         this->costRouters[peer]->OnPeerSends(sends);
--- a/bench/RequestsBench.cpp
+++ b/bench/RequestsBench.cpp
@@ -10,7 +10,7 @@
 #include <absl/strings/str_format.h>
 
 #include "OverloadSimulation.h"
-#include "damasklink/coordination/RelayPlan.h"
+#include "damasklink/coordination/AttemptRecovery.h"
 #include "damasklink/coordination/RetryBudget.h"
 #include "damasklink/protocol/ClaimMachine.h"
 #include "damasklink/state/Text.h"
@@ -116,7 +116,7 @@
       do {
         ++attempts;
         ++lost.tries;
-      } while (DecideRelayStep(lost) == RelayStep::Repeat && (!budgeted || budget.TryTake()));
+      } while (DecideRecoveryStep(lost) == RecoveryStep::Repeat && (!budgeted || budget.TryTake()));
     }
     std::cout << absl::StrFormat("%-14s %.3f\n",
                                  budgeted ? "with budget" : "without",
--- a/include/damasklink/coordination/RelayPlan.h
+++ b/include/damasklink/coordination/AttemptRecovery.h
@@ -9,7 +9,7 @@
 
 namespace damasklink {
 
-enum class RelayStep
+enum class RecoveryStep
 {
   Repeat,   // Run it from the start on another target.
   Resume,   // Ask the same target for the rest, under the same attempt.
@@ -26,7 +26,7 @@
   // Tokens of the answer that are in hand.
   std::uint64_t tokens = 0;
   // Tokens that were in hand when the lost attempt, or its resumption, began.
-  std::uint64_t tokensAtStart = 0;
+  std::uint64_t tokensBefore = 0;
   // Targets and resumptions tried so far.
   std::uint64_t tries = 0;
   // Whether the lost try was itself a resumption.
@@ -39,11 +39,11 @@
 };
 
 // Tries in all, resumptions included.
-constexpr std::uint64_t kMostTries = 6;
+constexpr std::uint64_t kMaxTries = 6;
 
 // Decides the next step. A run whose answer has begun is never started over; one that may have run
 // and is not repeatable is never run again.
-RelayStep
-DecideRelayStep(const LostAttempt& aLost);
+RecoveryStep
+DecideRecoveryStep(const LostAttempt& aLost);
 
 } // namespace damasklink
--- a/include/damasklink/coordination/CostRouter.h
+++ b/include/damasklink/coordination/CostRouter.h
@@ -13,34 +13,34 @@
 namespace damasklink {
 
 // What a host sent to one target since it last told its peers.
-struct TargetSends
+struct TargetSendsDelta
 {
   TargetId target;
   std::uint64_t requests = 0;
   TokenCount prefill;
 
-  bool operator==(const TargetSends&) const = default;
+  bool operator==(const TargetSendsDelta&) const = default;
 };
 
 struct CostRouterOptions
 {
   // Rate of targets that declare none, in prompt tokens a second.
-  double priorPrefillRate = 8000;
+  double defaultPrefillRate = 8000;
   // How old a report is when it arrives.
   Duration reportLag = std::chrono::milliseconds(150);
   // First tokens seen at a target before its learnt rate replaces the declared one.
-  std::uint64_t learnAfter = 8;
+  std::uint64_t minRateSamples = 8;
   // Targets whose costs differ by no more than this share of the first token's time, and as many
   // seconds, count as equal.
-  double equalShare = 0.25;
-  double equalSeconds = 0.004;
+  double tieShare = 0.25;
+  double tieSeconds = 0.004;
   // Blocks believed of each target at most.
-  std::uint64_t mostBlocksPerTarget = 20'000;
+  std::uint64_t maxBlocksPerTarget = 20'000;
   // Each switch turns one idea of the policy off, for the bench that measures what it is worth.
-  bool correctByOwn = true;
-  bool correctByPeers = true;
+  bool countOwnSends = true;
+  bool countPeerSends = true;
   bool learnRates = true;
-  bool spreadEqual = true;
+  bool breakTiesByAffinity = true;
   bool useCaches = true;
   bool useStores = true;
 };
@@ -62,7 +62,7 @@
 //   CostRouter router(clock, CostRouterOptions());
 //   auto decision = router.Choose(request, targets);
 //   router.OnSent(request, decision.value());
-//   for (const TargetSends& sends : router.TakeSends()) ...   // For the peers, every tick.
+//   for (const TargetSendsDelta& sends : router.TakeSends()) ...   // For the peers, every tick.
 class CostRouter final : public Router
 {
 public:
@@ -78,10 +78,10 @@
   void OnDone(const RouteRequest& aRequest, const RouteDecision& aDecision, bool aWhole) override;
 
   // Returns what this host sent since the last call.
-  std::vector<TargetSends> TakeSends();
+  std::vector<TargetSendsDelta> TakeSends();
 
   // Takes what a peer sent since it last told.
-  void OnPeerSends(const std::vector<TargetSends>& aSends);
+  void OnPeerSends(const std::vector<TargetSendsDelta>& aSends);
 
   // Where cache events go.
   PrefixView& Caches() { return this->caches; }
@@ -122,7 +122,7 @@
     // Sent by this host and still without a first token.
     double ownPrefill = 0;
     // Sent by this host since it last told its peers.
-    TargetSends untold;
+    TargetSendsDelta untold;
     // Seconds between a first token and the end of the request.
     double decodeSeconds = 0;
   };
@@ -159,7 +159,7 @@
 
   TargetState& StateOf(std::size_t aPosition, const TargetRecord& aTarget);
   void TakeReport(TargetState& aState, const TargetRecord& aTarget);
-  void DropGone(const std::vector<TargetRecord>& aTargets);
+  void DropRemoved(const std::vector<TargetRecord>& aTargets);
   double Wait(const TargetState& aState) const;
   double SlotWait(const TargetState& aState) const;
   double RateOf(const TargetState& aState) const;
--- a/include/damasklink/coordination/ExchangePlan.h
+++ b/include/damasklink/coordination/ExchangeRetryPolicy.h
@@ -1,9 +1,9 @@
 // What is done with a call after each of its attempts. Without I/O.
 //
-//   ExchangePlan plan(terms);
+//   ExchangeRetryPolicy plan(terms);
 //   plan.Begin(attempt, target);
 //   plan.Sending();                                  // Before the first byte leaves.
-//   switch (plan.After(AttemptEnd::Refused, clock.MonotonicNow(), budget)) {
+//   switch (plan.After(AttemptResult::Refused, clock.MonotonicNow(), budget)) {
 //     case ExchangeStep::TryAnother: ...
 //
 // At most once: a call that may not be repeated goes to a second target only when the first said
@@ -18,7 +18,7 @@
 namespace damasklink {
 
 // What the route and the caller allow.
-struct ExchangeTerms
+struct ExchangeLimits
 {
   // May run more than once, or go on elsewhere where it is a stream.
   bool repeatable = false;
@@ -29,7 +29,7 @@
 };
 
 // How an attempt ended.
-enum class AttemptEnd
+enum class AttemptResult
 {
   Delivered,   // The caller has the whole answer.
   Unreachable, // No connection: nothing left this host.
@@ -41,7 +41,7 @@
 };
 
 std::string_view
-AttemptEndName(AttemptEnd aEnd);
+AttemptResultName(AttemptResult aEnd);
 
 // What to do next.
 enum class ExchangeStep
@@ -58,16 +58,16 @@
 std::string_view
 ExchangeStepName(ExchangeStep aStep);
 
-class ExchangePlan
+class ExchangeRetryPolicy
 {
 public:
   // Attempts that may end without a connection before the call is refused: each costs up to the
   // time to connect, and a fifth of the targets seldom fails together with the first four.
-  static constexpr std::uint64_t kMostUnreachable = 4;
+  static constexpr std::uint64_t kMaxUnreachable = 4;
   // With less time left another attempt cannot end in time.
-  static constexpr Duration kLeastTime = std::chrono::milliseconds(30);
+  static constexpr Duration kMinTimeLeft = std::chrono::milliseconds(30);
 
-  explicit ExchangePlan(ExchangeTerms aTerms)
+  explicit ExchangeRetryPolicy(ExchangeLimits aTerms)
     : terms(aTerms)
   {
   }
@@ -82,7 +82,7 @@
 
   // Ends the attempt and returns what to do. Takes a retry out of the budget when it says
   // TryAnother and the attempt before may have arrived.
-  ExchangeStep After(AttemptEnd aEnd, MonotonicTime aNow, RetryBudget& aBudget);
+  ExchangeStep After(AttemptResult aEnd, MonotonicTime aNow, RetryBudget& aBudget);
 
   // Returns what to do when no target is left to be tried.
   ExchangeStep WithoutTarget() const;
@@ -90,14 +90,14 @@
   bool PassedOn() const { return this->passedOn; }
   std::uint64_t Sent() const { return this->sent; }
   const DispatchRecord& Record() const { return this->record; }
-  const ExchangeTerms& Terms() const { return this->terms; }
+  const ExchangeLimits& Terms() const { return this->terms; }
 
 private:
-  bool MayTryAnother(AttemptEnd aEnd, MonotonicTime aNow) const;
-  ExchangeStep GiveUp(AttemptEnd aEnd) const;
+  bool MayTryAnother(AttemptResult aEnd, MonotonicTime aNow) const;
+  ExchangeStep GiveUp(AttemptResult aEnd) const;
   bool CertainlyNotRun() const;
 
-  ExchangeTerms terms;
+  ExchangeLimits terms;
   DispatchRecord record;
   std::uint64_t sent = 0;
   std::uint64_t unreachable = 0;
--- a/include/damasklink/coordination/OrdersMachine.h
+++ b/include/damasklink/coordination/OrderStateMachine.h
@@ -9,15 +9,15 @@
 namespace damasklink {
 
 // A short name of what a deployment wishes: another wish, or another attempt, has another one.
-using WishHash = std::uint64_t;
+using DesiredStateHash = std::uint64_t;
 
-WishHash
-HashOfWish(const Deployment& aDeployment);
+DesiredStateHash
+HashDesiredState(const Deployment& aDeployment);
 
 // Why a rollout stopped.
 struct RolloutStop
 {
-  WishHash wish = 0;
+  DesiredStateHash wish = 0;
   std::string reason;
   WallTime when;
 
@@ -27,11 +27,11 @@
 // Gives each order a fencing number above all former ones.
 //
 //   replicator.AddMachine(ControlGroupId(), MachinePart::Orders, machine);
-//   Propose(PackIssueOrder(target)) -> UnpackFencing(answer)
+//   Propose(PackIssueFencing(target)) -> UnpackFencing(answer)
 //
 // Numbers rise over all targets, terms and leaders. A proposal whose answer was lost leaves a gap,
 // which harms nobody.
-class OrdersMachine final : public ReplicatedMachine
+class OrderStateMachine final : public ReplicatedMachine
 {
 public:
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
@@ -41,7 +41,7 @@
   FencingNumber LastIssued() const { return this->lastIssued; }
 
   // Returns the stop of a deployment's rollout, or nullptr when this wish was not stopped.
-  const RolloutStop* FindStop(const DeploymentName& aDeployment, WishHash aWish) const;
+  const RolloutStop* FindStop(const DeploymentName& aDeployment, DesiredStateHash aWish) const;
 
 private:
   FencingNumber lastIssued;
@@ -49,10 +49,12 @@
 };
 
 std::string
-PackIssueOrder(const TargetId& aTarget);
+PackIssueFencing(const TargetId& aTarget);
 
 std::string
-PackStopRollout(const DeploymentName& aDeployment, WishHash aWish, const std::string& aReason);
+PackStopRollout(const DeploymentName& aDeployment,
+                DesiredStateHash aWish,
+                const std::string& aReason);
 
 // Fails with Corrupt.
 Result<FencingNumber>
--- a/include/damasklink/coordination/StoreMessages.h
+++ b/include/damasklink/coordination/StoreMessages.h
@@ -80,7 +80,7 @@
   std::vector<ExportedBlock> blocks;
 };
 
-using SendsNotice = std::vector<TargetSends>;
+using SendsNotice = std::vector<TargetSendsDelta>;
 
 // Any message over Channel::Stores.
 using StoresMessage = std::variant<OwnerNotice,
--- a/include/damasklink/coordination/TargetSpread.h
+++ b/include/damasklink/coordination/TargetBroadcaster.h
@@ -18,7 +18,7 @@
 };
 
 // A sign of life, load included; 24 bytes on the wire.
-struct TargetSign
+struct TargetKeepalive
 {
   // ShortHash() of the target's id.
   std::uint32_t target = 0;
@@ -27,14 +27,14 @@
   Sequence sequence;
   TargetLoad load;
 
-  bool operator==(const TargetSign&) const = default;
+  bool operator==(const TargetKeepalive&) const = default;
 };
 
 struct TargetsMessage
 {
   TargetsMessageKind kind = TargetsMessageKind::Ask;
   std::vector<TargetRecord> records;
-  std::vector<TargetSign> signs;
+  std::vector<TargetKeepalive> signs;
 
   bool operator==(const TargetsMessage&) const = default;
 };
@@ -47,7 +47,7 @@
 
 // Merges announcements and passes on what is news.
 //
-//   TargetSpread targets(clock, settings);
+//   TargetBroadcaster targets(clock, settings);
 //   targets.OnAnnouncement(record);       // Made to this host.
 //   targets.OnMessage(from, message);     // From a peer.
 //   targets.OnTick();
@@ -60,7 +60,7 @@
 //   after three quarters of the limit at its home and on every host that the home reaches; where
 //   the home fell silent too, after kRemoteSilence.
 // - A refresh names fingerprints: who misses a record asks for it.
-class TargetSpread
+class TargetBroadcaster
 {
 public:
   static constexpr Duration kRefreshInterval = std::chrono::seconds(2);
@@ -68,7 +68,7 @@
   static constexpr Duration kRemoteSilence = std::chrono::milliseconds(4500);
   static constexpr Duration kAskInterval = std::chrono::milliseconds(500);
 
-  TargetSpread(const Clock& aClock, const HostSettings& aSettings);
+  TargetBroadcaster(const Clock& aClock, const HostSettings& aSettings);
 
   void OnAnnouncement(const TargetRecord& aRecord);
   void OnMessage(const HostId& aFrom, const TargetsMessage& aMessage);
@@ -83,13 +83,13 @@
   void SendToAll(const TargetsMessage& aMessage);
   void TakeRecord(const HostId& aFrom, const TargetRecord& aRecord);
   // Returns whether everything that the sign tells of is known.
-  bool TakeSign(const HostId& aFrom, const TargetSign& aSign);
-  void TakeSilence(const HostId& aFrom, const TargetSign& aSign);
+  bool TakeKeepalive(const HostId& aFrom, const TargetKeepalive& aSign);
+  void TakeSilence(const HostId& aFrom, const TargetKeepalive& aSign);
   void ReportSilence();
   void SendRefresh(const std::vector<HostId>& aPeers);
   void Forget();
   TargetsMessage OwnRecords() const;
-  TargetSign SignOf(const TargetRecord& aRecord) const;
+  TargetKeepalive SignOf(const TargetRecord& aRecord) const;
   bool IsOwn(const TargetId& aTarget) const;
 
   const Clock& clock;
--- a/include/damasklink/coordination/TargetBoard.h
+++ b/include/damasklink/coordination/TargetDirectory.h
@@ -1,6 +1,6 @@
 // The targets as one entry host knows them, merged from what several control hosts state.
 //
-//   TargetBoard board;
+//   TargetDirectory board;
 //   board.Take(controlHost, statement);
 //   board.OnLink(controlHost, false);       // Its words stay, but those of others go first.
 //   for (const TargetRecord& target : board.Usable(service)) ...
@@ -21,12 +21,12 @@
 
 namespace damasklink {
 
-class TargetBoard
+class TargetDirectory
 {
 public:
   // Targets that are gone and still remembered, so that no late word brings them back; the oldest
   // are forgotten. Each restart of a target leaves one, so this outlasts hours of them.
-  static constexpr std::size_t kMostGone = 4096;
+  static constexpr std::size_t kMaxRemoved = 4096;
 
   // Takes what a control host states. An older statement of the same host is replaced.
   void Take(const HostId& aFrom, const TargetStatement& aStatement);
@@ -39,14 +39,14 @@
   std::vector<TargetRecord> TakeRestarted() { return std::exchange(this->restarted, {}); }
 
   // Returns the targets that were first heard of since the last call.
-  std::vector<TargetRecord> TakeAppeared() { return std::exchange(this->appeared, {}); }
+  std::vector<TargetRecord> TakeDiscovered() { return std::exchange(this->appeared, {}); }
 
   // Returns whether more than half of the targets of an availability zone are silent: the zone is
   // rather cut off than its targets gone.
   bool IsMostlySilent(const ZoneId& aZone) const;
 
   // Tells that the target does not exist any more, as another one at its address said.
-  void NoteGone(const TargetId& aTarget);
+  void MarkRemoved(const TargetId& aTarget);
 
   // Takes the availability zones whose targets get no work; others that had none do again.
   void SetEvacuated(std::set<ZoneId> aZones);
@@ -80,9 +80,9 @@
     bool gone = false;
   };
 
-  void BeginNewStart(const TargetStatement& aStatement, Entry& aEntry);
-  void MarkGone(const TargetId& aTarget, Entry& aEntry);
-  bool CountsUsable(const Entry& aEntry) const;
+  void ResetForRestart(const TargetStatement& aStatement, Entry& aEntry);
+  void MarkEntryRemoved(const TargetId& aTarget, Entry& aEntry);
+  bool IsReportedUsable(const Entry& aEntry) const;
   bool IsPaused(const Entry& aEntry) const;
   void Rebuild() const;
   void Changed();
--- a/include/damasklink/coordination/TargetHealth.h
+++ b/include/damasklink/coordination/TargetHealth.h
@@ -13,19 +13,19 @@
 namespace damasklink {
 
 // What an attempt tells of its target.
-enum class HealthSign
+enum class HealthSignal
 {
-  Good, // It answered, be it that it is full.
-  Bad,  // A broken answer, silence.
-  Gone, // No connection, or what was sent was not even acknowledged.
-  None, // The caller left, or the host stopped.
+  Good,       // It answered, be it that it is full.
+  Bad,        // A broken answer, silence.
+  NotReached, // No connection, or what was sent was not even acknowledged.
+  None,       // The caller left, or the host stopped.
 };
 
 // Ejects a target after failures in a row, or at once when it cannot be reached, for longer each
 // time, and lets it back half-open: one request at a time until one succeeds.
 //
 //   TargetHealth health(clock, seed);
-//   health.OnEnd(target, HealthSign::Bad);
+//   health.OnEnd(target, HealthSignal::Bad);
 //   std::vector<TargetRecord> fit = health.Filter(targets);
 //
 // Hosts tell each other of targets that they found gone: with 72 hosts, each would lose a request
@@ -38,18 +38,18 @@
 class TargetHealth
 {
 public:
-  static constexpr int kFailuresInRow = 3;
+  static constexpr int kConsecutiveFailures = 3;
   static constexpr Duration kFirstEjection = std::chrono::seconds(2);
-  static constexpr Duration kLongestEjection = std::chrono::seconds(60);
+  static constexpr Duration kMaxEjection = std::chrono::seconds(60);
   // Hosts that must have found a target gone within the time below until the others believe it: on
   // a lossy link, one or two of them lose a packet or two.
-  static constexpr std::uint64_t kFindingsToBelieve = 3;
-  static constexpr Duration kFindingsFitWithin = std::chrono::seconds(1);
+  static constexpr std::uint64_t kReportsToEject = 3;
+  static constexpr Duration kReportWindow = std::chrono::seconds(1);
   // Ejections of what others found gone end over this time: long beside the 0.3 s until a host that
   // tries in vain has told the others.
-  static constexpr Duration kTriesSpread = std::chrono::seconds(5);
+  static constexpr Duration kProbeSpread = std::chrono::seconds(5);
   // Findings that are kept for hosts that never ask for them.
-  static constexpr std::size_t kMostUntold = 1000;
+  static constexpr std::size_t kMaxPendingFindings = 1000;
 
   TargetHealth(const Clock& aClock, std::uint64_t aSeed)
     : clock(aClock)
@@ -59,7 +59,7 @@
 
   // Tells that a request was sent to the target.
   void OnStart(const TargetId& aTarget);
-  void OnEnd(const TargetId& aTarget, HealthSign aSign);
+  void OnEnd(const TargetId& aTarget, HealthSignal aSign);
 
   // The target has started again: what its earlier start was sick with is over.
   void OnRestart(const TargetId& aTarget);
@@ -87,11 +87,11 @@
     // Hosts that found it gone since a time.
     std::uint64_t findings = 0;
     MonotonicTime findingsSince;
-    bool believedGone = false;
+    bool reportedUnreachable = false;
   };
 
   void Eject(Entry& aEntry);
-  void TakeGone(const TargetFindings& aFound);
+  void TakeUnreachable(const TargetFindings& aFound);
 
   const Clock& clock;
   std::minstd_rand random;
--- a/include/damasklink/coordination/TargetOrders.h
+++ b/include/damasklink/coordination/TargetOrders.h
@@ -6,7 +6,7 @@
 #include <variant>
 #include <vector>
 
-#include "damasklink/coordination/OrdersMachine.h"
+#include "damasklink/coordination/OrderStateMachine.h"
 #include "damasklink/coordination/TargetRegistry.h"
 
 namespace damasklink {
@@ -23,8 +23,8 @@
   bool operator==(const TargetOrder&) const = default;
 };
 
-// Asks the control group for a fencing number; answered with OnIssued().
-struct IssueOrder
+// Asks the control group for a fencing number; answered with OnFencingIssued().
+struct IssueFencing
 {
   TargetId target;
 };
@@ -39,11 +39,11 @@
 struct StopRollout
 {
   DeploymentName deployment;
-  WishHash wish = 0;
+  DesiredStateHash wish = 0;
   std::string reason;
 };
 
-using OrderAction = std::variant<IssueOrder, SendOrder, StopRollout>;
+using OrderAction = std::variant<IssueFencing, SendOrder, StopRollout>;
 
 // What came of sending an order.
 enum class OrderOutcome
@@ -55,7 +55,7 @@
   LeaseEnded, // Sent, and the lease was over right after: a successor may have ordered otherwise.
 };
 
-struct OrderLimits
+struct OrderTimings
 {
   // No lease lasts longer.
   Duration lease = std::chrono::seconds(2);
@@ -92,7 +92,7 @@
 class TargetOrders
 {
 public:
-  TargetOrders(const Clock& aClock, OrderLimits aLimits, const OrdersMachine& aMachine);
+  TargetOrders(const Clock& aClock, OrderTimings aLimits, const OrderStateMachine& aMachine);
 
   // Requires to be called now and then; aLeaseHeld tells whether this host may act.
   std::vector<OrderAction> Plan(bool aLeaseHeld,
@@ -100,12 +100,12 @@
                                 const TargetRegistry& aTargets);
 
   // The group gave a number, or could not; then the order is tried again.
-  void OnIssued(const TargetId& aTarget, const Result<FencingNumber>& aFencing);
+  void OnFencingIssued(const TargetId& aTarget, const Result<FencingNumber>& aFencing);
 
   void OnSent(const TargetId& aTarget, OrderOutcome aOutcome);
 
   // The group could not remember the stop; it is asked again.
-  void OnStopLost(const DeploymentName& aDeployment) { this->stopping.erase(aDeployment); }
+  void OnStopNotRecorded(const DeploymentName& aDeployment) { this->stopping.erase(aDeployment); }
 
   std::vector<DeploymentProgress> Progress(const DeploymentSet& aDeployments,
                                            const TargetRegistry& aTargets) const;
@@ -123,7 +123,7 @@
   struct OpenOrder
   {
     DeploymentName deployment;
-    WishHash wish = 0;
+    DesiredStateHash wish = 0;
     OrderStage stage = OrderStage::Issuing;
     FencingNumber fencing;
     MonotonicTime since;
@@ -147,12 +147,12 @@
              std::vector<OrderAction>& aTo);
   // Whether the target may be ordered by this leader now.
   bool MayOrder(const TargetRecord& aRecord) const;
-  std::string FindFailure(const DeploymentName& aName, WishHash aWish) const;
+  std::string FindFailure(const DeploymentName& aName, DesiredStateHash aWish) const;
   std::size_t CountServing(const Deployment& aDeployment, const TargetRegistry& aTargets) const;
 
   const Clock& clock;
-  OrderLimits limits;
-  const OrdersMachine& machine;
+  OrderTimings limits;
+  const OrderStateMachine& machine;
   bool leading = false;
   MonotonicTime ledSince;
   MonotonicTime lastLoad;
@@ -162,6 +162,6 @@
 
 // Returns whether the target reports the wished end.
 bool
-HasWishedEnd(const TargetRecord& aRecord, const Deployment& aDeployment);
+HasDesiredState(const TargetRecord& aRecord, const Deployment& aDeployment);
 
 } // namespace damasklink
--- a/include/damasklink/coordination/TargetRegistry.h
+++ b/include/damasklink/coordination/TargetRegistry.h
@@ -70,11 +70,11 @@
     Duration silence{ 0 };
     bool silent = false;
     // What TakeUsabilityChanges() told of it last.
-    bool toldUsable = false;
+    bool reportedUsable = false;
   };
 
   bool IsUsable(const Entry& aEntry) const;
-  void SilenceOthersAt(const TargetRecord& aRecord);
+  void MarkOthersSilentAt(const TargetRecord& aRecord);
   void MoveAddress(const TargetId& aTarget, const Endpoint& aFrom, const Endpoint& aTo);
   void ForgetAddress(const TargetId& aTarget, const Endpoint& aAddress);
 
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetSelector.h
@@ -1,6 +1,6 @@
 // Chooses the target of a call in a serving deployment.
 //
-//   TargetPicker picker(health, reach, seed);
+//   TargetSelector picker(health, reach, seed);
 //   const TargetRecord* target = picker.Choose(question, board.Usable(service));
 //   picker.OnSent(target->id, work);
 //   picker.OnFirstEvent(target->id, work);
@@ -20,7 +20,7 @@
 
 #include <absl/container/flat_hash_map.h>
 
-#include "damasklink/coordination/EnginePace.h"
+#include "damasklink/coordination/EngineLatencyModel.h"
 #include "damasklink/coordination/HeldParts.h"
 #include "damasklink/coordination/SendsSum.h"
 #include "damasklink/coordination/ServingPicture.h"
@@ -39,7 +39,7 @@
 };
 
 // What a choice is made for.
-struct PickQuestion
+struct SelectionRequest
 {
   // Availability zone of this host.
   ZoneId zone;
@@ -55,13 +55,13 @@
   ModelName model;
   std::uint64_t weights = 0;
   // Targets with weights older than this are no choice any more while there is another one.
-  std::uint64_t leastWeights = 0;
+  std::uint64_t minWeights = 0;
   // Targets that were tried already.
   std::set<TargetId> excluded;
   // Targets that name a limit and may not be sent more by this host just now.
   std::set<TargetId> limited;
   // Compares all targets, and not only some of them.
-  bool amongAll = false;
+  bool compareAll = false;
 };
 
 // Returns the version of a model's weights that the target has, 0 when it does not serve the model.
@@ -69,89 +69,89 @@
 WeightsOf(const TargetRecord& aTarget, const ModelName& aModel);
 
 // What one call adds to the load of its target.
-struct PickedWork
+struct CallLoad
 {
   // Prompt tokens that the target must read.
-  TokenCount toRead;
+  TokenCount uncachedTokens;
   // Prompt and answer, which take up memory until the end.
   TokenCount memory;
   bool answering = false;
   // Other prompts waited at the target to be read when it was sent.
-  bool behindOthers = false;
+  bool queuedBehindOthers = false;
   // The start of the target that it was sent to.
   Incarnation start;
 };
 
-// The figures of the cost, in milliseconds, beside what EnginePace learns.
-struct PickCosts
+// The figures of the cost, in milliseconds, beside what EngineLatencyModel learns.
+struct SelectionCosts
 {
   // What reading costs beyond its own time, in multiples of it: an engine reads one prompt after
   // the other, so the calls that come meanwhile wait too. With less, a part is read a second time
   // beside the engine that is reading it.
-  double readingHoldsUp = 1;
+  double prefillBlocking = 1;
   // Each request that the target runs already: a step takes longer, and memory is shared.
-  double perRequest = 2.5;
+  double perRunningRequest = 2.5;
   // Requests at which each weighs twice as much: queues grow faster than the load.
-  double usualRequests = 10;
+  double requestsToDouble = 10;
   // How many times as long reading takes while other requests get their tokens in between.
-  double readingInQueue = 1.4;
+  double prefillInterleaving = 1.4;
   // Memory as large as the target's that is not there: about how long a request holds its own.
-  double missingMemory = 1000;
+  double memoryOverflow = 1000;
   // Memory of running requests may fill this share of a target before it costs anything; what is
   // free above it keeps cached parts.
   double freeMemoryShare = 0.5;
   // A target whose memory would be full: requests wait there for others to end, or push them out.
-  double fullMemory = 400;
+  double memoryPressure = 400;
   // A transfer between zones takes so many times as long as one within a zone.
-  double fetchFromOtherZone = 2;
+  double crossZoneFetch = 2;
   // A target whose weights are older than the newest: what begins there is worth less to the
   // caller. About what reading a long prompt anew costs a target whose caches are empty after its
   // load, so that the load decides between the two.
-  double olderWeights = 70;
+  double outdatedWeights = 70;
   // A target is much fuller than another one for plain calls when it runs so many times as many and
   // so many more: what chance alone makes of six slots in use is below that.
-  double fullerByFactor = 1.5;
-  double fullerBy = 3;
+  double imbalanceFactor = 1.5;
+  double imbalanceMargin = 3;
   // A target in another zone: the way, and bytes between zones that are paid for.
-  double otherZone = 4;
+  double crossZone = 4;
 };
 
-class TargetPicker
+class TargetSelector
 {
 public:
   // A prompt of which so many tokens are to be read is told to the other hosts at once: short calls
   // that they send behind it before they hear of it come late.
-  static constexpr std::uint64_t kLongReading = 1000;
+  static constexpr std::uint64_t kLongPrefill = 1000;
 
-  TargetPicker(const TargetHealth& aHealth,
-               const ZoneReach& aReach,
-               std::uint64_t aSeed,
-               PickCosts aCosts = PickCosts());
+  TargetSelector(const TargetHealth& aHealth,
+                 const ZoneReach& aReach,
+                 std::uint64_t aSeed,
+                 SelectionCosts aCosts = SelectionCosts());
 
   // Returns the target with the least cost among those that hold its shared parts, a few that are
   // drawn at random, and a few of the host's own zone, null when there is none. Ejected targets are
   // chosen only when more than half of the list is ejected: then the fault is likely elsewhere.
   // Targets of zones that are out are chosen only when there are no others.
-  const TargetRecord* Choose(const PickQuestion& aQuestion,
+  const TargetRecord* Choose(const SelectionRequest& aQuestion,
                              const std::vector<TargetRecord>& aTargets);
 
   // Returns how long the call is expected to wait at the target before its own prompt is read: for
   // what waits there to be read, for a slot, and for memory that is not there.
-  Duration ExpectedWait(const PickQuestion& aQuestion, const TargetRecord& aTarget) const;
+  Duration ExpectedWait(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const;
 
   // Returns how long the call's first event is expected to take at the target, that wait included.
-  Duration ExpectedFirstEvent(const PickQuestion& aQuestion, const TargetRecord& aTarget) const;
+  Duration ExpectedFirstEvent(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const;
 
   // Returns the share of the target's memory that requests would hold with this call, above 1 when
   // some of them would have to wait for others to end; 0 where its memory is not known.
-  double MemoryShare(const PickQuestion& aQuestion, const TargetId& aTarget) const;
+  double MemoryShare(const SelectionRequest& aQuestion, const TargetId& aTarget) const;
 
   // Returns the prompt tokens of the call that the target would read itself.
-  TokenCount ToRead(const PickQuestion& aQuestion, const TargetId& aTarget) const;
+  TokenCount UncachedTokens(const SelectionRequest& aQuestion, const TargetId& aTarget) const;
 
-  void OnSent(const TargetId& aTarget, const PickQuestion& aQuestion, const PickedWork& aWork);
-  void OnFirstEvent(const TargetId& aTarget, PickedWork& aWork);
-  void OnEnd(const TargetId& aTarget, const PickedWork& aWork);
+  void OnSent(const TargetId& aTarget, const SelectionRequest& aQuestion, const CallLoad& aWork);
+  void OnFirstEvent(const TargetId& aTarget, CallLoad& aWork);
+  void OnEnd(const TargetId& aTarget, const CallLoad& aWork);
 
   // The target has started again: it holds nothing, and what an earlier start of it ran is lost.
   void OnRestart(const TargetRecord& aTarget);
@@ -178,21 +178,21 @@
   SentLoad LoadOf(const TargetId& aTarget) const;
 
   // Returns a target that is believed to hold the part, of those in the list; null when none is.
-  const TargetRecord* HolderOf(const SizedPart& aPart,
-                               const std::vector<TargetRecord>& aTargets,
-                               const TargetRecord& aFor) const;
+  const TargetRecord* FindHolder(const SizedPart& aPart,
+                                 const std::vector<TargetRecord>& aTargets,
+                                 const TargetRecord& aFor) const;
 
   // How fast the engines of a model read.
-  const EnginePace& PaceOf(const ModelName& aModel) const;
+  const EngineLatencyModel& LatencyModelOf(const ModelName& aModel) const;
 
   // Takes how long the first event of a call took after it was sent. Calls before which other
   // prompts were read, as far as this host knows, say nothing of the engine and are passed over;
   // returns whether this one counted.
-  bool NotePace(const TargetId& aTarget,
-                const PickQuestion& aQuestion,
-                const PickedWork& aWork,
-                bool aFetched,
-                Duration aTook);
+  bool RecordFirstEvent(const TargetId& aTarget,
+                        const SelectionRequest& aQuestion,
+                        const CallLoad& aWork,
+                        bool aFetched,
+                        Duration aTook);
 
   // Takes how long a call of a model ran at its engine, from its sending to its end.
   void NoteRun(const ModelName& aModel, Duration aTook) { this->paces[aModel].NoteRun(aTook); }
@@ -200,20 +200,20 @@
   HeldParts& Held() { return this->held; }
 
 private:
-  std::vector<const TargetRecord*> Candidates(const PickQuestion& aQuestion,
+  std::vector<const TargetRecord*> Candidates(const SelectionRequest& aQuestion,
                                               const std::vector<const TargetRecord*>& aFit);
-  const TargetRecord* ChooseForPlainCall(const std::vector<const TargetRecord*>& aFit);
-  bool IsOfEarlierStart(const TargetId& aTarget, const PickedWork& aWork) const;
-  bool HoldsAll(const PickQuestion& aQuestion, const TargetId& aTarget) const;
-  double CostOf(const PickQuestion& aQuestion, const TargetRecord& aTarget) const;
-  double QueueAt(const PickQuestion& aQuestion, const TargetRecord& aTarget) const;
+  const TargetRecord* ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aFit);
+  bool IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aWork) const;
+  bool HoldsAllParts(const SelectionRequest& aQuestion, const TargetId& aTarget) const;
+  double CostOf(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const;
+  double QueueDelay(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const;
 
   const TargetHealth& health;
   const ZoneReach& reach;
-  PickCosts costs;
+  SelectionCosts costs;
   std::minstd_rand random;
   HeldParts held;
-  absl::flat_hash_map<ModelName, EnginePace> paces;
+  absl::flat_hash_map<ModelName, EngineLatencyModel> paces;
   // What this host has at targets.
   absl::flat_hash_map<TargetId, SentLoad> loads;
   // Targets that have started again under their ids, with their newest starts.
@@ -222,7 +222,7 @@
   std::map<TargetId, std::vector<SizedPart>> untold;
   bool urgent = false;
   // What this host told of itself; the sums that come back contain it.
-  absl::flat_hash_map<TargetId, SentLoad> ownTold;
+  absl::flat_hash_map<TargetId, SentLoad> ownReported;
   // Sums by control host.
   SendsSum told;
 };
--- a/include/damasklink/coordination/WeightRollout.h
+++ b/include/damasklink/coordination/WeightRollout.h
@@ -30,7 +30,7 @@
   Duration orderLease = std::chrono::milliseconds(3300);
   // Share of the engines of a model that are out of service at once, at most. The others read
   // prompts anew meanwhile, and have the less room for the load of those that are out.
-  double shareAtOnce = 0.2;
+  double maxUnavailableShare = 0.2;
   // How long an engine gets no new work before it is ordered. Most of its runs end in that time;
   // the others go on under the new weights, which is worth less to their callers than whole
   // answers, but takes the engine out for a second and not for as long as its longest run.
@@ -40,7 +40,7 @@
   Duration spread = std::chrono::milliseconds(5500);
   // An engine loads within a second or two; much later its order was lost, or will be carried out
   // late.
-  Duration orderPatience = std::chrono::milliseconds(2500);
+  Duration orderTimeout = std::chrono::milliseconds(2500);
   // Between two questions to an engine that is under an order.
   Duration reportInterval = std::chrono::milliseconds(300);
 };
@@ -128,8 +128,8 @@
   };
 
   bool MayOrder() const;
-  bool AreKnown(const std::vector<TargetRecord>& aEngines) const;
-  void TakeEngines(const std::vector<TargetRecord>& aEngines);
+  bool AreUnchanged(const std::vector<TargetRecord>& aEngines) const;
+  void UpdateEngines(const std::vector<TargetRecord>& aEngines);
   std::optional<RolloutAction> Advance(const TargetRecord& aEngine, Work& aWork);
   static std::uint64_t VersionOf(const std::vector<ServedModel>& aModels, const ModelName& aModel);
 
--- a/include/damasklink/coordination/ZoneReach.h
+++ b/include/damasklink/coordination/ZoneReach.h
@@ -46,7 +46,7 @@
   void OnBytes(const ZoneId& aZone) { this->entries.erase(aZone); }
 
   // Tells what the call showed of its target.
-  void OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSign aSign);
+  void OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSignal aSign);
 
   // Returns whether the zone is left alone, or is being tried by a call.
   bool IsOut(const ZoneId& aZone) const;
--- a/include/damasklink/protocol/TargetsWire.h
+++ b/include/damasklink/protocol/TargetsWire.h
@@ -1,7 +1,7 @@
 // Encoding of what hosts say to each other about targets.
 #pragma once
 
-#include "damasklink/coordination/TargetSpread.h"
+#include "damasklink/coordination/TargetBroadcaster.h"
 
 namespace damasklink {
 
--- a/src/coordination/RelayPlan.cpp
+++ b/src/coordination/AttemptRecovery.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/RelayPlan.h"
+#include "damasklink/coordination/AttemptRecovery.h"
 
 namespace damasklink {
 
@@ -14,23 +14,23 @@
 
 } // namespace
 
-RelayStep
-DecideRelayStep(const LostAttempt& aLost)
+RecoveryStep
+DecideRecoveryStep(const LostAttempt& aLost)
 {
   const bool over = aLost.timeLeft <= Duration(0) || IsFinal(aLost.kind);
-  if (over || aLost.tries >= kMostTries) {
-    return RelayStep::GiveUp;
+  if (over || aLost.tries >= kMaxTries) {
+    return RecoveryStep::GiveUp;
   }
   if (aLost.tokens == 0) {
     const bool mayRepeat = aLost.repeatable || aLost.outcome == RunOutcome::NotRun;
-    return mayRepeat ? RelayStep::Repeat : RelayStep::GiveUp;
+    return mayRepeat ? RecoveryStep::Repeat : RecoveryStep::GiveUp;
   }
   // A target that answers resumptions without bringing the answer on is as good as gone.
-  const bool broughtOn = aLost.tokens > aLost.tokensAtStart;
+  const bool broughtOn = aLost.tokens > aLost.tokensBefore;
   if (!aLost.resumed || broughtOn) {
-    return RelayStep::Resume;
+    return RecoveryStep::Resume;
   }
-  return aLost.held ? RelayStep::Continue : RelayStep::GiveUp;
+  return aLost.held ? RecoveryStep::Continue : RecoveryStep::GiveUp;
 }
 
 } // namespace damasklink
--- a/src/coordination/CostRouter.cpp
+++ b/src/coordination/CostRouter.cpp
@@ -62,7 +62,7 @@
 CostRouter::CostRouter(const Clock& aClock, CostRouterOptions aOptions)
   : clock(aClock)
   , options(aOptions)
-  , caches(aOptions.mostBlocksPerTarget)
+  , caches(aOptions.maxBlocksPerTarget)
 {
 }
 
@@ -70,7 +70,7 @@
 CostRouter::Choose(const RouteRequest& aRequest, const std::vector<TargetRecord>& aTargets)
 {
   this->now = this->clock.MonotonicNow();
-  this->DropGone(aTargets);
+  this->DropRemoved(aTargets);
   this->FindCandidates(aRequest, aTargets);
   const Candidate* best = this->Best(aRequest);
   if (best == nullptr) {
@@ -120,11 +120,11 @@
     return aLeft.estimate.cost < aRight.estimate.cost;
   };
   const auto least = std::min_element(this->candidates.begin(), this->candidates.end(), cheaper);
-  if (least == this->candidates.end() || !this->options.spreadEqual) {
+  if (least == this->candidates.end() || !this->options.breakTiesByAffinity) {
     return least == this->candidates.end() ? nullptr : &*least;
   }
   const double equal =
-    (this->options.equalShare * least->estimate.firstToken) + this->options.equalSeconds;
+    (this->options.tieShare * least->estimate.firstToken) + this->options.tieSeconds;
   const double limit = least->estimate.cost + (aRequest.objective.time * equal);
   const std::uint64_t prompt = aRequest.blocks.empty() ? 0 : BlockHint(aRequest.blocks.back());
   const Candidate* best = nullptr;
@@ -193,7 +193,7 @@
 }
 
 void
-CostRouter::DropGone(const std::vector<TargetRecord>& aTargets)
+CostRouter::DropRemoved(const std::vector<TargetRecord>& aTargets)
 {
   if (this->states.size() <= (2 * aTargets.size()) + kSpareStates) {
     return;
@@ -221,10 +221,10 @@
 double
 CostRouter::RateOf(const TargetState& aState) const
 {
-  if (this->options.learnRates && aState.learntFrom >= this->options.learnAfter) {
+  if (this->options.learnRates && aState.learntFrom >= this->options.minRateSamples) {
     return aState.learntRate;
   }
-  return aState.declaredRate > 0 ? aState.declaredRate : this->options.priorPrefillRate;
+  return aState.declaredRate > 0 ? aState.declaredRate : this->options.defaultPrefillRate;
 }
 
 double
@@ -234,7 +234,7 @@
   const double drained = Seconds(this->now - aState.loadAt) * rate;
   const auto reported = static_cast<double>(aState.load.queuedPrefill.Value());
   double waiting = std::max(0.0, reported + aState.sentPrefill - drained);
-  if (this->options.correctByOwn) {
+  if (this->options.countOwnSends) {
     // What has not answered yet is surely still there, whatever the report's age.
     waiting = std::max(waiting, aState.ownPrefill);
   }
@@ -337,7 +337,7 @@
   sent.wait = Seconds(aDecision.expectedFirstToken) - (sent.prefill / this->RateOf(*state));
   sent.imports = !aDecision.importFrom.Empty();
   state->ownPrefill += sent.prefill;
-  if (this->options.correctByOwn) {
+  if (this->options.countOwnSends) {
     this->AddSend(*state, { this->clock.MonotonicNow(), 1, sent.prefill });
   }
   ++state->untold.requests;
@@ -417,10 +417,10 @@
   this->Answered(sent, state);
 }
 
-std::vector<TargetSends>
+std::vector<TargetSendsDelta>
 CostRouter::TakeSends()
 {
-  std::vector<TargetSends> sends;
+  std::vector<TargetSendsDelta> sends;
   for (TargetState& state : this->states) {
     if (state.untold.requests > 0) {
       sends.push_back(state.untold);
@@ -432,13 +432,13 @@
 }
 
 void
-CostRouter::OnPeerSends(const std::vector<TargetSends>& aSends)
+CostRouter::OnPeerSends(const std::vector<TargetSendsDelta>& aSends)
 {
-  if (!this->options.correctByPeers) {
+  if (!this->options.countPeerSends) {
     return;
   }
   const MonotonicTime at = this->clock.MonotonicNow();
-  for (const TargetSends& sends : aSends) {
+  for (const TargetSendsDelta& sends : aSends) {
     if (TargetState* state = this->Find(sends.target)) {
       this->AddSend(*state, { at, sends.requests, static_cast<double>(sends.prefill.Value()) });
     }
--- a/src/coordination/EnginePace.cpp
+++ b/src/coordination/EngineLatencyModel.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/EnginePace.h"
+#include "damasklink/coordination/EngineLatencyModel.h"
 
 #include <algorithm>
 
@@ -14,15 +14,15 @@
 } // namespace
 
 void
-RecentMedian::Observe(double aValue)
+MovingMedian::Observe(double aValue)
 {
   this->values.at(this->next) = aValue;
-  this->next = (this->next + 1) % kObservations;
-  this->count = std::min(this->count + 1, kObservations);
-  if (this->count < kLeastObservations) {
+  this->next = (this->next + 1) % kWindowSize;
+  this->count = std::min(this->count + 1, kWindowSize);
+  if (this->count < kMinObservations) {
     return;
   }
-  std::array<double, kObservations> sorted = this->values;
+  std::array<double, kWindowSize> sorted = this->values;
   const auto middle = sorted.begin() + static_cast<std::ptrdiff_t>(this->count / 2);
   std::nth_element(
     sorted.begin(), middle, sorted.begin() + static_cast<std::ptrdiff_t>(this->count));
@@ -30,26 +30,26 @@
 }
 
 void
-EnginePace::NoteReading(TokenCount aRead, Duration aTook)
+EngineLatencyModel::RecordPrefill(TokenCount aRead, Duration aTook)
 {
   if (aRead == TokenCount()) {
     return;
   }
-  const double reading = Milliseconds(aTook) - this->FirstStep();
+  const double reading = Milliseconds(aTook) - this->BaseLatency();
   const double perRead = reading / static_cast<double>(aRead.Value());
-  this->perToken.Observe(std::clamp(perRead, kLeastPerToken, kMostPerToken));
+  this->perToken.Observe(std::clamp(perRead, kMinPerToken, kMaxPerToken));
 }
 
 void
-EnginePace::NoteShort(Duration aTook)
+EngineLatencyModel::RecordShortPrompt(Duration aTook)
 {
-  this->firstStep.Observe(std::clamp(Milliseconds(aTook), 0.0, kMostFirstStep));
+  this->firstStep.Observe(std::clamp(Milliseconds(aTook), 0.0, kMaxBaseLatency));
 }
 
 void
-EnginePace::NoteRun(Duration aTook)
+EngineLatencyModel::NoteRun(Duration aTook)
 {
-  this->run += kRunWeight * (Milliseconds(aTook) - this->run);
+  this->run += kRunTimeWeight * (Milliseconds(aTook) - this->run);
 }
 
 } // namespace damasklink
--- a/src/coordination/ExchangePlan.cpp
+++ b/src/coordination/ExchangeRetryPolicy.cpp
@@ -1,26 +1,26 @@
-#include "damasklink/coordination/ExchangePlan.h"
+#include "damasklink/coordination/ExchangeRetryPolicy.h"
 
 #include <utility>
 
 namespace damasklink {
 
 std::string_view
-AttemptEndName(AttemptEnd aEnd)
+AttemptResultName(AttemptResult aEnd)
 {
   switch (aEnd) {
-    case AttemptEnd::Delivered:
+    case AttemptResult::Delivered:
       return "delivered";
-    case AttemptEnd::Unreachable:
+    case AttemptResult::Unreachable:
       return "unreachable";
-    case AttemptEnd::Refused:
+    case AttemptResult::Refused:
       return "refused";
-    case AttemptEnd::Failed:
+    case AttemptResult::Failed:
       return "failed";
-    case AttemptEnd::Broken:
+    case AttemptResult::Broken:
       return "broken";
-    case AttemptEnd::Expired:
+    case AttemptResult::Expired:
       return "expired";
-    case AttemptEnd::CallerLeft:
+    case AttemptResult::CallerLeft:
       return "caller_left";
   }
   return "unknown";
@@ -49,42 +49,42 @@
 }
 
 void
-ExchangePlan::Begin(AttemptId aAttempt, TargetId aTarget)
+ExchangeRetryPolicy::Begin(AttemptId aAttempt, TargetId aTarget)
 {
   this->record.Begin(std::move(aAttempt), std::move(aTarget));
 }
 
 void
-ExchangePlan::Sending()
+ExchangeRetryPolicy::Sending()
 {
   this->record.Advance(AttemptStage::Sending);
   ++this->sent;
 }
 
 ExchangeStep
-ExchangePlan::After(AttemptEnd aEnd, MonotonicTime aNow, RetryBudget& aBudget)
+ExchangeRetryPolicy::After(AttemptResult aEnd, MonotonicTime aNow, RetryBudget& aBudget)
 {
   switch (aEnd) {
-    case AttemptEnd::Delivered:
+    case AttemptResult::Delivered:
       this->record.Advance(AttemptStage::Finished);
       return ExchangeStep::Done;
-    case AttemptEnd::CallerLeft:
+    case AttemptResult::CallerLeft:
       return ExchangeStep::Done;
-    case AttemptEnd::Unreachable:
+    case AttemptResult::Unreachable:
       ++this->unreachable;
       break;
-    case AttemptEnd::Refused:
+    case AttemptResult::Refused:
       this->record.Advance(AttemptStage::Refused);
       break;
-    case AttemptEnd::Failed:
-    case AttemptEnd::Broken:
+    case AttemptResult::Failed:
+    case AttemptResult::Broken:
       this->record.Advance(AttemptStage::Lost);
       break;
-    case AttemptEnd::Expired:
+    case AttemptResult::Expired:
       break;
   }
   // A send after one that cannot have arrived is no repeat.
-  const bool costs = aEnd != AttemptEnd::Unreachable || this->sent > 0;
+  const bool costs = aEnd != AttemptResult::Unreachable || this->sent > 0;
   if (this->MayTryAnother(aEnd, aNow) && (!costs || aBudget.TryTake())) {
     return ExchangeStep::TryAnother;
   }
@@ -92,40 +92,40 @@
 }
 
 ExchangeStep
-ExchangePlan::WithoutTarget() const
+ExchangeRetryPolicy::WithoutTarget() const
 {
-  return this->GiveUp(AttemptEnd::Unreachable);
+  return this->GiveUp(AttemptResult::Unreachable);
 }
 
 bool
-ExchangePlan::MayTryAnother(AttemptEnd aEnd, MonotonicTime aNow) const
+ExchangeRetryPolicy::MayTryAnother(AttemptResult aEnd, MonotonicTime aNow) const
 {
-  if (aEnd == AttemptEnd::Expired || aNow + kLeastTime >= this->terms.endsAt) {
+  if (aEnd == AttemptResult::Expired || aNow + kMinTimeLeft >= this->terms.endsAt) {
     return false;
   }
-  if (this->sent >= this->terms.mostTargets || this->unreachable >= kMostUnreachable) {
+  if (this->sent >= this->terms.mostTargets || this->unreachable >= kMaxUnreachable) {
     return false;
   }
   return this->terms.repeatable || this->CertainlyNotRun();
 }
 
 ExchangeStep
-ExchangePlan::GiveUp(AttemptEnd aEnd) const
+ExchangeRetryPolicy::GiveUp(AttemptResult aEnd) const
 {
   if (this->passedOn) {
     return ExchangeStep::CutOff;
   }
-  if (aEnd == AttemptEnd::Failed) {
+  if (aEnd == AttemptResult::Failed) {
     return ExchangeStep::PassOn;
   }
   if (this->CertainlyNotRun()) {
     return ExchangeStep::Refuse;
   }
-  return aEnd == AttemptEnd::Expired ? ExchangeStep::Expire : ExchangeStep::Fail;
+  return aEnd == AttemptResult::Expired ? ExchangeStep::Expire : ExchangeStep::Fail;
 }
 
 bool
-ExchangePlan::CertainlyNotRun() const
+ExchangeRetryPolicy::CertainlyNotRun() const
 {
   return this->record.Outcome() == RunOutcome::NotRun;
 }
--- a/src/coordination/OrdersMachine.cpp
+++ b/src/coordination/OrderStateMachine.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/OrdersMachine.h"
+#include "damasklink/coordination/OrderStateMachine.h"
 
 #include "damasklink/coordination/ChangeAnswers.h"
 #include "damasklink/state/CompactCodec.h"
@@ -8,9 +8,9 @@
 
 constexpr std::uint64_t kSnapshotVersion = 1;
 // Stops of deployments that are long gone; the first by name go first.
-constexpr std::size_t kMostStops = 10'000;
+constexpr std::size_t kMaxStops = 10'000;
 
-enum class OrdersCommand : std::uint8_t
+enum class OrderCommand : std::uint8_t
 {
   Issue = 1,
   Stop = 2,
@@ -18,8 +18,8 @@
 
 } // namespace
 
-WishHash
-HashOfWish(const Deployment& aDeployment)
+DesiredStateHash
+HashDesiredState(const Deployment& aDeployment)
 {
   CompactWriter writer;
   writer.Id(aDeployment.model).Id(aDeployment.version);
@@ -31,13 +31,13 @@
 }
 
 std::string
-OrdersMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
+OrderStateMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
 {
   CompactReader reader(aCommand);
   const std::uint64_t command = reader.Number();
-  if (command == static_cast<std::uint64_t>(OrdersCommand::Issue)) {
+  if (command == static_cast<std::uint64_t>(OrderCommand::Issue)) {
     this->lastIssued = this->lastIssued.Next();
-  } else if (command == static_cast<std::uint64_t>(OrdersCommand::Stop)) {
+  } else if (command == static_cast<std::uint64_t>(OrderCommand::Stop)) {
     const auto deployment = reader.Id<DeploymentName>();
     RolloutStop stop;
     stop.wish = reader.Number();
@@ -46,7 +46,7 @@
     if (reader.AtCleanEnd()) {
       this->stops[deployment] = std::move(stop);
     }
-    if (this->stops.size() > kMostStops) {
+    if (this->stops.size() > kMaxStops) {
       this->stops.erase(this->stops.begin());
     }
   }
@@ -56,7 +56,7 @@
 }
 
 std::string
-OrdersMachine::Save() const
+OrderStateMachine::Save() const
 {
   CompactWriter writer;
   writer.Number(kSnapshotVersion).Id(this->lastIssued).Number(this->stops.size());
@@ -68,11 +68,11 @@
 }
 
 Result<void>
-OrdersMachine::Load(std::string_view aSnapshot)
+OrderStateMachine::Load(std::string_view aSnapshot)
 {
   CompactReader reader(aSnapshot);
   const std::uint64_t version = reader.Number();
-  OrdersMachine loaded;
+  OrderStateMachine loaded;
   loaded.lastIssued = reader.NumberAs<FencingNumber>();
   const std::size_t count = reader.Count();
   for (std::size_t index = 0; index < count && !reader.Bad(); ++index) {
@@ -91,7 +91,7 @@
 }
 
 const RolloutStop*
-OrdersMachine::FindStop(const DeploymentName& aDeployment, WishHash aWish) const
+OrderStateMachine::FindStop(const DeploymentName& aDeployment, DesiredStateHash aWish) const
 {
   const auto found = this->stops.find(aDeployment);
   const bool stopped = found != this->stops.end() && found->second.wish == aWish;
@@ -99,18 +99,20 @@
 }
 
 std::string
-PackIssueOrder(const TargetId& aTarget)
+PackIssueFencing(const TargetId& aTarget)
 {
   CompactWriter writer;
-  writer.Number(static_cast<std::uint64_t>(OrdersCommand::Issue)).Id(aTarget);
+  writer.Number(static_cast<std::uint64_t>(OrderCommand::Issue)).Id(aTarget);
   return std::move(writer).Take();
 }
 
 std::string
-PackStopRollout(const DeploymentName& aDeployment, WishHash aWish, const std::string& aReason)
+PackStopRollout(const DeploymentName& aDeployment,
+                DesiredStateHash aWish,
+                const std::string& aReason)
 {
   CompactWriter writer;
-  writer.Number(static_cast<std::uint64_t>(OrdersCommand::Stop)).Id(aDeployment);
+  writer.Number(static_cast<std::uint64_t>(OrderCommand::Stop)).Id(aDeployment);
   writer.Number(aWish).Text(aReason);
   return std::move(writer).Take();
 }
--- a/src/coordination/TargetSpread.cpp
+++ b/src/coordination/TargetBroadcaster.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetSpread.h"
+#include "damasklink/coordination/TargetBroadcaster.h"
 
 #include "damasklink/state/CompactCodec.h"
 #include "damasklink/state/Digests.h"
@@ -8,8 +8,8 @@
 namespace {
 
 // The home gives up on a target after this share of the limit, so that peers hear of it within.
-constexpr int kHomeSilenceParts = 3;
-constexpr int kSilenceParts = 4;
+constexpr int kHomeSilenceNumerator = 3;
+constexpr int kHomeSilenceDenominator = 4;
 
 } // namespace
 
@@ -33,10 +33,10 @@
   return ShortHash(std::move(writer).Take());
 }
 
-TargetSpread::TargetSpread(const Clock& aClock, const HostSettings& aSettings)
+TargetBroadcaster::TargetBroadcaster(const Clock& aClock, const HostSettings& aSettings)
   : clock(aClock)
   , self(aSettings.host)
-  , homeSilence(aSettings.timeouts.targetSilence * kHomeSilenceParts / kSilenceParts)
+  , homeSilence(aSettings.timeouts.targetSilence * kHomeSilenceNumerator / kHomeSilenceDenominator)
   , registry(aClock, this->homeSilence)
   , nextRefresh(aClock.MonotonicNow())
   , nextFarRefresh(this->nextRefresh)
@@ -49,7 +49,7 @@
 }
 
 void
-TargetSpread::OnAnnouncement(const TargetRecord& aRecord)
+TargetBroadcaster::OnAnnouncement(const TargetRecord& aRecord)
 {
   const TargetRecord* held = this->registry.Find(aRecord.id);
   const std::uint32_t before = held == nullptr ? 0 : FingerprintOfTarget(*held);
@@ -70,7 +70,7 @@
 }
 
 void
-TargetSpread::OnMessage(const HostId& aFrom, const TargetsMessage& aMessage)
+TargetBroadcaster::OnMessage(const HostId& aFrom, const TargetsMessage& aMessage)
 {
   if (aMessage.kind == TargetsMessageKind::Ask) {
     this->outgoing.push_back({ aFrom, this->OwnRecords() });
@@ -80,11 +80,11 @@
     this->TakeRecord(aFrom, record);
   }
   bool allKnown = true;
-  for (const TargetSign& sign : aMessage.signs) {
+  for (const TargetKeepalive& sign : aMessage.signs) {
     if (aMessage.kind == TargetsMessageKind::Silent) {
       this->TakeSilence(aFrom, sign);
     } else {
-      allKnown = this->TakeSign(aFrom, sign) && allKnown;
+      allKnown = this->TakeKeepalive(aFrom, sign) && allKnown;
     }
   }
   const MonotonicTime now = this->clock.MonotonicNow();
@@ -96,7 +96,7 @@
 }
 
 void
-TargetSpread::TakeRecord(const HostId& aFrom, const TargetRecord& aRecord)
+TargetBroadcaster::TakeRecord(const HostId& aFrom, const TargetRecord& aRecord)
 {
   if (this->registry.Merge(aRecord, kRemoteSilence)) {
     this->homes[aRecord.id] = aFrom;
@@ -105,7 +105,7 @@
 }
 
 bool
-TargetSpread::TakeSign(const HostId& aFrom, const TargetSign& aSign)
+TargetBroadcaster::TakeKeepalive(const HostId& aFrom, const TargetKeepalive& aSign)
 {
   const auto found = this->byHash.find(aSign.target);
   const TargetRecord* held =
@@ -124,7 +124,7 @@
 }
 
 void
-TargetSpread::TakeSilence(const HostId& aFrom, const TargetSign& aSign)
+TargetBroadcaster::TakeSilence(const HostId& aFrom, const TargetKeepalive& aSign)
 {
   const auto found = this->byHash.find(aSign.target);
   const TargetRecord* held =
@@ -135,7 +135,7 @@
 }
 
 void
-TargetSpread::OnTick()
+TargetBroadcaster::OnTick()
 {
   this->ReportSilence();
   const MonotonicTime now = this->clock.MonotonicNow();
@@ -151,7 +151,7 @@
 }
 
 void
-TargetSpread::Forget()
+TargetBroadcaster::Forget()
 {
   this->registry.Expire();
   std::erase_if(this->homes,
@@ -161,7 +161,7 @@
 }
 
 void
-TargetSpread::ReportSilence()
+TargetBroadcaster::ReportSilence()
 {
   TargetsMessage silence{ TargetsMessageKind::Silent, {}, {} };
   for (const auto& [target, home] : this->homes) {
@@ -177,7 +177,7 @@
 }
 
 void
-TargetSpread::SendRefresh(const std::vector<HostId>& aPeers)
+TargetBroadcaster::SendRefresh(const std::vector<HostId>& aPeers)
 {
   TargetsMessage refresh{ TargetsMessageKind::Refresh, {}, {} };
   for (const auto& [target, home] : this->homes) {
@@ -194,13 +194,13 @@
 }
 
 std::vector<OutgoingTargetsMessage>
-TargetSpread::TakeOutgoing()
+TargetBroadcaster::TakeOutgoing()
 {
   return std::exchange(this->outgoing, {});
 }
 
 void
-TargetSpread::SendToAll(const TargetsMessage& aMessage)
+TargetBroadcaster::SendToAll(const TargetsMessage& aMessage)
 {
   for (const std::vector<HostId>* group : { &this->near, &this->far }) {
     for (const HostId& peer : *group) {
@@ -210,7 +210,7 @@
 }
 
 TargetsMessage
-TargetSpread::OwnRecords() const
+TargetBroadcaster::OwnRecords() const
 {
   TargetsMessage message{ TargetsMessageKind::Records, {}, {} };
   for (const auto& [target, home] : this->homes) {
@@ -222,16 +222,16 @@
   return message;
 }
 
-TargetSign
-TargetSpread::SignOf(const TargetRecord& aRecord) const
+TargetKeepalive
+TargetBroadcaster::SignOf(const TargetRecord& aRecord) const
 {
-  return TargetSign{
+  return TargetKeepalive{
     ShortHash(aRecord.id.Value()), FingerprintOfTarget(aRecord), aRecord.sequence, aRecord.load
   };
 }
 
 bool
-TargetSpread::IsOwn(const TargetId& aTarget) const
+TargetBroadcaster::IsOwn(const TargetId& aTarget) const
 {
   const auto found = this->homes.find(aTarget);
   return found != this->homes.end() && found->second == this->self;
--- a/src/coordination/TargetBoard.cpp
+++ b/src/coordination/TargetDirectory.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetBoard.h"
+#include "damasklink/coordination/TargetDirectory.h"
 
 #include <algorithm>
 #include <utility>
@@ -24,7 +24,7 @@
 } // namespace
 
 void
-TargetBoard::Take(const HostId& aFrom, const TargetStatement& aStatement)
+TargetDirectory::Take(const HostId& aFrom, const TargetStatement& aStatement)
 {
   const auto [position, isNew] = this->entries.try_emplace(aStatement.record.id);
   Entry& entry = position->second;
@@ -32,7 +32,7 @@
     return;
   }
   if (!isNew && aStatement.record.incarnation > entry.record.incarnation) {
-    this->BeginNewStart(aStatement, entry);
+    this->ResetForRestart(aStatement, entry);
   }
   if (isNew && aStatement.standing == TargetStanding::Usable) {
     this->appeared.push_back(aStatement.record);
@@ -46,13 +46,13 @@
   }
   entry.words[aFrom] = Word{ aStatement.record.sequence, aStatement.standing, aStatement.paused };
   if (aStatement.standing == TargetStanding::Leaving) {
-    this->MarkGone(aStatement.record.id, entry);
+    this->MarkEntryRemoved(aStatement.record.id, entry);
   }
   this->Changed();
 }
 
 void
-TargetBoard::BeginNewStart(const TargetStatement& aStatement, Entry& aEntry)
+TargetDirectory::ResetForRestart(const TargetStatement& aStatement, Entry& aEntry)
 {
   const TargetId& target = aStatement.record.id;
   if (aEntry.gone) {
@@ -64,20 +64,20 @@
 }
 
 void
-TargetBoard::MarkGone(const TargetId& aTarget, Entry& aEntry)
+TargetDirectory::MarkEntryRemoved(const TargetId& aTarget, Entry& aEntry)
 {
   if (std::exchange(aEntry.gone, true)) {
     return;
   }
   this->gone.push_back(aTarget);
-  if (this->gone.size() > kMostGone) {
+  if (this->gone.size() > kMaxRemoved) {
     this->entries.erase(this->gone.front());
     this->gone.pop_front();
   }
 }
 
 void
-TargetBoard::OnLink(const HostId& aHost, bool aUp)
+TargetDirectory::OnLink(const HostId& aHost, bool aUp)
 {
   const bool changed =
     aUp ? this->connected.insert(aHost).second : this->connected.erase(aHost) > 0;
@@ -87,14 +87,14 @@
 }
 
 void
-TargetBoard::SetEvacuated(std::set<ZoneId> aZones)
+TargetDirectory::SetEvacuated(std::set<ZoneId> aZones)
 {
   this->evacuated = std::move(aZones);
   this->Changed();
 }
 
 std::vector<TargetRecord>
-TargetBoard::InZone(const ZoneId& aZone) const
+TargetDirectory::InZone(const ZoneId& aZone) const
 {
   std::vector<TargetRecord> found;
   for (const auto& [id, entry] : this->entries) {
@@ -106,31 +106,31 @@
 }
 
 bool
-TargetBoard::IsMostlySilent(const ZoneId& aZone) const
+TargetDirectory::IsMostlySilent(const ZoneId& aZone) const
 {
   std::size_t all = 0;
   std::size_t usable = 0;
   for (const auto& [id, entry] : this->entries) {
     if (!entry.gone && entry.record.zone == aZone) {
       ++all;
-      usable += this->CountsUsable(entry) ? 1 : 0;
+      usable += this->IsReportedUsable(entry) ? 1 : 0;
     }
   }
   return usable * 2 < all;
 }
 
 void
-TargetBoard::NoteGone(const TargetId& aTarget)
+TargetDirectory::MarkRemoved(const TargetId& aTarget)
 {
   const auto found = this->entries.find(aTarget);
   if (found != this->entries.end() && !found->second.gone) {
-    this->MarkGone(aTarget, found->second);
+    this->MarkEntryRemoved(aTarget, found->second);
     this->Changed();
   }
 }
 
 const std::vector<TargetRecord>&
-TargetBoard::Usable(const ServiceName& aService) const
+TargetDirectory::Usable(const ServiceName& aService) const
 {
   static const std::vector<TargetRecord> kNone;
   if (this->builtVersion != this->version) {
@@ -141,21 +141,21 @@
 }
 
 const TargetRecord*
-TargetBoard::Find(const TargetId& aTarget) const
+TargetDirectory::Find(const TargetId& aTarget) const
 {
   const auto found = this->entries.find(aTarget);
   return found == this->entries.end() || found->second.gone ? nullptr : &found->second.record;
 }
 
 void
-TargetBoard::Changed()
+TargetDirectory::Changed()
 {
   ++this->version;
 }
 
 // The words of connected hosts count; those of others only where no connected one has spoken.
 bool
-TargetBoard::CountsUsable(const Entry& aEntry) const
+TargetDirectory::IsReportedUsable(const Entry& aEntry) const
 {
   bool spoken = false;
   bool lastWord = false;
@@ -173,7 +173,7 @@
 }
 
 bool
-TargetBoard::IsPaused(const Entry& aEntry) const
+TargetDirectory::IsPaused(const Entry& aEntry) const
 {
   return std::any_of(aEntry.words.begin(), aEntry.words.end(), [&](const auto& aItem) {
     return aItem.second.paused && this->connected.contains(aItem.first);
@@ -181,7 +181,7 @@
 }
 
 void
-TargetBoard::Rebuild() const
+TargetDirectory::Rebuild() const
 {
   this->usable.clear();
   std::map<ServiceName, std::vector<TargetRecord>> paused;
@@ -191,7 +191,7 @@
       continue;
     }
     const ServiceName& service = entry.record.service;
-    if (!this->CountsUsable(entry)) {
+    if (!this->IsReportedUsable(entry)) {
       silent[service].push_back(entry.record);
     } else if (this->IsPaused(entry)) {
       paused[service].push_back(entry.record);
--- a/src/coordination/TargetHealth.cpp
+++ b/src/coordination/TargetHealth.cpp
@@ -15,12 +15,12 @@
 }
 
 void
-TargetHealth::OnEnd(const TargetId& aTarget, HealthSign aSign)
+TargetHealth::OnEnd(const TargetId& aTarget, HealthSignal aSign)
 {
-  if (aSign == HealthSign::Good) {
+  if (aSign == HealthSignal::Good) {
     const auto found = this->entries.find(aTarget);
     if (found != this->entries.end()) {
-      if (found->second.believedGone) {
+      if (found->second.reportedUnreachable) {
         TargetFindings& findings = this->untold[aTarget];
         findings.target = aTarget;
         findings.back = 1;
@@ -29,7 +29,7 @@
     }
     return;
   }
-  if (aSign == HealthSign::None) {
+  if (aSign == HealthSignal::None) {
     if (const auto found = this->entries.find(aTarget); found != this->entries.end()) {
       found->second.probing = false;
     }
@@ -40,12 +40,13 @@
   const bool probeFailed = entry.probing;
   entry.probing = false;
   const bool alreadyOut = this->clock.MonotonicNow() < entry.ejectedUntil;
-  if (aSign == HealthSign::Gone && !alreadyOut && this->untold.size() < kMostUntold) {
+  if (aSign == HealthSignal::NotReached && !alreadyOut &&
+      this->untold.size() < kMaxPendingFindings) {
     TargetFindings& findings = this->untold[aTarget];
     findings.target = aTarget;
     findings.gone = 1;
   }
-  const bool enough = entry.failures >= kFailuresInRow || aSign == HealthSign::Gone;
+  const bool enough = entry.failures >= kConsecutiveFailures || aSign == HealthSignal::NotReached;
   if (!alreadyOut && (probeFailed || enough)) {
     this->Eject(entry);
   }
@@ -62,10 +63,10 @@
 TargetHealth::Eject(Entry& aEntry)
 {
   Duration length = kFirstEjection;
-  for (int index = 0; index < aEntry.ejections && length < kLongestEjection; ++index) {
+  for (int index = 0; index < aEntry.ejections && length < kMaxEjection; ++index) {
     length *= 2;
   }
-  length = std::min(length, kLongestEjection);
+  length = std::min(length, kMaxEjection);
   // Jitter, so that targets ejected together do not come back together.
   std::uniform_int_distribution<std::int64_t> jitter(0, length.count() / 4);
   aEntry.ejectedUntil = this->clock.MonotonicNow() + length + Duration(jitter(this->random));
@@ -88,31 +89,31 @@
   for (const TargetFindings& found : aFindings) {
     if (found.back > 0) {
       std::erase_if(this->entries, [&](const auto& aItem) {
-        return aItem.first == found.target && aItem.second.believedGone;
+        return aItem.first == found.target && aItem.second.reportedUnreachable;
       });
     } else if (found.gone > 0) {
-      this->TakeGone(found);
+      this->TakeUnreachable(found);
     }
   }
 }
 
 void
-TargetHealth::TakeGone(const TargetFindings& aFound)
+TargetHealth::TakeUnreachable(const TargetFindings& aFound)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   Entry& entry = this->entries[aFound.target];
-  if (entry.findings == 0 || now - entry.findingsSince > kFindingsFitWithin) {
+  if (entry.findings == 0 || now - entry.findingsSince > kReportWindow) {
     entry.findings = 0;
     entry.findingsSince = now;
   }
   entry.findings += aFound.gone;
   // Once it is believed, one host that tried in vain is enough.
-  if (!entry.believedGone && entry.findings < kFindingsToBelieve) {
+  if (!entry.reportedUnreachable && entry.findings < kReportsToEject) {
     return;
   }
-  entry.believedGone = true;
+  entry.reportedUnreachable = true;
   entry.ejections = std::max(entry.ejections, 1);
-  std::uniform_int_distribution<std::int64_t> spread(0, kTriesSpread.count());
+  std::uniform_int_distribution<std::int64_t> spread(0, kProbeSpread.count());
   const MonotonicTime until = now + kFirstEjection + Duration(spread(this->random));
   entry.ejectedUntil = std::max(entry.ejectedUntil, until);
 }
--- a/src/coordination/TargetOrders.cpp
+++ b/src/coordination/TargetOrders.cpp
@@ -44,7 +44,7 @@
 } // namespace
 
 bool
-HasWishedEnd(const TargetRecord& aRecord, const Deployment& aDeployment)
+HasDesiredState(const TargetRecord& aRecord, const Deployment& aDeployment)
 {
   bool served = false;
   for (const ServedModel& model : aRecord.models) {
@@ -59,7 +59,9 @@
   return served && HasRole(aRecord.role, aDeployment.role);
 }
 
-TargetOrders::TargetOrders(const Clock& aClock, OrderLimits aLimits, const OrdersMachine& aMachine)
+TargetOrders::TargetOrders(const Clock& aClock,
+                           OrderTimings aLimits,
+                           const OrderStateMachine& aMachine)
   : clock(aClock)
   , limits(aLimits)
   , machine(aMachine)
@@ -88,7 +90,8 @@
   }
   std::erase_if(this->open, [&](const auto& aItem) {
     const auto deployment = aDeployments.find(aItem.second.deployment);
-    return deployment == aDeployments.end() || HashOfWish(deployment->second) != aItem.second.wish;
+    return deployment == aDeployments.end() ||
+           HashDesiredState(deployment->second) != aItem.second.wish;
   });
   for (const auto& [name, deployment] : aDeployments) {
     this->PlanDeployment(name, deployment, aTargets, actions);
@@ -102,7 +105,7 @@
                              const TargetRegistry& aTargets,
                              std::vector<OrderAction>& aTo)
 {
-  const WishHash wish = HashOfWish(aDeployment);
+  const DesiredStateHash wish = HashDesiredState(aDeployment);
   std::vector<const TargetRecord*> waiting;
   for (const TargetId& target : aDeployment.targets) {
     const TargetRecord* record = aTargets.Find(target);
@@ -110,7 +113,7 @@
       continue;
     }
     const bool ordered = this->Advance(*record, aDeployment, aTargets, aTo);
-    if (!ordered && !HasWishedEnd(*record, aDeployment) && aTargets.IsUsable(target)) {
+    if (!ordered && !HasDesiredState(*record, aDeployment) && aTargets.IsUsable(target)) {
       waiting.push_back(record);
     }
   }
@@ -159,7 +162,7 @@
                    aDeployment.role } });
     return true;
   }
-  if (order.stage == OrderStage::Taken && HasWishedEnd(aRecord, aDeployment)) {
+  if (order.stage == OrderStage::Taken && HasDesiredState(aRecord, aDeployment)) {
     this->open.erase(found);
     return false;
   }
@@ -190,11 +193,11 @@
   const MonotonicTime now = this->clock.MonotonicNow();
   OpenOrder order;
   order.deployment = aName;
-  order.wish = HashOfWish(aDeployment);
+  order.wish = HashDesiredState(aDeployment);
   order.since = now;
   this->open[aRecord.id] = std::move(order);
   this->lastLoad = now;
-  aTo.push_back(IssueOrder{ aRecord.id });
+  aTo.push_back(IssueFencing{ aRecord.id });
 }
 
 bool
@@ -205,7 +208,7 @@
 }
 
 std::string
-TargetOrders::FindFailure(const DeploymentName& aName, WishHash aWish) const
+TargetOrders::FindFailure(const DeploymentName& aName, DesiredStateHash aWish) const
 {
   for (const auto& [target, order] : this->open) {
     const bool failed = order.stage == OrderStage::Failed && order.wish == aWish;
@@ -226,7 +229,7 @@
 }
 
 void
-TargetOrders::OnIssued(const TargetId& aTarget, const Result<FencingNumber>& aFencing)
+TargetOrders::OnFencingIssued(const TargetId& aTarget, const Result<FencingNumber>& aFencing)
 {
   const auto found = this->open.find(aTarget);
   if (found == this->open.end() || found->second.stage != OrderStage::Issuing) {
@@ -273,11 +276,11 @@
     std::size_t done = 0;
     for (const TargetId& target : deployment.targets) {
       const TargetRecord* record = aTargets.Find(target);
-      done += aTargets.IsUsable(target) && HasWishedEnd(*record, deployment) ? 1 : 0;
+      done += aTargets.IsUsable(target) && HasDesiredState(*record, deployment) ? 1 : 0;
     }
     const std::string counts =
       Concat(done, " of ", deployment.targets.size(), " engines as wished");
-    const RolloutStop* stop = this->machine.FindStop(name, HashOfWish(deployment));
+    const RolloutStop* stop = this->machine.FindStop(name, HashDesiredState(deployment));
     if (stop != nullptr) {
       all.push_back(
         { name, "stopped", Concat(counts, "; ", stop->reason, "; raise attempt to try again") });
--- a/src/coordination/TargetRegistry.cpp
+++ b/src/coordination/TargetRegistry.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 // A forgotten target could be revived by an old announcement, so memory outlasts any delay.
-constexpr int kRememberedSilences = 300;
+constexpr int kRetentionSilences = 300;
 
 auto
-AgeOf(const TargetRecord& aRecord)
+VersionOfRecord(const TargetRecord& aRecord)
 {
   return std::tie(aRecord.incarnation, aRecord.sequence);
 }
@@ -33,7 +33,7 @@
 {
   const auto [position, isNew] = this->entries.try_emplace(aRecord.id);
   Entry& entry = position->second;
-  if (!isNew && AgeOf(aRecord) <= AgeOf(entry.record)) {
+  if (!isNew && VersionOfRecord(aRecord) <= VersionOfRecord(entry.record)) {
     return false;
   }
   const bool sameLife = !isNew && aRecord.incarnation == entry.record.incarnation;
@@ -47,13 +47,13 @@
   entry.silence = aSilence;
   entry.silent = false;
   if (!entry.record.leaving) {
-    this->SilenceOthersAt(entry.record);
+    this->MarkOthersSilentAt(entry.record);
   }
   return true;
 }
 
 void
-TargetRegistry::SilenceOthersAt(const TargetRecord& aRecord)
+TargetRegistry::MarkOthersSilentAt(const TargetRecord& aRecord)
 {
   if (aRecord.endpoint.port == 0) {
     return;
@@ -114,7 +114,7 @@
   if (found == this->entries.end()) {
     return;
   }
-  if (AgeOf(found->second.record) <= std::tie(aIncarnation, aSequence)) {
+  if (VersionOfRecord(found->second.record) <= std::tie(aIncarnation, aSequence)) {
     found->second.silent = true;
   }
 }
@@ -168,8 +168,8 @@
   std::vector<TargetId> changed;
   for (auto& [id, entry] : this->entries) {
     const bool usable = this->IsUsable(entry);
-    if (usable != entry.toldUsable) {
-      entry.toldUsable = usable;
+    if (usable != entry.reportedUsable) {
+      entry.reportedUsable = usable;
       changed.push_back(id);
     }
   }
@@ -181,7 +181,7 @@
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   std::erase_if(this->entries, [&](const auto& aItem) {
-    const bool expired = now - aItem.second.heard >= this->silence * kRememberedSilences;
+    const bool expired = now - aItem.second.heard >= this->silence * kRetentionSilences;
     if (expired) {
       this->ForgetAddress(aItem.first, aItem.second.record.endpoint);
     }
--- a/src/coordination/TargetPicker.cpp
+++ b/src/coordination/TargetSelector.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetPicker.h"
+#include "damasklink/coordination/TargetSelector.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,16 +8,16 @@
 
 // Targets whose costs differ by less than this are equal: hosts that know the same would otherwise
 // all choose the same one.
-constexpr double kEqualMilliseconds = 0.5;
+constexpr double kTieMilliseconds = 0.5;
 
 // Targets that are compared, drawn at random, beside those that hold all shared parts of the
 // prompt. What hosts know of each other is some hundred milliseconds old: if each compared all
 // targets, all of them would choose the same one until they heard of it.
-constexpr std::size_t kSampled = 4;
+constexpr std::size_t kSampleSize = 4;
 
 // Beside these as many of the host's own availability zone, of which among hundreds hardly any is
 // drawn otherwise: bytes between zones are paid for, and a zone that is about as full is as good.
-constexpr std::size_t kSampledNear = 4;
+constexpr std::size_t kSameZoneSampleSize = 4;
 
 Duration
 Milliseconds(double aCount)
@@ -38,10 +38,10 @@
   return 0;
 }
 
-TargetPicker::TargetPicker(const TargetHealth& aHealth,
-                           const ZoneReach& aReach,
-                           std::uint64_t aSeed,
-                           PickCosts aCosts)
+TargetSelector::TargetSelector(const TargetHealth& aHealth,
+                               const ZoneReach& aReach,
+                               std::uint64_t aSeed,
+                               SelectionCosts aCosts)
   : health(aHealth)
   , reach(aReach)
   , costs(aCosts)
@@ -50,13 +50,13 @@
 }
 
 const TargetRecord*
-TargetPicker::Choose(const PickQuestion& aQuestion, const std::vector<TargetRecord>& aTargets)
+TargetSelector::Choose(const SelectionRequest& aQuestion, const std::vector<TargetRecord>& aTargets)
 {
   std::vector<const TargetRecord*> fit;
   std::vector<const TargetRecord*> ejected;
   std::vector<const TargetRecord*> outOfReach;
   const auto isNewEnough = [&](const TargetRecord& aTarget) {
-    return WeightsOf(aTarget, aQuestion.model) >= aQuestion.leastWeights;
+    return WeightsOf(aTarget, aQuestion.model) >= aQuestion.minWeights;
   };
   const bool mayChoose = std::any_of(aTargets.begin(), aTargets.end(), isNewEnough);
   for (const TargetRecord& target : aTargets) {
@@ -80,13 +80,13 @@
     return nullptr;
   }
   if (aQuestion.promptTokens == TokenCount()) {
-    return this->ChooseForPlainCall(fit);
+    return this->ChooseWithoutPrompt(fit);
   }
   const TargetRecord* best = nullptr;
   double least = 0;
   for (const TargetRecord* target : this->Candidates(aQuestion, fit)) {
     const double cost = this->CostOf(aQuestion, *target);
-    if (best == nullptr || cost + kEqualMilliseconds < least) {
+    if (best == nullptr || cost + kTieMilliseconds < least) {
       best = target;
       least = cost;
     }
@@ -97,23 +97,23 @@
 // Returns the targets that are compared for a prompt; the first one is chosen among equals, so each
 // drawing begins at random.
 std::vector<const TargetRecord*>
-TargetPicker::Candidates(const PickQuestion& aQuestion,
-                         const std::vector<const TargetRecord*>& aFit)
+TargetSelector::Candidates(const SelectionRequest& aQuestion,
+                           const std::vector<const TargetRecord*>& aFit)
 {
   std::vector<const TargetRecord*> candidates;
   const std::size_t start = this->random() % aFit.size();
   for (std::size_t step = 0; step < aFit.size(); ++step) {
     const TargetRecord* target = aFit[(start + step) % aFit.size()];
-    if (aQuestion.amongAll || step < kSampled || this->HoldsAll(aQuestion, target->id)) {
+    if (aQuestion.compareAll || step < kSampleSize || this->HoldsAllParts(aQuestion, target->id)) {
       candidates.push_back(target);
     }
   }
-  if (aQuestion.amongAll) {
+  if (aQuestion.compareAll) {
     return candidates;
   }
   const std::size_t nearStart = this->random() % aFit.size();
   std::size_t near = 0;
-  for (std::size_t step = 0; step < aFit.size() && near < kSampledNear; ++step) {
+  for (std::size_t step = 0; step < aFit.size() && near < kSameZoneSampleSize; ++step) {
     const TargetRecord* target = aFit[(nearStart + step) % aFit.size()];
     if (target->zone == aQuestion.zone) {
       candidates.push_back(target);
@@ -127,7 +127,7 @@
 // old: were the least loaded target chosen, all hosts would choose it until they heard of each
 // other. So chance decides, unless the target is much fuller than another one drawn at random.
 const TargetRecord*
-TargetPicker::ChooseForPlainCall(const std::vector<const TargetRecord*>& aFit)
+TargetSelector::ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aFit)
 {
   const TargetRecord* first = aFit[this->random() % aFit.size()];
   const TargetRecord* other = aFit[this->random() % aFit.size()];
@@ -135,20 +135,20 @@
     return static_cast<double>(this->LoadOf(aTarget->id).requests);
   };
   const bool muchFuller =
-    load(first) > this->costs.fullerByFactor * load(other) + this->costs.fullerBy;
+    load(first) > this->costs.imbalanceFactor * load(other) + this->costs.imbalanceMargin;
   return muchFuller ? other : first;
 }
 
 // The first parts of many prompts are the same and held everywhere; the last shared one tells.
 bool
-TargetPicker::HoldsAll(const PickQuestion& aQuestion, const TargetId& aTarget) const
+TargetSelector::HoldsAllParts(const SelectionRequest& aQuestion, const TargetId& aTarget) const
 {
   const std::size_t count = aQuestion.parts.size();
   return count > 0 && this->held.LeadingHeld(aTarget, aQuestion.parts) == count;
 }
 
 TokenCount
-TargetPicker::ToRead(const PickQuestion& aQuestion, const TargetId& aTarget) const
+TargetSelector::UncachedTokens(const SelectionRequest& aQuestion, const TargetId& aTarget) const
 {
   std::size_t covered = this->held.LeadingHeld(aTarget, aQuestion.parts);
   while (covered < aQuestion.stored.size() && aQuestion.stored[covered]) {
@@ -164,10 +164,10 @@
 
 // This host's own load, and that of the others: the sums less what this host told of itself.
 SentLoad
-TargetPicker::LoadOf(const TargetId& aTarget) const
+TargetSelector::LoadOf(const TargetId& aTarget) const
 {
   SentLoad all = this->told.Of(aTarget);
-  if (const auto own = this->ownTold.find(aTarget); own != this->ownTold.end()) {
+  if (const auto own = this->ownReported.find(aTarget); own != this->ownReported.end()) {
     all -= own->second;
   }
   if (const auto own = this->loads.find(aTarget); own != this->loads.end()) {
@@ -177,31 +177,34 @@
 }
 
 Duration
-TargetPicker::ExpectedFirstEvent(const PickQuestion& aQuestion, const TargetRecord& aTarget) const
+TargetSelector::ExpectedFirstEvent(const SelectionRequest& aQuestion,
+                                   const TargetRecord& aTarget) const
 {
-  const EnginePace& pace = this->PaceOf(aQuestion.model);
-  const auto toRead = static_cast<double>(this->ToRead(aQuestion, aTarget.id).Value());
-  const double own = pace.FirstStep() + pace.PerToken() * this->costs.readingInQueue * toRead;
+  const EngineLatencyModel& pace = this->LatencyModelOf(aQuestion.model);
+  const auto uncachedTokens =
+    static_cast<double>(this->UncachedTokens(aQuestion, aTarget.id).Value());
+  const double own = pace.BaseLatency() +
+                     pace.MillisecondsPerToken() * this->costs.prefillInterleaving * uncachedTokens;
   return this->ExpectedWait(aQuestion, aTarget) + Milliseconds(own);
 }
 
 Duration
-TargetPicker::ExpectedWait(const PickQuestion& aQuestion, const TargetRecord& aTarget) const
+TargetSelector::ExpectedWait(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const
 {
-  double milliseconds = this->costs.readingInQueue * this->QueueAt(aQuestion, aTarget);
+  double milliseconds = this->costs.prefillInterleaving * this->QueueDelay(aQuestion, aTarget);
   const double used = this->MemoryShare(aQuestion, aTarget.id);
-  milliseconds += this->costs.missingMemory * std::max(used - 1, 0.0);
+  milliseconds += this->costs.memoryOverflow * std::max(used - 1, 0.0);
   return Milliseconds(milliseconds);
 }
 
 // Returns the milliseconds until what waits at the target has been read and one of its slots is
 // free. Those that wait for a slot are not read yet, so the longer of the two contains the other.
 double
-TargetPicker::QueueAt(const PickQuestion& aQuestion, const TargetRecord& aTarget) const
+TargetSelector::QueueDelay(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const
 {
-  const EnginePace& pace = this->PaceOf(aQuestion.model);
+  const EngineLatencyModel& pace = this->LatencyModelOf(aQuestion.model);
   const SentLoad load = this->LoadOf(aTarget.id);
-  const double reading = pace.PerToken() * static_cast<double>(load.unread);
+  const double reading = pace.MillisecondsPerToken() * static_cast<double>(load.unread);
   const std::uint64_t slots = aTarget.load.slots;
   if (slots == 0 || load.requests < slots) {
     return reading;
@@ -211,7 +214,7 @@
 }
 
 double
-TargetPicker::MemoryShare(const PickQuestion& aQuestion, const TargetId& aTarget) const
+TargetSelector::MemoryShare(const SelectionRequest& aQuestion, const TargetId& aTarget) const
 {
   if (aQuestion.cacheTokens == TokenCount()) {
     return 0;
@@ -221,19 +224,19 @@
 }
 
 double
-TargetPicker::CostOf(const PickQuestion& aQuestion, const TargetRecord& aTarget) const
+TargetSelector::CostOf(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const
 {
-  double cost = aTarget.zone == aQuestion.zone ? 0 : this->costs.otherZone;
+  double cost = aTarget.zone == aQuestion.zone ? 0 : this->costs.crossZone;
   const SentLoad load = this->LoadOf(aTarget.id);
   const auto requests = static_cast<double>(load.requests);
-  const double perToken = this->PaceOf(aQuestion.model).PerToken();
-  const double perOwnToken = perToken * (1 + this->costs.readingHoldsUp);
-  cost += this->QueueAt(aQuestion, aTarget);
-  cost += this->costs.perRequest * requests * (1 + requests / this->costs.usualRequests);
+  const double perToken = this->LatencyModelOf(aQuestion.model).MillisecondsPerToken();
+  const double perOwnToken = perToken * (1 + this->costs.prefillBlocking);
+  cost += this->QueueDelay(aQuestion, aTarget);
+  cost += this->costs.perRunningRequest * requests * (1 + requests / this->costs.requestsToDouble);
   if (aQuestion.cacheTokens > TokenCount()) {
     const double used = this->MemoryShare(aQuestion, aTarget.id);
     const double over = std::max(used - this->costs.freeMemoryShare, 0.0);
-    cost += this->costs.fullMemory * over / (1 - this->costs.freeMemoryShare);
+    cost += this->costs.memoryPressure * over / (1 - this->costs.freeMemoryShare);
   }
   if (aQuestion.promptTokens == TokenCount()) {
     return cost;
@@ -246,7 +249,7 @@
     }
     const std::uint64_t all = aQuestion.promptTokens.Value();
     const auto own = static_cast<double>(all - std::min(all, shared));
-    return cost + this->costs.olderWeights + perOwnToken * own;
+    return cost + this->costs.outdatedWeights + perOwnToken * own;
   }
   const std::size_t leading = this->held.LeadingHeld(aTarget.id, aQuestion.parts);
   for (std::size_t index = leading; index < aQuestion.stored.size(); ++index) {
@@ -255,22 +258,23 @@
       break;
     }
     const bool sameZone = source->zone == aTarget.zone;
-    cost += source->fetch * (sameZone ? 1 : this->costs.fetchFromOtherZone);
+    cost += source->fetch * (sameZone ? 1 : this->costs.crossZoneFetch);
   }
-  const auto toRead = static_cast<double>(this->ToRead(aQuestion, aTarget.id).Value());
-  return cost + perOwnToken * toRead;
+  const auto uncachedTokens =
+    static_cast<double>(this->UncachedTokens(aQuestion, aTarget.id).Value());
+  return cost + perOwnToken * uncachedTokens;
 }
 
 void
-TargetPicker::OnSent(const TargetId& aTarget,
-                     const PickQuestion& aQuestion,
-                     const PickedWork& aWork)
+TargetSelector::OnSent(const TargetId& aTarget,
+                       const SelectionRequest& aQuestion,
+                       const CallLoad& aWork)
 {
   SentLoad& load = this->loads[aTarget];
   ++load.requests;
-  load.unread += aWork.toRead.Value();
+  load.unread += aWork.uncachedTokens.Value();
   load.memory += aWork.memory.Value();
-  this->urgent = this->urgent || aWork.toRead.Value() >= kLongReading;
+  this->urgent = this->urgent || aWork.uncachedTokens.Value() >= kLongPrefill;
   std::vector<SizedPart>& parts = this->untold[aTarget];
   if (aQuestion.cacheTokens > TokenCount()) {
     this->held.SetCapacity(aQuestion.cacheTokens);
@@ -282,7 +286,7 @@
 }
 
 std::vector<TargetSendsNow>
-TargetPicker::TakeSends()
+TargetSelector::TakeSends()
 {
   std::vector<TargetSendsNow> sends;
   this->urgent = false;
@@ -290,9 +294,9 @@
     const auto found = this->loads.find(target);
     const SentLoad load = found == this->loads.end() ? SentLoad() : found->second;
     if (load.IsEmpty()) {
-      this->ownTold.erase(target);
+      this->ownReported.erase(target);
     } else {
-      this->ownTold[target] = load;
+      this->ownReported[target] = load;
     }
     sends.push_back(StateSends(target, load, std::move(parts)));
   }
@@ -300,16 +304,16 @@
 }
 
 void
-TargetPicker::TellAllAnew()
+TargetSelector::TellAllAnew()
 {
-  this->ownTold.clear();
+  this->ownReported.clear();
   for (const auto& [target, load] : this->loads) {
     this->untold.try_emplace(target);
   }
 }
 
 void
-TargetPicker::TakeSum(const SendsNews& aNews, MonotonicTime aNow)
+TargetSelector::TakeSum(const SendsNews& aNews, MonotonicTime aNow)
 {
   this->told.Take(aNews, aNow);
   for (const TargetSendsNow& sends : aNews.sends) {
@@ -320,9 +324,9 @@
 }
 
 const TargetRecord*
-TargetPicker::HolderOf(const SizedPart& aPart,
-                       const std::vector<TargetRecord>& aTargets,
-                       const TargetRecord& aFor) const
+TargetSelector::FindHolder(const SizedPart& aPart,
+                           const std::vector<TargetRecord>& aTargets,
+                           const TargetRecord& aFor) const
 {
   const TargetRecord* found = nullptr;
   for (const TargetRecord& target : aTargets) {
@@ -336,7 +340,7 @@
 }
 
 void
-TargetPicker::OnRestart(const TargetRecord& aTarget)
+TargetSelector::OnRestart(const TargetRecord& aTarget)
 {
   this->starts[aTarget.id] = aTarget.incarnation;
   this->held.Forget(aTarget.id);
@@ -346,65 +350,65 @@
 }
 
 bool
-TargetPicker::IsOfEarlierStart(const TargetId& aTarget, const PickedWork& aWork) const
+TargetSelector::IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aWork) const
 {
   const auto found = this->starts.find(aTarget);
   return found != this->starts.end() && aWork.start < found->second;
 }
 
-const EnginePace&
-TargetPicker::PaceOf(const ModelName& aModel) const
+const EngineLatencyModel&
+TargetSelector::LatencyModelOf(const ModelName& aModel) const
 {
-  static const EnginePace kUnknown;
+  static const EngineLatencyModel kUnknown;
   const auto found = this->paces.find(aModel);
   return found == this->paces.end() ? kUnknown : found->second;
 }
 
 bool
-TargetPicker::NotePace(const TargetId& aTarget,
-                       const PickQuestion& aQuestion,
-                       const PickedWork& aWork,
-                       bool aFetched,
-                       Duration aTook)
+TargetSelector::RecordFirstEvent(const TargetId& aTarget,
+                                 const SelectionRequest& aQuestion,
+                                 const CallLoad& aWork,
+                                 bool aFetched,
+                                 Duration aTook)
 {
-  const std::uint64_t own = aWork.toRead.Value();
+  const std::uint64_t own = aWork.uncachedTokens.Value();
   const std::uint64_t unread = this->LoadOf(aTarget).unread;
-  const bool othersRead = aWork.behindOthers || unread >= own + kLongReading;
+  const bool othersRead = aWork.queuedBehindOthers || unread >= own + kLongPrefill;
   if (othersRead) {
     return false;
   }
-  EnginePace& pace = this->paces[aQuestion.model];
-  if (own < kLongReading) {
-    pace.NoteShort(aTook);
+  EngineLatencyModel& pace = this->paces[aQuestion.model];
+  if (own < kLongPrefill) {
+    pace.RecordShortPrompt(aTook);
   } else if (!aFetched) {
-    pace.NoteReading(aWork.toRead, aTook);
+    pace.RecordPrefill(aWork.uncachedTokens, aTook);
   }
   return true;
 }
 
 void
-TargetPicker::OnFirstEvent(const TargetId& aTarget, PickedWork& aWork)
+TargetSelector::OnFirstEvent(const TargetId& aTarget, CallLoad& aWork)
 {
-  if (!aWork.answering && !this->IsOfEarlierStart(aTarget, aWork)) {
+  if (!aWork.answering && !this->IsOfEarlierIncarnation(aTarget, aWork)) {
     aWork.answering = true;
     SentLoad& load = this->loads[aTarget];
-    load.unread -= std::min(load.unread, aWork.toRead.Value());
+    load.unread -= std::min(load.unread, aWork.uncachedTokens.Value());
     this->untold.try_emplace(aTarget);
   }
 }
 
 void
-TargetPicker::OnEnd(const TargetId& aTarget, const PickedWork& aWork)
+TargetSelector::OnEnd(const TargetId& aTarget, const CallLoad& aWork)
 {
   const auto found = this->loads.find(aTarget);
-  if (found == this->loads.end() || this->IsOfEarlierStart(aTarget, aWork)) {
+  if (found == this->loads.end() || this->IsOfEarlierIncarnation(aTarget, aWork)) {
     return;
   }
   SentLoad& load = found->second;
   load.requests -= std::min<std::uint64_t>(load.requests, 1);
   load.memory -= std::min(load.memory, aWork.memory.Value());
   if (!aWork.answering) {
-    load.unread -= std::min(load.unread, aWork.toRead.Value());
+    load.unread -= std::min(load.unread, aWork.uncachedTokens.Value());
   }
   if (load.requests == 0) {
     this->loads.erase(found);
--- a/src/coordination/WeightRollout.cpp
+++ b/src/coordination/WeightRollout.cpp
@@ -30,8 +30,8 @@
   if (!this->MayOrder()) {
     return actions;
   }
-  if (!this->AreKnown(aEngines)) {
-    this->TakeEngines(aEngines);
+  if (!this->AreUnchanged(aEngines)) {
+    this->UpdateEngines(aEngines);
   }
   for (const auto& [model, version] : aWished) {
     std::size_t serving = 0;
@@ -47,8 +47,8 @@
         this->works.erase(done);
       }
     }
-    const auto atOnce =
-      static_cast<std::size_t>(std::ceil(static_cast<double>(serving) * this->options.shareAtOnce));
+    const auto atOnce = static_cast<std::size_t>(
+      std::ceil(static_cast<double>(serving) * this->options.maxUnavailableShare));
     for (const TargetRecord* engine : behind) {
       const bool open = this->works.contains(engine->id);
       if (!open && (this->works.size() >= atOnce || now < this->nextStart)) {
@@ -77,7 +77,7 @@
 // Returns whether these are the engines of the last call, of the same starts; it is asked several
 // times a second among thousands, so nothing is copied.
 bool
-WeightRollout::AreKnown(const std::vector<TargetRecord>& aEngines) const
+WeightRollout::AreUnchanged(const std::vector<TargetRecord>& aEngines) const
 {
   return std::equal(this->starts.begin(),
                     this->starts.end(),
@@ -91,7 +91,7 @@
 // An engine that has started again has taken no orders yet, and what it had reported may not hold.
 // Nothing is remembered of one that is not among these.
 void
-WeightRollout::TakeEngines(const std::vector<TargetRecord>& aEngines)
+WeightRollout::UpdateEngines(const std::vector<TargetRecord>& aEngines)
 {
   std::map<TargetId, Incarnation> listed;
   for (const TargetRecord& engine : aEngines) {
@@ -119,7 +119,7 @@
     case Stage::Ordering:
       return std::nullopt;
     case Stage::Read: {
-      const bool waits = aWork.report.busy || now - aWork.orderedAt < this->options.orderPatience ||
+      const bool waits = aWork.report.busy || now - aWork.orderedAt < this->options.orderTimeout ||
                          now - aWork.begunAt < this->options.drain;
       if (!aWork.known || waits) {
         break;
--- a/src/coordination/ZoneReach.cpp
+++ b/src/coordination/ZoneReach.cpp
@@ -12,13 +12,13 @@
 }
 
 void
-ZoneReach::OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSign aSign)
+ZoneReach::OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSignal aSign)
 {
-  if (aSign == HealthSign::Good) {
+  if (aSign == HealthSignal::Good) {
     this->entries.erase(aZone);
     return;
   }
-  if (aSign != HealthSign::Gone) {
+  if (aSign != HealthSignal::NotReached) {
     if (const auto found = this->entries.find(aZone); found != this->entries.end()) {
       found->second.trying = false;
     }
--- a/src/program/AdmissionDesk.cpp
+++ b/src/program/AdmissionDesk.cpp
@@ -170,7 +170,7 @@
 void
 AdmissionDesk::OnEnd(const TargetId& aTarget,
                      AttemptLoad aLoad,
-                     HealthSign aSign,
+                     HealthSignal aSign,
                      Duration aFirstToken)
 {
   absl::MutexLock lock(&this->mutex);
--- a/src/program/AdmissionDesk.h
+++ b/src/program/AdmissionDesk.h
@@ -52,7 +52,7 @@
 
   // Keep the books on one attempt.
   void OnStart(const TargetId& aTarget);
-  void OnEnd(const TargetId& aTarget, AttemptLoad aLoad, HealthSign aSign, Duration aFirstToken);
+  void OnEnd(const TargetId& aTarget, AttemptLoad aLoad, HealthSignal aSign, Duration aFirstToken);
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage) override;
   void OnTick(MonotonicTime aNow) override;
--- a/src/program/CompletionRun.cpp
+++ b/src/program/CompletionRun.cpp
@@ -60,7 +60,7 @@
 CompletionRun::End()
 {
   this->context.reuse.Keep(this->route, this->decision, this->stream->Assembled().Usage());
-  this->CloseBooks(AttemptLoad::Served, HealthSign::Good);
+  this->CloseBooks(AttemptLoad::Served, HealthSignal::Good);
   this->outstanding = false;
   this->context.routing.Done(this->route, this->decision, true);
 }
@@ -227,7 +227,7 @@
   this->context.admission.OnStart(this->decision.target);
   this->booksOpen = true;
   ++this->tries;
-  this->tokensAtStart = this->tokens;
+  this->tokensBefore = this->tokens;
   this->attemptBegun = this->context.host.clock.MonotonicNow();
   this->lastHeard = this->attemptBegun;
   if (this->ticket != nullptr && !this->ticket->Leased(this->attemptBegun)) {
@@ -248,22 +248,22 @@
   while (true) {
     this->CloseBooksAfter(aError.kind);
     // Only tries in vain are counted against the request.
-    if (this->tokens > this->tokensAtStart) {
+    if (this->tokens > this->tokensBefore) {
       this->tries = 1;
     }
     LostAttempt lost;
     lost.kind = aError.kind;
     lost.outcome = this->record.Outcome();
     lost.tokens = this->tokens;
-    lost.tokensAtStart = this->tokensAtStart;
+    lost.tokensBefore = this->tokensBefore;
     lost.tries = this->tries;
     lost.resumed = this->resumed;
     lost.held = this->held;
     lost.repeatable = this->ticket == nullptr;
     lost.timeLeft = this->context.state.MustStop() ? Duration(0) : this->TimeLeft();
-    const RelayStep step = DecideRelayStep(lost);
-    const bool paid = step != RelayStep::Repeat || this->context.state.TakeRetry();
-    if (step == RelayStep::GiveUp || !paid) {
+    const RecoveryStep step = DecideRecoveryStep(lost);
+    const bool paid = step != RecoveryStep::Repeat || this->context.state.TakeRetry();
+    if (step == RecoveryStep::GiveUp || !paid) {
       return Fail(std::move(aError));
     }
     LogEvent(LogLevel::Warning, "attempt_failed")
@@ -285,15 +285,15 @@
 }
 
 Result<void>
-CompletionRun::TakeStep(RelayStep aStep)
+CompletionRun::TakeStep(RecoveryStep aStep)
 {
-  if (aStep == RelayStep::Resume) {
+  if (aStep == RecoveryStep::Resume) {
     this->stream.reset();
     this->resumed = true;
     return this->StartAttempt(this->record.Attempts().back().id);
   }
   this->EndAttempt(false);
-  if (aStep == RelayStep::Repeat) {
+  if (aStep == RecoveryStep::Repeat) {
     PauseBeforeRepeat(this->tries);
   } else {
     this->route.continuation = true;
@@ -303,7 +303,7 @@
 }
 
 void
-CompletionRun::CloseBooks(AttemptLoad aLoad, HealthSign aSign)
+CompletionRun::CloseBooks(AttemptLoad aLoad, HealthSignal aSign)
 {
   if (this->booksOpen) {
     this->booksOpen = false;
@@ -315,11 +315,11 @@
 CompletionRun::CloseBooksAfter(ErrorKind aFailure)
 {
   if (aFailure == ErrorKind::Overloaded) {
-    return this->CloseBooks(AttemptLoad::Overloaded, HealthSign::Good);
+    return this->CloseBooks(AttemptLoad::Overloaded, HealthSignal::Good);
   }
   const bool endedHere = aFailure == ErrorKind::Cancelled || aFailure == ErrorKind::Conflict ||
                          this->TimeLeft() <= Duration(0) || this->context.state.MustStop();
-  this->CloseBooks(AttemptLoad::Failed, endedHere ? HealthSign::None : HealthSign::Bad);
+  this->CloseBooks(AttemptLoad::Failed, endedHere ? HealthSignal::None : HealthSignal::Bad);
 }
 
 Duration
@@ -332,7 +332,7 @@
 CompletionRun::EndAttempt(bool aWhole)
 {
   this->stream.reset();
-  this->CloseBooks(AttemptLoad::Failed, HealthSign::None);
+  this->CloseBooks(AttemptLoad::Failed, HealthSignal::None);
   if (this->outstanding) {
     this->outstanding = false;
     this->context.routing.Done(this->route, this->decision, aWhole);
--- a/src/program/CompletionRun.h
+++ b/src/program/CompletionRun.h
@@ -7,7 +7,7 @@
 
 #include "RelayContext.h"
 #include "RequestMeter.h"
-#include "damasklink/coordination/RelayPlan.h"
+#include "damasklink/coordination/AttemptRecovery.h"
 #include "damasklink/protocol/CallerApi.h"
 #include "damasklink/transport/EngineStream.h"
 
@@ -91,11 +91,11 @@
   Result<void> StartAttempt(const AttemptId& aAttempt);
   // Makes a lost attempt good.
   Result<void> Recover(Error aError);
-  Result<void> TakeStep(RelayStep aStep);
+  Result<void> TakeStep(RecoveryStep aStep);
   void EndAttempt(bool aWhole);
 
   // Closes the books on the attempt, if they are open.
-  void CloseBooks(AttemptLoad aLoad, HealthSign aSign);
+  void CloseBooks(AttemptLoad aLoad, HealthSignal aSign);
   void CloseBooksAfter(ErrorKind aFailure);
 
   const RelayContext& context;
@@ -112,7 +112,7 @@
   bool held = true;
   std::string pending;
   std::uint64_t tokens = 0;
-  std::uint64_t tokensAtStart = 0;
+  std::uint64_t tokensBefore = 0;
   std::uint64_t tries = 0;
   bool resumed = false;
   bool outstanding = false;
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -151,7 +151,7 @@
   RetryShares retries;
   TargetHealth health;
   ZoneReach reach;
-  TargetPicker picker;
+  TargetSelector picker;
   TargetChannelPool pool;
   StorePace pace;
   ComeBack comeBack;
@@ -527,7 +527,7 @@
 void
 EntryHost::Impl::ProveEnds(const Picture& aTold)
 {
-  for (const TargetRecord& target : this->picture.Targets().TakeAppeared()) {
+  for (const TargetRecord& target : this->picture.Targets().TakeDiscovered()) {
     this->ReportEnded(this->broken.TakeEndedBy(target), "replaced");
   }
   for (const TargetStatement& statement : aTold.targets) {
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -116,7 +116,7 @@
                    "targets ended each time they ran this request",
                    "change the request, or ask the operator to release it");
   }
-  ExchangeTerms terms;
+  ExchangeLimits terms;
   const bool resumable = this->route->kind == CallKind::Streaming && this->route->resumable;
   terms.repeatable = this->route->kind == CallKind::Idempotent || resumable;
   terms.mostTargets = std::max<std::uint64_t>(this->route->mostTargets, 1);
@@ -168,15 +168,15 @@
     if (step == ExchangeStep::TryAnother) {
       this->context.metrics.Add(
         Counter::Retries,
-        MetricKey{ WorkspaceId(), std::string(AttemptEndName(this->lastEnd)) },
+        MetricKey{ WorkspaceId(), std::string(AttemptResultName(this->lastEnd)) },
         1);
     }
-    if (this->lastEnd != AttemptEnd::Delivered) {
+    if (this->lastEnd != AttemptResult::Delivered) {
       LogEvent(LogLevel::Info, "attempt_ended")
         .With("request", this->call.request)
         .With("target", target.id)
         .With("service", this->service)
-        .With("end", AttemptEndName(this->lastEnd))
+        .With("end", AttemptResultName(this->lastEnd))
         .With("sends", this->plan->Sent())
         .With("left_ms",
               std::chrono::duration_cast<std::chrono::milliseconds>(this->TimeLeft()).count())
@@ -186,21 +186,21 @@
   co_return co_await this->Finish(step);
 }
 
-Awaitable<AttemptEnd>
+Awaitable<AttemptResult>
 Exchange::Attempt(const TargetRecord& aTarget)
 {
   this->plan->Begin(AttemptId(this->call.request.Value()), aTarget.id);
   this->question.excluded.insert(aTarget.id);
-  this->work = PickedWork{};
+  this->work = CallLoad{};
   this->sentAt = MonotonicTime();
   this->answerBegun = false;
   this->refused = false;
-  this->work.toRead = this->context.picker.ToRead(this->question, aTarget.id);
+  this->work.uncachedTokens = this->context.picker.UncachedTokens(this->question, aTarget.id);
   this->work.memory =
     TokenCount(this->call.promptTokens.Value() + this->call.mostAnswerTokens.Value());
   this->work.start = aTarget.incarnation;
-  this->work.behindOthers =
-    this->context.picker.LoadOf(aTarget.id).unread >= TargetPicker::kLongReading;
+  this->work.queuedBehindOthers =
+    this->context.picker.LoadOf(aTarget.id).unread >= TargetSelector::kLongPrefill;
   this->context.picker.OnSent(aTarget.id, this->question, this->work);
   this->context.limits.OnSent(aTarget.id);
   this->context.returns.OnAdmitted();
@@ -209,33 +209,34 @@
   }
   this->context.health.OnStart(aTarget.id);
   this->context.reach.OnStart(aTarget.zone);
-  AttemptEnd end = co_await this->Converse(aTarget);
-  if (this->interrupt != Interrupt::None && end != AttemptEnd::Delivered) {
+  AttemptResult end = co_await this->Converse(aTarget);
+  if (this->interrupt != Interrupt::None && end != AttemptResult::Delivered) {
     end = this->EndOfFailure();
   }
   const bool evacuated = this->context.picture.Targets().Evacuated().contains(aTarget.zone);
-  const bool usable = end != AttemptEnd::Expired && end != AttemptEnd::CallerLeft && !evacuated;
+  const bool usable =
+    end != AttemptResult::Expired && end != AttemptResult::CallerLeft && !evacuated;
   if (this->channel != nullptr && usable) {
     this->context.pool.Keep(aTarget.endpoint, std::move(this->channel));
   }
   // Closing tells the target that nobody waits for the rest.
   this->channel.reset();
   this->context.picker.OnEnd(aTarget.id, this->work);
-  if (end == AttemptEnd::Delivered) {
+  if (end == AttemptResult::Delivered) {
     this->NoteRun();
     this->NoteSound();
     if (!this->context.broken.IsEmpty()) {
       this->context.broken.OnAnswered(aTarget.id, aTarget.incarnation, this->sentAt);
     }
-  } else if (end == AttemptEnd::Broken) {
+  } else if (end == AttemptResult::Broken) {
     this->NoteBroken(aTarget);
-  } else if (end == AttemptEnd::Expired || end == AttemptEnd::CallerLeft) {
+  } else if (end == AttemptResult::Expired || end == AttemptResult::CallerLeft) {
     this->NoteUnanswered(aTarget);
   }
   // What became of a call to an earlier start of the target says nothing of the one that is there.
   const TargetRecord* now = this->context.picture.Targets().Find(aTarget.id);
   const bool restarted = now != nullptr && now->incarnation > aTarget.incarnation;
-  const HealthSign sign = restarted ? HealthSign::None : this->SignOf(end);
+  const HealthSignal sign = restarted ? HealthSignal::None : this->SignOf(end);
   this->context.health.OnEnd(aTarget.id, sign);
   this->NoteReach(aTarget, sign);
   co_return end;
@@ -264,12 +265,12 @@
   co_return fresh;
 }
 
-Awaitable<AttemptEnd>
+Awaitable<AttemptResult>
 Exchange::Converse(const TargetRecord& aTarget)
 {
   this->channel = co_await this->Connect(aTarget);
   if (this->channel == nullptr) {
-    co_return AttemptEnd::Unreachable;
+    co_return AttemptResult::Unreachable;
   }
   if (this->interrupt != Interrupt::None) {
     co_return this->EndOfFailure();
@@ -290,7 +291,7 @@
       .With("sent", sent ? "whole" : "part")
       .With("error", answer.error());
     this->unacknowledged = answer.error().kind == ErrorKind::DeadlineExceeded;
-    co_return AttemptEnd::Broken;
+    co_return AttemptResult::Broken;
   }
   co_return co_await this->TakeAnswer(aTarget, std::move(answer.value()));
 }
@@ -324,7 +325,7 @@
                  "look at the target's own log");
 }
 
-Awaitable<AttemptEnd>
+Awaitable<AttemptResult>
 Exchange::TakeAnswer(const TargetRecord& aTarget, HttpAnswerHead aHead)
 {
   const TargetAnswerFacts facts = this->context.dialect.ReadAnswer(aHead);
@@ -334,14 +335,14 @@
     this->context.limits.OnCold(aTarget, facts.coldFor);
   }
   if (facts.wrongTarget && facts.target != aTarget.id && !facts.target.Empty()) {
-    this->context.picture.Targets().NoteGone(aTarget.id);
+    this->context.picture.Targets().MarkRemoved(aTarget.id);
   }
   if (facts.notRun) {
     auto rest = co_await this->channel->ReadRest(kMostWholeAnswer);
     if (!rest) {
       this->channel->Close();
     }
-    co_return AttemptEnd::Refused;
+    co_return AttemptResult::Refused;
   }
   if (IsEventStream(aHead)) {
     co_return co_await this->PassStream(aTarget, std::move(aHead));
@@ -349,7 +350,7 @@
   co_return co_await this->PassWhole(std::move(aHead));
 }
 
-Awaitable<AttemptEnd>
+Awaitable<AttemptResult>
 Exchange::PassWhole(HttpAnswerHead aHead)
 {
   auto body = co_await this->channel->ReadRest(kMostWholeAnswer);
@@ -358,22 +359,22 @@
       .With("request", this->call.request)
       .With("status", aHead.status)
       .With("error", body.error());
-    co_return AttemptEnd::Broken;
+    co_return AttemptResult::Broken;
   }
   RemoveConnectionFields(aHead.fields);
   if (aHead.status >= 500) {
     this->failure = WholeAnswer{ std::move(aHead), std::move(body.value()) };
-    co_return AttemptEnd::Failed;
+    co_return AttemptResult::Failed;
   }
   this->ending->Disarm();
   this->ranWell = aHead.status < 300;
   this->LogEnd("answered", aHead.status);
   HttpAnswerMessage answer{ std::move(aHead), std::move(body.value()) };
   const bool written = co_await this->caller.WriteWhole(std::move(answer), this->ClosesAfter());
-  co_return written ? AttemptEnd::Delivered : AttemptEnd::CallerLeft;
+  co_return written ? AttemptResult::Delivered : AttemptResult::CallerLeft;
 }
 
-Awaitable<AttemptEnd>
+Awaitable<AttemptResult>
 Exchange::PassStream(const TargetRecord& aTarget, HttpAnswerHead aHead)
 {
   RemoveConnectionFields(aHead.fields);
@@ -387,7 +388,7 @@
         .With("passed_on", this->plan->PassedOn())
         .With("error", piece.error());
       this->framer.DropPart();
-      co_return AttemptEnd::Broken;
+      co_return AttemptResult::Broken;
     }
     if (!piece.value()) {
       break;
@@ -397,23 +398,23 @@
     this->NoteFirstEvent(aTarget);
     const std::string events = this->framer.Take(*piece.value());
     if (!events.empty() && !co_await this->PassEvents(aHead, events)) {
-      co_return AttemptEnd::CallerLeft;
+      co_return AttemptResult::CallerLeft;
     }
   }
   if (this->framer.HoldsPart()) {
     this->framer.DropPart();
-    co_return AttemptEnd::Broken;
+    co_return AttemptResult::Broken;
   }
   if (!this->plan->PassedOn()) {
     // A stream without any event.
     HttpAnswerMessage empty{ aHead, "" };
     const bool written = co_await this->caller.WriteWhole(std::move(empty), this->ClosesAfter());
-    co_return written ? AttemptEnd::Delivered : AttemptEnd::CallerLeft;
+    co_return written ? AttemptResult::Delivered : AttemptResult::CallerLeft;
   }
   this->ranWell = true;
   this->LogEnd("streamed", aHead.status);
   const bool ended = co_await this->caller.EndStream();
-  co_return ended ? AttemptEnd::Delivered : AttemptEnd::CallerLeft;
+  co_return ended ? AttemptResult::Delivered : AttemptResult::CallerLeft;
 }
 
 Awaitable<bool>
@@ -448,7 +449,7 @@
 {
   switch (aStep) {
     case ExchangeStep::Done:
-      co_return this->lastEnd == AttemptEnd::Delivered && !this->ClosesAfter();
+      co_return this->lastEnd == AttemptResult::Delivered && !this->ClosesAfter();
     case ExchangeStep::PassOn: {
       this->LogEnd("target_failed", this->failure->head.status);
       HttpAnswerMessage answer{ std::move(this->failure->head), std::move(this->failure->body) };
@@ -509,10 +510,11 @@
   }
 }
 
-AttemptEnd
+AttemptResult
 Exchange::EndOfFailure() const
 {
-  return this->interrupt == Interrupt::CallerLeft ? AttemptEnd::CallerLeft : AttemptEnd::Expired;
+  return this->interrupt == Interrupt::CallerLeft ? AttemptResult::CallerLeft
+                                                  : AttemptResult::Expired;
 }
 
 bool
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -13,14 +13,14 @@
 #include "damasklink/coordination/ComeBack.h"
 #include "damasklink/coordination/CrashWatch.h"
 #include "damasklink/coordination/EventFramer.h"
-#include "damasklink/coordination/ExchangePlan.h"
+#include "damasklink/coordination/ExchangeRetryPolicy.h"
 #include "damasklink/coordination/HomeRegions.h"
 #include "damasklink/coordination/RequestFingerprint.h"
 #include "damasklink/coordination/RetryShares.h"
 #include "damasklink/coordination/ReturnQueue.h"
 #include "damasklink/coordination/StorePace.h"
 #include "damasklink/coordination/TargetLimits.h"
-#include "damasklink/coordination/TargetPicker.h"
+#include "damasklink/coordination/TargetSelector.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
 #include "damasklink/transport/CallerChannel.h"
@@ -41,7 +41,7 @@
   RetryShares& retries;
   TargetHealth& health;
   ZoneReach& reach;
-  TargetPicker& picker;
+  TargetSelector& picker;
   TargetChannelPool& pool;
   StorePace& pace;
   ComeBack& comeBack;
@@ -57,8 +57,8 @@
   bool leaving = false;
 };
 
-// Relays one request. What is decided after each attempt stands in ExchangePlan; this class moves
-// the bytes.
+// Relays one request. What is decided after each attempt stands in ExchangeRetryPolicy; this class
+// moves the bytes.
 class Exchange
 {
 public:
@@ -90,18 +90,18 @@
   // Returns the refusal of a call that may be sent nowhere.
   std::optional<CallerError> FindHomes();
   Awaitable<bool> Relay();
-  Awaitable<AttemptEnd> Attempt(const TargetRecord& aTarget);
-  Awaitable<AttemptEnd> Converse(const TargetRecord& aTarget);
+  Awaitable<AttemptResult> Attempt(const TargetRecord& aTarget);
+  Awaitable<AttemptResult> Converse(const TargetRecord& aTarget);
   Awaitable<Result<HttpAnswerHead>> ReadOwnHead(const TargetRecord& aTarget);
-  Awaitable<AttemptEnd> TakeAnswer(const TargetRecord& aTarget, HttpAnswerHead aHead);
-  Awaitable<AttemptEnd> PassWhole(HttpAnswerHead aHead);
-  Awaitable<AttemptEnd> PassStream(const TargetRecord& aTarget, HttpAnswerHead aHead);
+  Awaitable<AttemptResult> TakeAnswer(const TargetRecord& aTarget, HttpAnswerHead aHead);
+  Awaitable<AttemptResult> PassWhole(HttpAnswerHead aHead);
+  Awaitable<AttemptResult> PassStream(const TargetRecord& aTarget, HttpAnswerHead aHead);
   Awaitable<bool> PassEvents(const HttpAnswerHead& aHead, std::string_view aEvents);
   Awaitable<bool> Finish(ExchangeStep aStep);
   Awaitable<bool> AnswerFailure(const CallerError& aError);
   Awaitable<std::unique_ptr<TargetChannel>> Connect(const TargetRecord& aTarget);
   // Keeps what an attempt showed of its target's zone, and logs when the zone is given up.
-  void NoteReach(const TargetRecord& aTarget, HealthSign aSign);
+  void NoteReach(const TargetRecord& aTarget, HealthSignal aSign);
   const TargetRecord* ChooseTarget();
   // The targets of the call's service that may get it.
   const std::vector<TargetRecord>& Targets();
@@ -129,14 +129,14 @@
   void AskWithWeights(std::uint64_t aWeights);
   std::uint64_t NewestWeights();
   void OnInterrupt(Interrupt aReason);
-  AttemptEnd EndOfFailure() const;
+  AttemptResult EndOfFailure() const;
   bool ClosesAfter() const;
   Duration TimeLeft() const;
   int Priority() const;
   bool IsFit(const TargetRecord& aTarget);
   bool IsExpectedInTime(const TargetRecord& aTarget) const;
   void LogOverload(const TargetRecord& aBest) const;
-  HealthSign SignOf(AttemptEnd aEnd) const;
+  HealthSignal SignOf(AttemptResult aEnd) const;
   void Count(int aStatus, Duration aTook) const;
   void LogEnd(std::string_view aOutcome, int aStatus) const;
 
@@ -154,15 +154,15 @@
   HomeRegions homes;
   // Those of the home regions, where they bind.
   std::vector<TargetRecord> atHome;
-  PickQuestion question;
+  SelectionRequest question;
   CacheScope scope;
   std::uint64_t weights = 0;
 
   std::optional<RequestFingerprint> fingerprint;
-  std::optional<ExchangePlan> plan;
+  std::optional<ExchangeRetryPolicy> plan;
   std::optional<Watchdog> ending;
   std::unique_ptr<TargetChannel> channel;
-  PickedWork work;
+  CallLoad work;
   // Slow stores that this call does not fetch from.
   std::set<std::string> avoided;
   // The store that most of this attempt's parts come from, empty for none, and when it was sent.
@@ -174,7 +174,7 @@
   Interrupt interrupt = Interrupt::None;
   EventFramer framer;
   std::optional<WholeAnswer> failure;
-  AttemptEnd lastEnd = AttemptEnd::Unreachable;
+  AttemptResult lastEnd = AttemptResult::Unreachable;
   // The target of this attempt did not acknowledge what was sent.
   bool unacknowledged = false;
   // It refused the connection of this attempt, so its zone is reached.
--- a/src/program/ExchangeChoice.cpp
+++ b/src/program/ExchangeChoice.cpp
@@ -81,7 +81,7 @@
   this->avoided.clear();
   double reading = 0;
   for (const SizedPart& part : this->question.parts) {
-    reading += this->context.picker.PaceOf(this->call.model).PerToken() *
+    reading += this->context.picker.LatencyModelOf(this->call.model).MillisecondsPerToken() *
                static_cast<double>(part.tokens.Value());
   }
   for (const std::string& store : stored->Names()) {
@@ -145,7 +145,7 @@
   const bool hasPrompt = this->route->carriesPrompt && !this->call.model.Empty();
   if (hasPrompt) {
     this->AskWithWeights(this->NewestWeights());
-    this->question.leastWeights = this->context.picture.WeightsKnownFor(
+    this->question.minWeights = this->context.picture.WeightsKnownFor(
       this->call.model, this->context.settings.weightsWithin - kLongestQueue);
   }
   const std::vector<TargetRecord>& targets = this->Targets();
@@ -156,9 +156,9 @@
   }
   // Only some of the targets were compared: no call is refused while another one has room.
   this->AskWithWeights(this->NewestWeights());
-  this->question.amongAll = true;
+  this->question.compareAll = true;
   chosen = this->context.picker.Choose(this->question, targets);
-  this->question.amongAll = false;
+  this->question.compareAll = false;
   this->overloaded = !this->IsFit(*chosen);
   if (this->overloaded) {
     this->LogOverload(*chosen);
@@ -198,7 +198,7 @@
 void
 Exchange::LogOverload(const TargetRecord& aBest) const
 {
-  const TargetPicker& picker = this->context.picker;
+  const TargetSelector& picker = this->context.picker;
   const AdmissionLimits& limits = LimitsOf(this->Priority());
   LogEvent(LogLevel::Info, "refused_as_overloaded")
     .With("request", this->call.request)
@@ -209,7 +209,7 @@
     .With("patience", limits.patience)
     .With("memory", picker.MemoryShare(this->question, aBest.id))
     .With("most_memory", limits.memory)
-    .With("to_read", picker.ToRead(this->question, aBest.id))
+    .With("to_read", picker.UncachedTokens(this->question, aBest.id))
     .With("weights", this->weights);
 }
 
@@ -271,7 +271,7 @@
       continue;
     }
     if (leading) {
-      const TargetRecord* holder = this->context.picker.HolderOf(part, this->Targets(), aTarget);
+      const TargetRecord* holder = this->context.picker.FindHolder(part, this->Targets(), aTarget);
       leading = holder != nullptr;
       if (holder != nullptr) {
         aTo.fetches[index].peer = holder->endpoint;
@@ -292,12 +292,13 @@
   if (this->work.answering || this->question.promptTokens == TokenCount()) {
     return;
   }
-  TargetPicker& picker = this->context.picker;
+  TargetSelector& picker = this->context.picker;
   this->firstEventAt = this->context.clock.MonotonicNow();
   const Duration sinceSend = this->firstEventAt - this->sentAt;
   const std::chrono::duration<double, std::milli> took = sinceSend;
-  const double expected = picker.PaceOf(this->question.model).Expected(this->work.toRead);
-  if (picker.NotePace(
+  const double expected =
+    picker.LatencyModelOf(this->question.model).Expected(this->work.uncachedTokens);
+  if (picker.RecordFirstEvent(
         aTarget.id, this->question, this->work, !this->fetchedFrom.empty(), sinceSend)) {
     this->context.pace.Note(this->fetchedFrom, took.count() - expected);
   }
@@ -309,8 +310,8 @@
       .With("since_arrival_ms", WholeMilliseconds(sinceArrival))
       .With("since_send_ms", took.count())
       .With("expected_ms", expected)
-      .With("to_read", this->work.toRead)
-      .With("behind_others", this->work.behindOthers)
+      .With("to_read", this->work.uncachedTokens)
+      .With("behind_others", this->work.queuedBehindOthers)
       .With("fetched_from", this->fetchedFrom)
       .With("slow_stores", this->avoided.size())
       .With("sends", this->plan->Sent());
@@ -325,8 +326,9 @@
   if (!this->work.answering) {
     return;
   }
-  TargetPicker& picker = this->context.picker;
-  const double reading = picker.PaceOf(this->question.model).Expected(this->work.toRead);
+  TargetSelector& picker = this->context.picker;
+  const double reading =
+    picker.LatencyModelOf(this->question.model).Expected(this->work.uncachedTokens);
   const Duration answering = this->context.clock.MonotonicNow() - this->firstEventAt;
   const auto read = std::chrono::duration<double, std::milli>(reading);
   picker.NoteRun(this->question.model, answering + std::chrono::duration_cast<Duration>(read));
--- a/src/program/ExchangeRecord.cpp
+++ b/src/program/ExchangeRecord.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 void
-Exchange::NoteReach(const TargetRecord& aTarget, HealthSign aSign)
+Exchange::NoteReach(const TargetRecord& aTarget, HealthSignal aSign)
 {
   if (this->refused) {
     this->context.reach.OnBytes(aTarget.zone);
@@ -143,23 +143,23 @@
   return *this->fingerprint;
 }
 
-HealthSign
-Exchange::SignOf(AttemptEnd aEnd) const
+HealthSignal
+Exchange::SignOf(AttemptResult aEnd) const
 {
   switch (aEnd) {
-    case AttemptEnd::Unreachable:
-      return HealthSign::Gone;
-    case AttemptEnd::Broken:
-      return this->unacknowledged ? HealthSign::Gone : HealthSign::Bad;
-    case AttemptEnd::CallerLeft:
-    case AttemptEnd::Expired:
-      return HealthSign::None;
-    case AttemptEnd::Delivered:
-    case AttemptEnd::Refused:
-    case AttemptEnd::Failed:
-      return HealthSign::Good;
+    case AttemptResult::Unreachable:
+      return HealthSignal::NotReached;
+    case AttemptResult::Broken:
+      return this->unacknowledged ? HealthSignal::NotReached : HealthSignal::Bad;
+    case AttemptResult::CallerLeft:
+    case AttemptResult::Expired:
+      return HealthSignal::None;
+    case AttemptResult::Delivered:
+    case AttemptResult::Refused:
+    case AttemptResult::Failed:
+      return HealthSignal::Good;
   }
-  return HealthSign::None;
+  return HealthSignal::None;
 }
 
 // One line for each choice of a target for a prompt, with what decided it: whether it is found kept
@@ -182,12 +182,12 @@
     .With("prompt", this->question.promptTokens)
     .With("parts", this->question.parts.size())
     .With("last_part", this->question.parts.empty() ? PartKey() : this->question.parts.back().key)
-    .With("to_read", this->work.toRead)
+    .With("to_read", this->work.uncachedTokens)
     .With("fetches", moved(aCall.fetches))
     .With("fetched_from", this->fetchedFrom)
     .With("saves", moved(aCall.saves))
     .With("slow_stores", this->avoided.size())
-    .With("unread", load.unread - std::min(load.unread, this->work.toRead.Value()))
+    .With("unread", load.unread - std::min(load.unread, this->work.uncachedTokens.Value()))
     .With("running", load.requests - std::min<std::uint64_t>(load.requests, 1))
     .With("memory", load.memory)
     .With("weights", this->weights);
@@ -225,7 +225,7 @@
     .With("outcome", aOutcome)
     .With("status", aStatus)
     .With("sends", this->plan ? this->plan->Sent() : 0)
-    .With("last_end", AttemptEndName(this->lastEnd))
+    .With("last_end", AttemptResultName(this->lastEnd))
     .With("took_ms", WholeMilliseconds(took));
 }
 
--- a/src/program/OrdersModule.cpp
+++ b/src/program/OrdersModule.cpp
@@ -8,10 +8,10 @@
 constexpr Duration kPlanInterval = std::chrono::milliseconds(200);
 constexpr Duration kProposalTimeout = std::chrono::seconds(5);
 
-OrderLimits
+OrderTimings
 LimitsOf(const HostSettings& aSettings)
 {
-  OrderLimits limits;
+  OrderTimings limits;
   limits.lease = aSettings.timeouts.electionMost;
   return limits;
 }
@@ -47,7 +47,7 @@
   , orders(aContext.clock, LimitsOf(aContext.settings), this->machine)
   , lease(aContext.clock)
   , sender(this->lease,
-           OrderLimits().orderInFlight,
+           OrderTimings().orderInFlight,
            [this](const TargetId& aTarget, OrderOutcome aOutcome) {
              LogEvent(LogLevel::Info, "order_sent")
                .With("target", aTarget)
@@ -89,7 +89,7 @@
 void
 OrdersModule::Carry(const OrderAction& aAction)
 {
-  if (const auto* issue = std::get_if<IssueOrder>(&aAction)) {
+  if (const auto* issue = std::get_if<IssueFencing>(&aAction)) {
     this->Issue(issue->target);
   } else if (const auto* send = std::get_if<SendOrder>(&aAction)) {
     this->sender.Send(send->order);
@@ -103,12 +103,12 @@
 {
   this->groups.Propose(ControlGroupId(),
                        MachinePart::Orders,
-                       PackIssueOrder(aTarget),
+                       PackIssueFencing(aTarget),
                        kProposalTimeout,
                        [this, aTarget](const Result<std::string>& aAnswer) {
-                         this->orders.OnIssued(aTarget,
-                                               aAnswer ? UnpackFencing(aAnswer.value())
-                                                       : Fail(aAnswer.error()));
+                         this->orders.OnFencingIssued(aTarget,
+                                                      aAnswer ? UnpackFencing(aAnswer.value())
+                                                              : Fail(aAnswer.error()));
                        });
 }
 
@@ -124,7 +124,7 @@
                        kProposalTimeout,
                        [this, name = aStop.deployment](const Result<std::string>& aAnswer) {
                          if (!aAnswer) {
-                           this->orders.OnStopLost(name);
+                           this->orders.OnStopNotRecorded(name);
                          }
                        });
 }
--- a/src/program/OrdersModule.h
+++ b/src/program/OrdersModule.h
@@ -35,7 +35,7 @@
   Replicator& groups;
   const ConfigSpread& spread;
   const TargetRegistry& targets;
-  OrdersMachine machine;
+  OrderStateMachine machine;
   TargetOrders orders;
   LeaseStamp lease;
   OrderSender sender;
--- a/src/program/ServiceRelay.cpp
+++ b/src/program/ServiceRelay.cpp
@@ -160,12 +160,12 @@
   const MonotonicTime begun = this->context.host.clock.MonotonicNow();
   auto connected = HttpExchange::Connect(this->MakeCall(aTarget, attempt));
   if (!connected) {
-    desk.OnEnd(aTarget.id, AttemptLoad::Failed, HealthSign::Bad, Duration(0));
+    desk.OnEnd(aTarget.id, AttemptLoad::Failed, HealthSignal::Bad, Duration(0));
     return Fail(connected.error());
   }
   const MonotonicTime now = this->context.host.clock.MonotonicNow();
   if (this->ticket != nullptr && !this->ticket->Leased(now)) {
-    desk.OnEnd(aTarget.id, AttemptLoad::Failed, HealthSign::None, Duration(0));
+    desk.OnEnd(aTarget.id, AttemptLoad::Failed, HealthSignal::None, Duration(0));
     return Fail(ErrorKind::DeadlineExceeded, "the claim of the key ran out", "try again");
   }
   this->record.Advance(AttemptStage::Sending);
@@ -173,7 +173,7 @@
   this->record.Advance(answer ? AttemptStage::Finished : AttemptStage::Lost);
   desk.OnEnd(aTarget.id,
              answer ? AttemptLoad::Served : AttemptLoad::Failed,
-             answer ? HealthSign::Good : HealthSign::Bad,
+             answer ? HealthSignal::Good : HealthSignal::Bad,
              this->context.host.clock.MonotonicNow() - begun);
   return answer;
 }
--- a/src/program/TargetsModule.h
+++ b/src/program/TargetsModule.h
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "damasklink/coordination/TargetSpread.h"
+#include "damasklink/coordination/TargetBroadcaster.h"
 #include "damasklink/protocol/OperatorApi.h"
 #include "damasklink/transport/ControlLoop.h"
 
@@ -38,7 +38,7 @@
   const Clock& clock;
   PeerSender& peers;
   Publish publish;
-  TargetSpread spread;
+  TargetBroadcaster spread;
   std::vector<TargetRecord> published;
   MonotonicTime nextPublish;
 };
--- a/src/protocol/StoresCodec.cpp
+++ b/src/protocol/StoresCodec.cpp
@@ -124,7 +124,7 @@
   wire::StoresBodyUnion operator()(const SendsNotice& aNotice) const
   {
     wire::SendsNoticeT packed;
-    for (const TargetSends& sends : aNotice) {
+    for (const TargetSendsDelta& sends : aNotice) {
       auto& entry = *packed.sends.emplace_back(std::make_unique<wire::TargetSendsEntryT>());
       entry.target = sends.target.Value();
       entry.requests = sends.requests;
--- a/src/protocol/TargetsWire.cpp
+++ b/src/protocol/TargetsWire.cpp
@@ -21,7 +21,7 @@
 }
 
 wire::Sign
-WireSign(const TargetSign& aSign)
+WireSign(const TargetKeepalive& aSign)
 {
   return wire::Sign(Narrow<std::uint32_t>(aSign.load.queuedPrefill.Value()),
                     aSign.target,
@@ -32,10 +32,10 @@
                     Narrow<std::uint16_t>(aSign.load.slots));
 }
 
-TargetSign
+TargetKeepalive
 ReadSign(const wire::Sign& aSign)
 {
-  TargetSign sign;
+  TargetKeepalive sign;
   sign.target = aSign.target();
   sign.fingerprint = aSign.fingerprint();
   sign.sequence = Sequence(aSign.sequence());
@@ -53,7 +53,7 @@
 {
   flatbuffers::FlatBufferBuilder builder;
   std::vector<wire::Sign> signs;
-  for (const TargetSign& sign : aMessage.signs) {
+  for (const TargetKeepalive& sign : aMessage.signs) {
     signs.push_back(WireSign(sign));
   }
   std::vector<std::string> records;
--- a/test/coordination/RelayPlanTest.cpp
+++ b/test/coordination/AttemptRecoveryTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/RelayPlan.h"
+#include "damasklink/coordination/AttemptRecovery.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -18,24 +18,24 @@
   return lost;
 }
 
-TEST(RelayPlanTest, TargetThatDoesNotBringTheAnswerOnIsLeft)
+TEST(AttemptRecoveryTest, ResumptionWithoutProgressContinuesOnAnotherTarget)
 {
   LostAttempt lost = MakeLost();
   lost.tokens = 5;
-  EXPECT_EQ(DecideRelayStep(lost), RelayStep::Resume);
+  EXPECT_EQ(DecideRecoveryStep(lost), RecoveryStep::Resume);
   lost.resumed = true;
-  lost.tokensAtStart = 5;
-  EXPECT_EQ(DecideRelayStep(lost), RelayStep::Continue);
+  lost.tokensBefore = 5;
+  EXPECT_EQ(DecideRecoveryStep(lost), RecoveryStep::Continue);
 }
 
-TEST(RelayPlanTest, GivesUpAtOnceWhenItsTimeIsOver)
+TEST(AttemptRecoveryTest, GivesUpWithoutTimeLeft)
 {
   LostAttempt lost = MakeLost();
   lost.timeLeft = Duration(0);
-  EXPECT_EQ(DecideRelayStep(lost), RelayStep::GiveUp);
+  EXPECT_EQ(DecideRecoveryStep(lost), RecoveryStep::GiveUp);
 }
 
-RC_GTEST_PROP(RelayPlanProperty, RunThatMayHaveBegunIsNeverRepeatedUnlessRepeatable, ())
+RC_GTEST_PROP(AttemptRecoveryProperty, NonRepeatableRunIsNeverRepeatedOnceItMayHaveBegun, ())
 {
   LostAttempt lost;
   lost.kind = static_cast<ErrorKind>(*rc::gen::inRange(0, 14));
@@ -45,10 +45,10 @@
   lost.resumed = *rc::gen::arbitrary<bool>();
   lost.repeatable = *rc::gen::arbitrary<bool>();
   lost.timeLeft = std::chrono::seconds(1);
-  const RelayStep step = DecideRelayStep(lost);
+  const RecoveryStep step = DecideRecoveryStep(lost);
   const bool harmless = lost.repeatable || lost.outcome == RunOutcome::NotRun;
-  RC_ASSERT(step != RelayStep::Repeat || (harmless && lost.tokens == 0));
-  RC_ASSERT(step == RelayStep::GiveUp || lost.tries < kMostTries);
+  RC_ASSERT(step != RecoveryStep::Repeat || (harmless && lost.tokens == 0));
+  RC_ASSERT(step == RecoveryStep::GiveUp || lost.tries < kMaxTries);
 }
 
 TEST(RetryBudgetTest, RetriesStayUnderATenthOfRequests)
--- a/test/coordination/CostRouterTest.cpp
+++ b/test/coordination/CostRouterTest.cpp
@@ -67,7 +67,7 @@
   CostRouter router{ this->clock, CostRouterOptions() };
 };
 
-TEST_F(CostRouterTest, ReturningPromptGoesWhereItWas)
+TEST_F(CostRouterTest, RepeatedPromptReturnsToItsTarget)
 {
   const auto targets = Targets(18);
   const RouteDecision first = this->Send(this->router, Prompt("a"), targets);
@@ -79,7 +79,7 @@
   EXPECT_EQ(again.value().expectedPrefill, TokenCount(0));
 }
 
-TEST_F(CostRouterTest, LeavesItsHolderWhenWaitingCostsMoreThanComputing)
+TEST_F(CostRouterTest, PromptLeavesItsHolderWhenWaitingCostsMoreThanRecomputing)
 {
   auto targets = Targets(3);
   const RouteDecision first = this->Send(this->router, Prompt("a"), targets);
@@ -91,7 +91,7 @@
   EXPECT_NE(this->router.Choose(Prompt("a"), targets).value().target, first.target);
 }
 
-TEST_F(CostRouterTest, WeightOfRecomputeKeepsItWhereItWas)
+TEST_F(CostRouterTest, RecomputeWeightKeepsThePromptOnItsHolder)
 {
   auto targets = Targets(3);
   const RouteDecision first = this->Send(this->router, Prompt("a"), targets);
@@ -133,7 +133,7 @@
   EXPECT_EQ(used.size(), 1U);
 }
 
-TEST_F(CostRouterTest, OwnSendsCountUntilTheyAnswer)
+TEST_F(CostRouterTest, OwnSendsCountUntilTheFirstToken)
 {
   const auto targets = Targets(4);
   std::set<TargetId> used;
@@ -143,7 +143,7 @@
   EXPECT_EQ(used.size(), 4U);
 }
 
-TEST_F(CostRouterTest, OwnSendsCountAlthoughAReportLeavesThemOut)
+TEST_F(CostRouterTest, OwnSendsCountWhenAReportOmitsThem)
 {
   auto targets = Targets(2);
   CostRouterOptions options;
@@ -157,7 +157,7 @@
   EXPECT_NE(blind.Choose(Prompt("a"), targets).value().target, busy);
 }
 
-TEST_F(CostRouterTest, AnsweredSendsHoldTheirSlotsUntilReported)
+TEST_F(CostRouterTest, AnsweredSendsOccupyTheirSlotsUntilReported)
 {
   auto targets = Targets(2);
   for (TargetRecord& target : targets) {
@@ -178,7 +178,7 @@
   EXPECT_NE(blind.Choose(Prompt("a"), targets).value().target, sent.target);
 }
 
-TEST_F(CostRouterTest, HostsThatSeeTheSameReportDoNotHerd)
+TEST_F(CostRouterTest, HostsWithTheSameReportSpreadTheirPrompts)
 {
   const auto targets = Targets(18);
   std::map<TargetId, int> counts;
@@ -192,7 +192,7 @@
   }
 }
 
-TEST_F(CostRouterTest, PeersSendsCountUntilReported)
+TEST_F(CostRouterTest, PeerSendsCountUntilReported)
 {
   auto targets = Targets(2);
   ASSERT_TRUE(this->router.Choose(Prompt("a"), targets));
@@ -206,15 +206,15 @@
   EXPECT_EQ(this->router.Choose(Prompt("a"), targets).value().target, busy);
 }
 
-TEST_F(CostRouterTest, TellsPeersEachSendOnce)
+TEST_F(CostRouterTest, EachSendIsReportedToPeersOnce)
 {
   const RouteDecision sent = this->Send(this->router, Prompt("a"), Targets(2));
-  const std::vector<TargetSends> expected{ { sent.target, 1, sent.expectedPrefill } };
+  const std::vector<TargetSendsDelta> expected{ { sent.target, 1, sent.expectedPrefill } };
   EXPECT_EQ(this->router.TakeSends(), expected);
   EXPECT_TRUE(this->router.TakeSends().empty());
 }
 
-TEST_F(CostRouterTest, LearnsThatATargetIsSlowerThanDeclared)
+TEST_F(CostRouterTest, LearntRateReplacesTheDeclaredOne)
 {
   const auto targets = Targets(1);
   for (int number = 0; number < 40; ++number) {
@@ -245,7 +245,7 @@
   EXPECT_TRUE(this->router.Choose(prompt, Targets(2)).value().importFrom.Empty());
 }
 
-TEST_F(CostRouterTest, BlocksOfAnotherVersionMeanNothingToATarget)
+TEST_F(CostRouterTest, BlocksOfAnotherVersionAreIgnored)
 {
   RouteRequest prompt = Prompt("kept");
   prompt.stored = { { StoreId("store-1"), kPromptBlocks, prompt.promptTokens, ByteCount(1), 1e9 } };
@@ -268,7 +268,7 @@
   EXPECT_EQ(this->router.Choose(prompt, targets).value().target, targets[0].id);
 }
 
-TEST_F(CostRouterTest, FollowsChangesOfWhatATargetServes)
+TEST_F(CostRouterTest, ChangesOfServedModelsAreApplied)
 {
   auto targets = Targets(1);
   ASSERT_TRUE(this->router.Choose(Prompt("a"), targets));
--- a/test/coordination/OrdersMachineTest.cpp
+++ b/test/coordination/OrderStateMachineTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/OrdersMachine.h"
+#include "damasklink/coordination/OrderStateMachine.h"
 
 #include <gtest/gtest.h>
 
@@ -9,37 +9,37 @@
                              WallTime(),       Incarnation(1), WallTime() };
 
 FencingNumber
-Issue(OrdersMachine& aMachine, const std::string& aTarget)
+Issue(OrderStateMachine& aMachine, const std::string& aTarget)
 {
-  return UnpackFencing(aMachine.Apply(kContext, PackIssueOrder(TargetId(aTarget)))).value();
+  return UnpackFencing(aMachine.Apply(kContext, PackIssueFencing(TargetId(aTarget)))).value();
 }
 
-TEST(OrdersMachineTest, FencingNumbersRiseOverTargetsAndSnapshots)
+TEST(OrderStateMachineTest, FencingNumbersIncreaseAcrossTargetsAndSnapshots)
 {
-  OrdersMachine machine;
+  OrderStateMachine machine;
   const FencingNumber first = Issue(machine, "a");
   const FencingNumber second = Issue(machine, "b");
-  OrdersMachine restarted;
+  OrderStateMachine restarted;
   ASSERT_TRUE(restarted.Load(machine.Save()));
   EXPECT_LT(first, second);
   EXPECT_LT(second, Issue(restarted, "a"));
 }
 
-TEST(OrdersMachineTest, StopHoldsForItsWishOnlyAndOutlivesASnapshot)
+TEST(OrderStateMachineTest, StopAppliesToItsDesiredStateOnlyAndSurvivesASnapshot)
 {
-  OrdersMachine machine;
+  OrderStateMachine machine;
   const DeploymentName name("d");
   machine.Apply(kContext, PackStopRollout(name, 7, "why"));
-  OrdersMachine restarted;
+  OrderStateMachine restarted;
   ASSERT_TRUE(restarted.Load(machine.Save()));
   ASSERT_NE(restarted.FindStop(name, 7), nullptr);
   EXPECT_EQ(restarted.FindStop(name, 7)->reason, "why");
   EXPECT_EQ(restarted.FindStop(name, 8), nullptr);
 }
 
-TEST(OrdersMachineTest, DamagedSnapshotIsRefused)
+TEST(OrderStateMachineTest, DamagedSnapshotIsRefused)
 {
-  OrdersMachine machine;
+  OrderStateMachine machine;
   EXPECT_FALSE(machine.Load("\x01"));
   EXPECT_FALSE(machine.Load(""));
 }
--- a/test/coordination/TargetSpreadTest.cpp
+++ b/test/coordination/TargetBroadcasterTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetSpread.h"
+#include "damasklink/coordination/TargetBroadcaster.h"
 
 #include <functional>
 #include <memory>
@@ -29,7 +29,7 @@
     for (std::size_t index = 0; index < kHosts; ++index) {
       settings.host = NameOf(index);
       settings.zone = settings.peers[index].zone;
-      this->hosts.push_back(std::make_unique<TargetSpread>(this->clock, settings));
+      this->hosts.push_back(std::make_unique<TargetBroadcaster>(this->clock, settings));
     }
     this->record.id = kTarget;
     this->record.endpoint = Endpoint{ "127.0.0.1", 1 };
@@ -88,12 +88,12 @@
   }
 
   ManualClock clock;
-  std::vector<std::unique_ptr<TargetSpread>> hosts;
+  std::vector<std::unique_ptr<TargetBroadcaster>> hosts;
   TargetRecord record;
   std::size_t dead = kHosts;
 };
 
-TEST(TargetSpreadTest, AnnouncedTargetIsUsableEverywhereAndStaysSo)
+TEST(TargetBroadcasterTest, AnnouncedTargetStaysUsableOnAllHosts)
 {
   FakeHosts hosts;
   hosts.Announce(0);
@@ -103,7 +103,7 @@
   EXPECT_EQ(hosts.CountUsable(), kHosts);
 }
 
-TEST(TargetSpreadTest, SilentTargetGetsNoNewWorkAnywhereWithinTheLimit)
+TEST(TargetBroadcasterTest, SilentTargetIsUnusableOnAllHostsWithinTheLimit)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
@@ -113,7 +113,7 @@
   EXPECT_EQ(hosts.CountUsable(), kHosts) << "heard of again";
 }
 
-TEST(TargetSpreadTest, LeavingTargetGetsNoNewWorkAtOnce)
+TEST(TargetBroadcasterTest, LeavingTargetIsUnusableAtOnce)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
@@ -123,16 +123,16 @@
   EXPECT_EQ(hosts.CountUsable(), 0U);
 }
 
-TEST(TargetSpreadTest, TargetThatFellSilentWithItsHomeIsOutAfterTheRemoteLimit)
+TEST(TargetBroadcasterTest, TargetSilentWithItsHomeIsUnusableAfterTheRemoteLimit)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
   hosts.dead = 0;
-  hosts.Run(TargetSpread::kRemoteSilence, kHosts);
+  hosts.Run(TargetBroadcaster::kRemoteSilence, kHosts);
   EXPECT_EQ(hosts.CountUsable(), 0U);
 }
 
-TEST(TargetSpreadTest, TargetGoesOnWithAnotherHomeWithoutAGap)
+TEST(TargetBroadcasterTest, ChangeOfHomeKeepsTheTargetUsable)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
@@ -142,7 +142,7 @@
   }
 }
 
-TEST(TargetSpreadTest, LateRecordOfAnOlderLifeNeverRevives)
+TEST(TargetBroadcasterTest, LateRecordOfAnOlderIncarnationIsIgnored)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(1), 0);
@@ -159,7 +159,7 @@
   EXPECT_EQ(hosts.CountUsable(), 0U);
 }
 
-TEST(TargetSpreadTest, LoadAloneIsPassedOnWithTheRefreshOnly)
+TEST(TargetBroadcasterTest, LoadChangesAreSentWithTheRefreshOnly)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
@@ -167,13 +167,13 @@
   hosts.record.load.runningRequests = 9;
   hosts.Announce(0);
   EXPECT_TRUE(hosts.hosts[0]->TakeOutgoing().empty());
-  hosts.Run(TargetSpread::kFarRefreshInterval, 0);
+  hosts.Run(TargetBroadcaster::kFarRefreshInterval, 0);
   EXPECT_EQ(hosts.hosts[1]->Registry().Find(kTarget)->load.runningRequests, 9U);
   EXPECT_EQ(hosts.hosts[3]->Registry().Find(kTarget)->load.runningRequests, 9U);
 }
 
 // Whatever was lost, and wherever the target announced itself meanwhile: all know it in the end.
-RC_GTEST_PROP(TargetSpreadTest, HostThatMissedAnnouncementsGetsThemFromTheRefresh, ())
+RC_GTEST_PROP(TargetBroadcasterTest, MissedAnnouncementsAreRecoveredByTheRefresh, ())
 {
   FakeHosts hosts;
   const int moves = *rc::gen::inRange(1, 5);
@@ -185,7 +185,7 @@
       return *rc::gen::inRange(0, 10) >= lossOf10;
     });
   }
-  hosts.Run(TargetSpread::kFarRefreshInterval * 3, *rc::gen::inRange<std::size_t>(0, kHosts));
+  hosts.Run(TargetBroadcaster::kFarRefreshInterval * 3, *rc::gen::inRange<std::size_t>(0, kHosts));
   RC_ASSERT(hosts.CountUsable() == kHosts);
   for (const auto& host : hosts.hosts) {
     RC_ASSERT(host->Registry().Find(kTarget)->models == hosts.record.models);
--- a/test/coordination/TargetBoardTest.cpp
+++ b/test/coordination/TargetDirectoryTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetBoard.h"
+#include "damasklink/coordination/TargetDirectory.h"
 
 #include <algorithm>
 
@@ -23,10 +23,10 @@
   return statement;
 }
 
-class TargetBoardTest : public ::testing::Test
+class TargetDirectoryTest : public ::testing::Test
 {
 protected:
-  TargetBoardTest()
+  TargetDirectoryTest()
   {
     this->board.OnLink(kFirst, true);
     this->board.OnLink(kSecond, true);
@@ -34,24 +34,24 @@
 
   std::size_t Usable() const { return this->board.Usable(kService).size(); }
 
-  TargetBoard board;
+  TargetDirectory board;
 };
 
-TEST_F(TargetBoardTest, StatedTargetIsUsable)
+TEST_F(TargetDirectoryTest, ReportedTargetIsUsable)
 {
   this->board.Take(kFirst, Say("t", 1, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 1U);
   EXPECT_TRUE(this->board.Usable(ServiceName("other")).empty());
 }
 
-TEST_F(TargetBoardTest, WhatLeftStaysGone)
+TEST_F(TargetDirectoryTest, LeavingTargetStaysRemoved)
 {
   this->board.Take(kFirst, Say("t", 5, TargetStanding::Leaving));
   this->board.Take(kSecond, Say("t", 6, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 0U);
 }
 
-TEST_F(TargetBoardTest, UsableWhileOneConnectedHostSaysSo)
+TEST_F(TargetDirectoryTest, TargetIsUsableWhileAnyConnectedHostReportsIt)
 {
   this->board.Take(kFirst, Say("t", 5, TargetStanding::Silent));
   this->board.Take(kSecond, Say("t", 5, TargetStanding::Usable));
@@ -59,7 +59,7 @@
   EXPECT_EQ(this->Usable(), 2U);
 }
 
-TEST_F(TargetBoardTest, WordOfALostHostYieldsToThatOfAConnectedOne)
+TEST_F(TargetDirectoryTest, ConnectedHostOverridesDisconnectedOne)
 {
   this->board.Take(kFirst, Say("t", 5, TargetStanding::Silent));
   this->board.Take(kFirst, Say("u", 5, TargetStanding::Usable));
@@ -68,7 +68,7 @@
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, CutOffHostGoesOnWithTheLastWords)
+TEST_F(TargetDirectoryTest, LastReportsCountWithoutConnectedHosts)
 {
   this->board.Take(kFirst, Say("t", 5, TargetStanding::Usable));
   this->board.OnLink(kFirst, false);
@@ -76,13 +76,13 @@
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, SilentTargetsServeWhenThereAreNoOthers)
+TEST_F(TargetDirectoryTest, SilentTargetsAreUsedWithoutAlternatives)
 {
   this->board.Take(kFirst, Say("t", 5, TargetStanding::Silent));
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, PausedTargetGetsNothingWhileAnotherServes)
+TEST_F(TargetDirectoryTest, PausedTargetIsUnusedWhileAnotherIsUsable)
 {
   TargetStatement paused = Say("t", 5, TargetStanding::Usable);
   paused.paused = true;
@@ -92,20 +92,20 @@
   EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("u"));
 }
 
-TEST_F(TargetBoardTest, TargetThatAnotherOneReplacedIsGone)
+TEST_F(TargetDirectoryTest, MarkRemovedHidesTheTarget)
 {
   this->board.Take(kFirst, Say("t", 5, TargetStanding::Usable));
-  this->board.NoteGone(TargetId("t"));
+  this->board.MarkRemoved(TargetId("t"));
   EXPECT_EQ(this->Usable(), 0U);
   EXPECT_EQ(this->board.Find(TargetId("t")), nullptr);
 }
 
-TEST_F(TargetBoardTest, MemoryOfWhatIsGoneIsBounded)
+TEST_F(TargetDirectoryTest, OldestRemovedTargetsAreForgotten)
 {
-  for (std::size_t number = 0; number <= TargetBoard::kMostGone; ++number) {
+  for (std::size_t number = 0; number <= TargetDirectory::kMaxRemoved; ++number) {
     const std::string id = "t" + std::to_string(number);
     this->board.Take(kFirst, Say(id, 1, TargetStanding::Usable));
-    this->board.NoteGone(TargetId(id));
+    this->board.MarkRemoved(TargetId(id));
   }
   // The oldest one is forgotten, the next one is not.
   this->board.Take(kFirst, Say("t0", 2, TargetStanding::Usable));
@@ -114,7 +114,7 @@
   EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("t0"));
 }
 
-TEST_F(TargetBoardTest, OlderRecordDoesNotReplaceTheNewerOne)
+TEST_F(TargetDirectoryTest, OlderRecordDoesNotReplaceTheNewerOne)
 {
   TargetStatement newer = Say("t", 5, TargetStanding::Usable);
   newer.record.load.slots = 7;
@@ -131,7 +131,7 @@
   return statement;
 }
 
-TEST_F(TargetBoardTest, TargetThatStartsAgainUnderItsIdIsUsableThoughItHadLeft)
+TEST_F(TargetDirectoryTest, RestartedTargetIsUsableAfterLeaving)
 {
   this->board.Take(kFirst, SayOf(1000, 50, TargetStanding::Leaving));
   this->board.Take(kSecond, SayOf(2000, 1, TargetStanding::Usable));
@@ -140,7 +140,7 @@
   EXPECT_TRUE(this->board.TakeRestarted().empty());
 }
 
-TEST_F(TargetBoardTest, WordsOfAnEarlierStartChangeNothing)
+TEST_F(TargetDirectoryTest, StatementsOfAnEarlierIncarnationAreIgnored)
 {
   this->board.Take(kFirst, SayOf(2000, 1, TargetStanding::Usable));
   this->board.Take(kSecond, SayOf(1000, 50, TargetStanding::Leaving));
@@ -149,28 +149,28 @@
   EXPECT_TRUE(this->board.TakeRestarted().empty());
 }
 
-TEST_F(TargetBoardTest, TargetThatWasFoundGoneComesBackWithItsNextStart)
+TEST_F(TargetDirectoryTest, RemovedTargetReturnsWithItsNextIncarnation)
 {
   this->board.Take(kFirst, SayOf(1000, 5, TargetStanding::Usable));
-  this->board.NoteGone(TargetId("t"));
+  this->board.MarkRemoved(TargetId("t"));
   this->board.Take(kFirst, SayOf(1000, 6, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 0U);
   this->board.Take(kFirst, SayOf(2000, 1, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, TargetsThatAppearAreToldOnce)
+TEST_F(TargetDirectoryTest, DiscoveredTargetsAreReturnedOnce)
 {
   this->board.Take(kFirst, Say("t", 1, TargetStanding::Usable));
   this->board.Take(kSecond, Say("t", 2, TargetStanding::Usable));
   this->board.Take(kFirst, Say("old", 1, TargetStanding::Silent));
-  const std::vector<TargetRecord> appeared = this->board.TakeAppeared();
+  const std::vector<TargetRecord> appeared = this->board.TakeDiscovered();
   ASSERT_EQ(appeared.size(), 1U);
   EXPECT_EQ(appeared[0].id, TargetId("t"));
-  EXPECT_TRUE(this->board.TakeAppeared().empty());
+  EXPECT_TRUE(this->board.TakeDiscovered().empty());
 }
 
-TEST_F(TargetBoardTest, AZoneIsMostlySilentWhenMoreThanHalfOfItIs)
+TEST_F(TargetDirectoryTest, ZoneIsMostlySilentAboveHalf)
 {
   this->board.Take(kFirst, Say("a", 1, TargetStanding::Usable));
   this->board.Take(kFirst, Say("b", 1, TargetStanding::Silent));
@@ -181,7 +181,7 @@
 
 // Whatever was said before a start was first stated, and whatever is said late of earlier ones, the
 // board holds what is said of the newest start alone.
-RC_GTEST_PROP(TargetBoardProperty, EarlierStartsLeaveNoTrace, ())
+RC_GTEST_PROP(TargetDirectoryProperty, EarlierIncarnationsLeaveNoTrace, ())
 {
   struct Saying
   {
@@ -199,9 +199,9 @@
   for (const Saying& said : sayings) {
     newest = std::max(newest, said.start);
   }
-  TargetBoard all;
-  TargetBoard newestOnly;
-  for (TargetBoard* board : { &all, &newestOnly }) {
+  TargetDirectory all;
+  TargetDirectory newestOnly;
+  for (TargetDirectory* board : { &all, &newestOnly }) {
     board->OnLink(kFirst, true);
     board->OnLink(kSecond, true);
   }
@@ -216,7 +216,7 @@
   RC_ASSERT(all.Usable(kService) == newestOnly.Usable(kService));
 }
 
-TEST_F(TargetBoardTest, TargetsOfAnEvacuatedZoneAreNoChoiceEvenWithoutOthers)
+TEST_F(TargetDirectoryTest, EvacuatedZoneIsUnusableEvenWithoutAlternatives)
 {
   const ZoneId zone("hall");
   TargetStatement statement = Say("t", 1, TargetStanding::Usable);
--- a/test/coordination/TargetHealthTest.cpp
+++ b/test/coordination/TargetHealthTest.cpp
@@ -17,9 +17,9 @@
 
   void Fail(const char* aId)
   {
-    for (int index = 0; index < TargetHealth::kFailuresInRow; ++index) {
+    for (int index = 0; index < TargetHealth::kConsecutiveFailures; ++index) {
       this->health.OnStart(TargetId(aId));
-      this->health.OnEnd(TargetId(aId), HealthSign::Bad);
+      this->health.OnEnd(TargetId(aId), HealthSignal::Bad);
     }
   }
 
@@ -38,29 +38,29 @@
   std::vector<TargetRecord> targets;
 };
 
-TEST_F(TargetHealthTest, FailuresInARowEject)
+TEST_F(TargetHealthTest, ConsecutiveFailuresEjectTheTarget)
 {
   this->Fail("a");
   EXPECT_FALSE(this->IsFit("a"));
   EXPECT_TRUE(this->IsFit("b"));
 }
 
-TEST_F(TargetHealthTest, SuccessBetweenFailuresKeepsATargetIn)
+TEST_F(TargetHealthTest, SuccessResetsTheFailureCount)
 {
   for (int index = 0; index < 10; ++index) {
-    this->health.OnEnd(TargetId("a"), index % 2 == 0 ? HealthSign::Bad : HealthSign::Good);
+    this->health.OnEnd(TargetId("a"), index % 2 == 0 ? HealthSignal::Bad : HealthSignal::Good);
   }
   EXPECT_TRUE(this->IsFit("a"));
 }
 
-TEST_F(TargetHealthTest, ComesBackWithOneRequestAtATime)
+TEST_F(TargetHealthTest, HalfOpenTargetGetsOneRequestAtATime)
 {
   this->Fail("a");
   this->clock.Advance(std::chrono::seconds(3));
   EXPECT_TRUE(this->IsFit("a"));
   this->health.OnStart(TargetId("a"));
   EXPECT_FALSE(this->IsFit("a"));
-  this->health.OnEnd(TargetId("a"), HealthSign::Good);
+  this->health.OnEnd(TargetId("a"), HealthSignal::Good);
   EXPECT_TRUE(this->IsFit("a"));
 }
 
@@ -69,12 +69,12 @@
   this->Fail("a");
   this->clock.Advance(std::chrono::seconds(3));
   this->health.OnStart(TargetId("a"));
-  this->health.OnEnd(TargetId("a"), HealthSign::Bad);
+  this->health.OnEnd(TargetId("a"), HealthSignal::Bad);
   this->clock.Advance(std::chrono::seconds(3));
   EXPECT_FALSE(this->IsFit("a"));
 }
 
-TEST_F(TargetHealthTest, WideFaultDoesNotEmptyThePool)
+TEST_F(TargetHealthTest, FilterKeepsHalfOfThePoolWhenAllFail)
 {
   for (const char* id : { "a", "b", "c", "d" }) {
     this->Fail(id);
@@ -82,18 +82,18 @@
   EXPECT_EQ(this->health.Filter(this->targets).size(), 2U);
 }
 
-TEST_F(TargetHealthTest, TargetThatCannotBeReachedIsEjectedAtOnce)
+TEST_F(TargetHealthTest, UnreachableTargetIsEjectedAtOnce)
 {
   this->health.OnStart(TargetId("a"));
-  this->health.OnEnd(TargetId("a"), HealthSign::Gone);
+  this->health.OnEnd(TargetId("a"), HealthSignal::NotReached);
   EXPECT_FALSE(this->IsFit("a"));
   EXPECT_TRUE(this->IsFit("b"));
 }
 
-TEST_F(TargetHealthTest, TargetThatSeveralHostsFoundGoneIsEjected)
+TEST_F(TargetHealthTest, TargetReportedUnreachableBySeveralHostsIsEjected)
 {
   const TargetId target("a");
-  this->health.Take({ TargetFindings{ target, TargetHealth::kFindingsToBelieve - 1, 0 } });
+  this->health.Take({ TargetFindings{ target, TargetHealth::kReportsToEject - 1, 0 } });
   EXPECT_TRUE(this->IsFit("a"));
   this->health.Take({ TargetFindings{ target, 1, 0 } });
   EXPECT_FALSE(this->IsFit("a"));
@@ -103,54 +103,54 @@
 {
   for (int time = 0; time < 10; ++time) {
     this->health.Take({ TargetFindings{ TargetId("a"), 1, 0 } });
-    this->clock.Advance(TargetHealth::kFindingsFitWithin);
+    this->clock.Advance(TargetHealth::kReportWindow);
   }
   EXPECT_TRUE(this->IsFit("a"));
 }
 
-TEST_F(TargetHealthTest, OneHostThatTriesInVainTellsTheOthers)
+TEST_F(TargetHealthTest, OneReportEjectsAgainAfterAFailedProbe)
 {
   const TargetId target("a");
-  this->health.Take({ TargetFindings{ target, TargetHealth::kFindingsToBelieve, 0 } });
-  this->clock.Advance(TargetHealth::kFirstEjection + TargetHealth::kTriesSpread);
+  this->health.Take({ TargetFindings{ target, TargetHealth::kReportsToEject, 0 } });
+  this->clock.Advance(TargetHealth::kFirstEjection + TargetHealth::kProbeSpread);
   EXPECT_TRUE(this->IsFit("a"));
   this->health.Take({ TargetFindings{ target, 1, 0 } });
   EXPECT_FALSE(this->IsFit("a"));
 }
 
-TEST_F(TargetHealthTest, TargetThatAnotherHostFoundBackIsFitAtOnce)
+TEST_F(TargetHealthTest, RecoveryReportedByAnotherHostEndsTheEjection)
 {
   const TargetId target("a");
-  this->health.Take({ TargetFindings{ target, TargetHealth::kFindingsToBelieve, 0 } });
+  this->health.Take({ TargetFindings{ target, TargetHealth::kReportsToEject, 0 } });
   this->health.Take({ TargetFindings{ target, 0, 1 } });
   EXPECT_TRUE(this->IsFit("a"));
 }
 
-TEST_F(TargetHealthTest, OwnEjectionForFailuresIsNotEndedByOthers)
+TEST_F(TargetHealthTest, RecoveryReportDoesNotEndAnEjectionForOwnFailures)
 {
   this->Fail("a");
   this->health.Take({ TargetFindings{ TargetId("a"), 0, 1 } });
   EXPECT_FALSE(this->IsFit("a"));
 }
 
-TEST_F(TargetHealthTest, WhatIsFoundGoneIsToldOnceAnEjection)
+TEST_F(TargetHealthTest, UnreachableTargetIsReportedOncePerEjection)
 {
   const TargetId target("a");
-  this->health.OnEnd(target, HealthSign::Gone);
-  this->health.OnEnd(target, HealthSign::Gone);
+  this->health.OnEnd(target, HealthSignal::NotReached);
+  this->health.OnEnd(target, HealthSignal::NotReached);
   const std::vector<TargetFindings> expected{ TargetFindings{ target, 1, 0 } };
   EXPECT_EQ(this->health.TakeFindings(), expected);
   EXPECT_TRUE(this->health.TakeFindings().empty());
 }
 
-TEST_F(TargetHealthTest, ReturnOfATargetThatAllBelievedGoneIsTold)
+TEST_F(TargetHealthTest, RecoveryOfAReportedTargetIsReportedOnce)
 {
   const TargetId target("a");
-  this->health.Take({ TargetFindings{ target, TargetHealth::kFindingsToBelieve, 0 } });
-  this->health.OnEnd(target, HealthSign::Good);
+  this->health.Take({ TargetFindings{ target, TargetHealth::kReportsToEject, 0 } });
+  this->health.OnEnd(target, HealthSignal::Good);
   const std::vector<TargetFindings> expected{ TargetFindings{ target, 0, 1 } };
   EXPECT_EQ(this->health.TakeFindings(), expected);
-  this->health.OnEnd(target, HealthSign::Good);
+  this->health.OnEnd(target, HealthSignal::Good);
   EXPECT_TRUE(this->health.TakeFindings().empty());
 }
 
--- a/test/coordination/TargetOrdersTest.cpp
+++ b/test/coordination/TargetOrdersTest.cpp
@@ -103,10 +103,11 @@
   {
     const ApplyContext context{ ControlGroupId(), LogIndex(1),    Term(1),
                                 WallTime(),       Incarnation(1), WallTime() };
-    if (const auto* issue = std::get_if<IssueOrder>(&aAction)) {
+    if (const auto* issue = std::get_if<IssueFencing>(&aAction)) {
       this->begun.push_back(this->clock.MonotonicNow());
-      this->orders->OnIssued(
-        issue->target, UnpackFencing(this->machine.Apply(context, PackIssueOrder(issue->target))));
+      this->orders->OnFencingIssued(
+        issue->target,
+        UnpackFencing(this->machine.Apply(context, PackIssueFencing(issue->target))));
     } else if (const auto* send = std::get_if<SendOrder>(&aAction)) {
       this->Deliver(send->order);
     } else {
@@ -147,8 +148,8 @@
   }
 
   ManualClock clock;
-  OrderLimits limits;
-  OrdersMachine machine;
+  OrderTimings limits;
+  OrderStateMachine machine;
   TargetRegistry registry{ this->clock, std::chrono::seconds(2) };
   DeploymentSet deployments;
   std::vector<FakeEngine> engines;
@@ -158,7 +159,7 @@
   bool holdBack = false;
 };
 
-TEST(TargetOrdersTest, EveryEngineComesToServeTheWishedVersion)
+TEST(TargetOrdersTest, RolloutReachesEveryEngine)
 {
   Fixture system(4);
   system.Run(std::chrono::seconds(30));
@@ -167,7 +168,7 @@
   EXPECT_EQ(system.sent.size(), 4U) << "one order each";
 }
 
-TEST(TargetOrdersTest, EnoughEnginesGoOnServingHoweverFastLoadsMayFollow)
+TEST(TargetOrdersTest, KeepServingLimitsConcurrentLoads)
 {
   Fixture system(4);
   system.deployments[kName].loadInterval = Duration(0);
@@ -178,7 +179,7 @@
   EXPECT_EQ(system.CountAt("v2"), 4U);
 }
 
-TEST(TargetOrdersTest, WeightStoreRestsBetweenLoads)
+TEST(TargetOrdersTest, LoadsKeepTheLoadInterval)
 {
   Fixture system(4);
   system.deployments[kName].keepServing = 0;
@@ -190,7 +191,7 @@
   }
 }
 
-TEST(TargetOrdersTest, RolloutStopsAtTheFirstEngineThatFailsAndSaysSo)
+TEST(TargetOrdersTest, RolloutStopsAtTheFirstFailedEngine)
 {
   Fixture system(4);
   system.engines[1].failsLoads = true;
@@ -207,7 +208,7 @@
   EXPECT_EQ(system.State(), "complete");
 }
 
-TEST(TargetOrdersTest, EngineThatIgnoresFencingIsOrderedOnceMoreBeforeItsFailureStopsTheRollout)
+TEST(TargetOrdersTest, EngineWithoutFencingIsOrderedTwiceBeforeTheRolloutStops)
 {
   Fixture system(4, false);
   system.engines[1].failsLoads = true;
@@ -217,7 +218,7 @@
   EXPECT_EQ(system.State(), "stopped");
 }
 
-TEST(TargetOrdersTest, LateOrderThatPushesOutTheOneUnderWayIsRepaired)
+TEST(TargetOrdersTest, LateOrderThatReplacesAnOpenOneIsRepaired)
 {
   Fixture system(1, false);
   system.deployments[kName].keepServing = 0;
@@ -232,7 +233,7 @@
   EXPECT_EQ(system.CountAt("v3"), 1U);
 }
 
-TEST(TargetOrdersTest, EngineThatRefusesItsOrderStopsTheRollout)
+TEST(TargetOrdersTest, RefusedOrderStopsTheRollout)
 {
   Fixture system(2);
   system.engines[0].highest = FencingNumber(1000);
@@ -241,7 +242,7 @@
   EXPECT_EQ(system.CountAt("v1"), 2U);
 }
 
-TEST(TargetOrdersTest, WithoutTheLeaseNothingIsOrdered)
+TEST(TargetOrdersTest, NothingIsOrderedWithoutTheLease)
 {
   Fixture system(2);
   for (int step = 0; step < 50; ++step) {
@@ -255,7 +256,7 @@
   EXPECT_FALSE(system.sent.empty()) << "with the lease it is";
 }
 
-TEST(TargetOrdersTest, SuccessorWaitsOutLeaseAndOrdersInFlightForTargetsThatIgnoreFencing)
+TEST(TargetOrdersTest, NewLeaderWaitsBeforeOrderingTargetsWithoutFencing)
 {
   Fixture system(2, false);
   const Duration wait = system.limits.lease + system.limits.orderInFlight;
@@ -265,7 +266,7 @@
   EXPECT_FALSE(system.begun.empty());
 }
 
-TEST(TargetOrdersTest, NumberIssuedByAFormerLeaderIsRefusedByTargetsThatCheckIt)
+TEST(TargetOrdersTest, FencingTargetRefusesTheOrderOfAFormerLeader)
 {
   Fixture system(1);
   system.deployments[kName].keepServing = 0;
--- a/test/coordination/TargetRegistryTest.cpp
+++ b/test/coordination/TargetRegistryTest.cpp
@@ -41,7 +41,7 @@
   EXPECT_EQ(registry.Usable().size(), 1U);
 }
 
-TEST(TargetRegistryTest, LateAnnouncementOfOlderIncarnationNeverRevives)
+TEST(TargetRegistryTest, LateAnnouncementOfAnOlderIncarnationIsIgnored)
 {
   ManualClock clock;
   TargetRegistry registry(clock, kSilence);
@@ -51,7 +51,7 @@
   EXPECT_TRUE(registry.Usable().empty());
 }
 
-TEST(TargetRegistryTest, UsabilityIsToldWhenItChanges)
+TEST(TargetRegistryTest, UsabilityChangesAreReturnedOnce)
 {
   ManualClock clock;
   TargetRegistry registry(clock, kSilence);
@@ -85,7 +85,7 @@
 
 // Targets that come, go, move and are forgotten in any order: an address has the one target that
 // announced itself from it last, as a look at all targets would tell.
-RC_GTEST_PROP(TargetRegistryProperty, AnAddressHasTheTargetThatAnnouncedItselfLast, ())
+RC_GTEST_PROP(TargetRegistryProperty, AddressBelongsToTheLastAnnouncedTarget, ())
 {
   constexpr unsigned kTargets = 4;
   constexpr unsigned kAddresses = 3;
--- a/test/coordination/TargetPickerTest.cpp
+++ b/test/coordination/TargetSelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetPicker.h"
+#include "damasklink/coordination/TargetSelector.h"
 
 #include <map>
 #include <string>
@@ -17,11 +17,11 @@
   return record;
 }
 
-class TargetPickerTest : public ::testing::Test
+class TargetSelectorTest : public ::testing::Test
 {
 protected:
   // Calls with a prompt, unless a test says otherwise.
-  TargetPickerTest() { this->question.promptTokens = TokenCount(1); }
+  TargetSelectorTest() { this->question.promptTokens = TokenCount(1); }
 
   std::string Choose()
   {
@@ -32,26 +32,26 @@
   void Load(const std::string& aId, int aRequests)
   {
     for (int index = 0; index < aRequests; ++index) {
-      this->picker.OnSent(TargetId(aId), PickQuestion{}, PickedWork{});
+      this->picker.OnSent(TargetId(aId), SelectionRequest{}, CallLoad{});
     }
   }
 
   ManualClock clock;
   TargetHealth health{ this->clock, 1 };
   ZoneReach reach{ this->clock, 1 };
-  TargetPicker picker{ this->health, this->reach, 1 };
-  PickQuestion question;
+  TargetSelector picker{ this->health, this->reach, 1 };
+  SelectionRequest question;
   std::vector<TargetRecord> targets{ Target("a", "z"), Target("b", "z"), Target("c", "z") };
 };
 
-TEST_F(TargetPickerTest, LeastLoadedIsChosen)
+TEST_F(TargetSelectorTest, LeastLoadedTargetIsChosen)
 {
   this->Load("a", 3);
   this->Load("c", 2);
   EXPECT_EQ(this->Choose(), "b");
 }
 
-TEST_F(TargetPickerTest, PlainCallsSpreadOverTargetsThatAreAboutAsFull)
+TEST_F(TargetSelectorTest, CallsWithoutPromptSpreadOverSimilarlyLoadedTargets)
 {
   this->question.promptTokens = TokenCount();
   this->Load("a", 2);
@@ -65,7 +65,7 @@
   EXPECT_GT(chosen["c"], 70);
 }
 
-TEST_F(TargetPickerTest, PlainCallsLeaveATargetThatIsMuchFullerToChance)
+TEST_F(TargetSelectorTest, CallsWithoutPromptMostlyAvoidAnOverloadedTarget)
 {
   this->question.promptTokens = TokenCount();
   this->Load("a", 40);
@@ -79,18 +79,18 @@
   EXPECT_LT(chosen, 60);
 }
 
-TEST_F(TargetPickerTest, EndOfARequestFreesItsTarget)
+TEST_F(TargetSelectorTest, EndedRequestsNoLongerCount)
 {
   this->Load("a", 3);
   this->Load("b", 1);
   this->Load("c", 3);
-  this->picker.OnEnd(TargetId("a"), PickedWork{});
-  this->picker.OnEnd(TargetId("a"), PickedWork{});
-  this->picker.OnEnd(TargetId("a"), PickedWork{});
+  this->picker.OnEnd(TargetId("a"), CallLoad{});
+  this->picker.OnEnd(TargetId("a"), CallLoad{});
+  this->picker.OnEnd(TargetId("a"), CallLoad{});
   EXPECT_EQ(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, ExcludedTargetsAreNotChosen)
+TEST_F(TargetSelectorTest, ExcludedTargetsAreNotChosen)
 {
   this->question.excluded = { TargetId("a"), TargetId("b") };
   EXPECT_EQ(this->Choose(), "c");
@@ -98,36 +98,36 @@
   EXPECT_EQ(this->Choose(), "");
 }
 
-TEST_F(TargetPickerTest, OwnZoneGoesFirstWhereItCostsNoTime)
+TEST_F(TargetSelectorTest, OwnZoneIsPreferredAtEqualLoad)
 {
   this->targets = { Target("a", "other"), Target("b", "z"), Target("c", "other") };
   this->question.zone = ZoneId("z");
   EXPECT_EQ(this->Choose(), "b");
 }
 
-TEST_F(TargetPickerTest, TargetThatHoldsTheSharedPartIsChosen)
+TEST_F(TargetSelectorTest, TargetWithTheCachedPartIsChosen)
 {
   this->question.promptTokens = TokenCount(9000);
   this->question.parts = { SizedPart{ PartKey(1), TokenCount(8000) } };
   this->picker.Held().OnRead(TargetId("c"), this->question.parts);
   EXPECT_EQ(this->Choose(), "c");
-  EXPECT_EQ(this->picker.ToRead(this->question, TargetId("c")), TokenCount(1000));
-  EXPECT_EQ(this->picker.ToRead(this->question, TargetId("a")), TokenCount(9000));
+  EXPECT_EQ(this->picker.UncachedTokens(this->question, TargetId("c")), TokenCount(1000));
+  EXPECT_EQ(this->picker.UncachedTokens(this->question, TargetId("a")), TokenCount(9000));
 }
 
-TEST_F(TargetPickerTest, PromptThatWaitsToBeReadCounts)
+TEST_F(TargetSelectorTest, QueuedPrefillCounts)
 {
-  PickQuestion large;
+  SelectionRequest large;
   large.promptTokens = TokenCount(9000);
-  PickedWork work;
-  work.toRead = TokenCount(9000);
+  CallLoad work;
+  work.uncachedTokens = TokenCount(9000);
   this->picker.OnSent(TargetId("a"), large, work);
   this->Load("b", 2);
   this->Load("c", 2);
   EXPECT_NE(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, OlderWeightsAreNoChoiceOnceTheirTimeIsOver)
+TEST_F(TargetSelectorTest, WeightsBelowTheMinimumAreUsedOnlyWithoutAlternatives)
 {
   this->targets[0].models = { ServedModel{ ModelName("m"), WeightVersion("1"), {} } };
   this->targets[1].models = { ServedModel{ ModelName("m"), WeightVersion("2"), {} } };
@@ -137,13 +137,13 @@
   this->question.weights = 2;
   this->Load("b", 100);
   EXPECT_NE(this->Choose(), "b");
-  this->question.leastWeights = 2;
+  this->question.minWeights = 2;
   EXPECT_EQ(this->Choose(), "b");
   this->targets[1].models.front().version = WeightVersion("1");
   EXPECT_NE(this->Choose(), "");
 }
 
-TEST_F(TargetPickerTest, WhatOtherHostsSentCounts)
+TEST_F(TargetSelectorTest, LoadFromOtherHostsCounts)
 {
   const TargetSendsNow many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
   const TargetSendsNow some{ TargetId("b"), 5, TokenCount(), TokenCount(), {} };
@@ -157,7 +157,7 @@
   EXPECT_EQ(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, SumsOfSilentControlHostsAreForgotten)
+TEST_F(TargetSelectorTest, SumsOfSilentControlHostsAreForgotten)
 {
   const TargetSendsNow many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
   this->picker.TakeSum(SendsNews{ HostId("gone"), { many }, {}, {}, false },
@@ -170,7 +170,7 @@
   EXPECT_EQ(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, OwnShareOfASumDoesNotCountTwice)
+TEST_F(TargetSelectorTest, OwnLoadInASumIsNotCountedTwice)
 {
   this->Load("a", 2);
   this->Load("b", 3);
@@ -182,7 +182,7 @@
   EXPECT_EQ(this->Choose(), "a") << "two there, not four";
 }
 
-TEST_F(TargetPickerTest, AnotherControlHostIsToldEverything)
+TEST_F(TargetSelectorTest, FullReportFollowsAChangeOfControlHost)
 {
   this->Load("a", 2);
   this->picker.TakeSends();
@@ -192,59 +192,59 @@
   EXPECT_EQ(sends.front().requests, 2U);
 }
 
-TEST_F(TargetPickerTest, SendsAreToldOnceWithTheirParts)
+TEST_F(TargetSelectorTest, SendsAreReportedOnceWithTheirParts)
 {
   this->question.parts = { SizedPart{ PartKey(1), TokenCount(800) } };
-  this->picker.OnSent(TargetId("a"), this->question, PickedWork{});
+  this->picker.OnSent(TargetId("a"), this->question, CallLoad{});
   const auto sends = this->picker.TakeSends();
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends.front().requests, 1U);
   EXPECT_EQ(sends.front().parts, this->question.parts);
   EXPECT_TRUE(this->picker.TakeSends().empty());
-  this->picker.OnEnd(TargetId("a"), PickedWork{});
+  this->picker.OnEnd(TargetId("a"), CallLoad{});
   ASSERT_EQ(this->picker.TakeSends().size(), 1U);
 }
 
-TEST_F(TargetPickerTest, TargetWhoseMemoryIsFullIsPassedOver)
+TEST_F(TargetSelectorTest, TargetWithFullMemoryIsAvoided)
 {
   this->question.promptTokens = TokenCount(10'000);
   this->question.cacheTokens = TokenCount(100'000);
   this->question.parts = { SizedPart{ PartKey(1), TokenCount(8000) } };
   this->picker.Held().OnRead(TargetId("a"), this->question.parts);
   EXPECT_EQ(this->Choose(), "a");
-  PickedWork large;
+  CallLoad large;
   large.memory = TokenCount(95'000);
-  this->picker.OnSent(TargetId("a"), PickQuestion{}, large);
+  this->picker.OnSent(TargetId("a"), SelectionRequest{}, large);
   EXPECT_NE(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, HolderInTheSameZoneIsPreferred)
+TEST_F(TargetSelectorTest, HolderInTheSameZoneIsPreferred)
 {
   this->targets = { Target("a", "far"), Target("b", "near"), Target("c", "near") };
   const SizedPart part{ PartKey(1), TokenCount(800) };
-  EXPECT_EQ(this->picker.HolderOf(part, this->targets, this->targets[2]), nullptr);
+  EXPECT_EQ(this->picker.FindHolder(part, this->targets, this->targets[2]), nullptr);
   this->picker.Held().OnRead(TargetId("a"), { part });
   this->picker.Held().OnRead(TargetId("c"), { part });
-  EXPECT_EQ(this->picker.HolderOf(part, this->targets, this->targets[2])->id, TargetId("a"));
+  EXPECT_EQ(this->picker.FindHolder(part, this->targets, this->targets[2])->id, TargetId("a"));
   this->picker.Held().OnRead(TargetId("b"), { part });
-  EXPECT_EQ(this->picker.HolderOf(part, this->targets, this->targets[2])->id, TargetId("b"));
+  EXPECT_EQ(this->picker.FindHolder(part, this->targets, this->targets[2])->id, TargetId("b"));
 }
 
-TEST_F(TargetPickerTest, EjectedTargetIsLeftAlone)
+TEST_F(TargetSelectorTest, EjectedTargetIsNotChosen)
 {
-  for (int failure = 0; failure < TargetHealth::kFailuresInRow; ++failure) {
-    this->health.OnEnd(TargetId("a"), HealthSign::Bad);
+  for (int failure = 0; failure < TargetHealth::kConsecutiveFailures; ++failure) {
+    this->health.OnEnd(TargetId("a"), HealthSignal::Bad);
   }
   this->Load("b", 5);
   this->Load("c", 5);
   EXPECT_NE(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, TargetsOfAZoneThatIsOutAreTheLastChoice)
+TEST_F(TargetSelectorTest, TargetsOfAnUnreachableZoneAreTheLastChoice)
 {
   this->targets = { Target("a", "near"), Target("b", "far"), Target("c", "far") };
   for (const char* gone : { "b", "c", "d" }) {
-    this->reach.OnEnd(ZoneId("far"), TargetId(gone), HealthSign::Gone);
+    this->reach.OnEnd(ZoneId("far"), TargetId(gone), HealthSignal::NotReached);
   }
   this->Load("a", 50);
   EXPECT_EQ(this->Choose(), "a");
@@ -252,33 +252,33 @@
   EXPECT_NE(this->Choose(), "");
 }
 
-TEST_F(TargetPickerTest, MostlyEjectedPoolIsUsedWhole)
+TEST_F(TargetSelectorTest, EjectedTargetsAreUsedWhenMostAreEjected)
 {
   for (const char* id : { "a", "b" }) {
-    for (int failure = 0; failure < TargetHealth::kFailuresInRow; ++failure) {
-      this->health.OnEnd(TargetId(id), HealthSign::Bad);
+    for (int failure = 0; failure < TargetHealth::kConsecutiveFailures; ++failure) {
+      this->health.OnEnd(TargetId(id), HealthSignal::Bad);
     }
   }
   this->Load("c", 50);
   EXPECT_NE(this->Choose(), "c");
 }
 
-TEST_F(TargetPickerTest, TargetThatStartedAgainHoldsAndRunsNothing)
+TEST_F(TargetSelectorTest, RestartClearsCachedPartsAndLoad)
 {
   this->question.parts = { SizedPart{ PartKey(1), TokenCount(9000) } };
   this->question.promptTokens = TokenCount(12'000);
-  PickedWork lost;
-  lost.toRead = TokenCount(12'000);
+  CallLoad lost;
+  lost.uncachedTokens = TokenCount(12'000);
   lost.start = Incarnation(1);
   this->picker.OnSent(TargetId("a"), this->question, lost);
   TargetRecord restarted = Target("a", "z");
   restarted.incarnation = Incarnation(2);
   this->picker.OnRestart(restarted);
-  EXPECT_EQ(this->picker.ToRead(this->question, TargetId("a")), TokenCount(12'000));
-  PickedWork running;
-  running.toRead = TokenCount(5000);
+  EXPECT_EQ(this->picker.UncachedTokens(this->question, TargetId("a")), TokenCount(12'000));
+  CallLoad running;
+  running.uncachedTokens = TokenCount(5000);
   running.start = Incarnation(2);
-  this->picker.OnSent(TargetId("a"), PickQuestion{}, running);
+  this->picker.OnSent(TargetId("a"), SelectionRequest{}, running);
   // The call to the earlier start ends late; the other one goes on.
   this->picker.OnFirstEvent(TargetId("a"), lost);
   this->picker.OnEnd(TargetId("a"), lost);
@@ -289,40 +289,42 @@
 }
 
 // With one host's long prompt known to the others within a millisecond, no call is sent behind it.
-TEST_F(TargetPickerTest, LongReadingIsToldAtOnce)
+TEST_F(TargetSelectorTest, LongPrefillIsReportedAtOnce)
 {
-  PickedWork work;
-  work.toRead = TokenCount(TargetPicker::kLongReading - 1);
+  CallLoad work;
+  work.uncachedTokens = TokenCount(TargetSelector::kLongPrefill - 1);
   this->picker.OnSent(TargetId("a"), this->question, work);
   EXPECT_FALSE(this->picker.HasUrgentSends());
-  work.toRead = TokenCount(TargetPicker::kLongReading);
+  work.uncachedTokens = TokenCount(TargetSelector::kLongPrefill);
   this->picker.OnSent(TargetId("a"), this->question, work);
   EXPECT_TRUE(this->picker.HasUrgentSends());
   this->picker.TakeSends();
   EXPECT_FALSE(this->picker.HasUrgentSends());
 }
 
-TEST_F(TargetPickerTest, FirstEventsBehindOtherReadingsSayNothingOfTheEngine)
+TEST_F(TargetSelectorTest, FirstEventsBehindOtherPrefillsAreNotMeasured)
 {
   this->question.model = ModelName("m");
-  PickedWork work;
-  work.toRead = TokenCount(10'000);
-  work.behindOthers = true;
+  CallLoad work;
+  work.uncachedTokens = TokenCount(10'000);
+  work.queuedBehindOthers = true;
   const Duration took = std::chrono::milliseconds(900);
   for (int seen = 0; seen < 20; ++seen) {
-    EXPECT_FALSE(this->picker.NotePace(TargetId("a"), this->question, work, false, took));
+    EXPECT_FALSE(this->picker.RecordFirstEvent(TargetId("a"), this->question, work, false, took));
   }
-  EXPECT_EQ(this->picker.PaceOf(this->question.model).PerToken(), EnginePace::kPriorPerToken);
-  work.behindOthers = false;
+  EXPECT_EQ(this->picker.LatencyModelOf(this->question.model).MillisecondsPerToken(),
+            EngineLatencyModel::kDefaultPerToken);
+  work.queuedBehindOthers = false;
   for (int seen = 0; seen < 20; ++seen) {
-    EXPECT_TRUE(this->picker.NotePace(TargetId("a"), this->question, work, false, took));
+    EXPECT_TRUE(this->picker.RecordFirstEvent(TargetId("a"), this->question, work, false, took));
   }
-  EXPECT_NEAR(this->picker.PaceOf(this->question.model).PerToken(), 0.084, 0.001);
+  EXPECT_NEAR(
+    this->picker.LatencyModelOf(this->question.model).MillisecondsPerToken(), 0.084, 0.001);
 }
 
 // A part of 12,800 tokens takes 67 ms on the link of its store, and twice that to another zone:
 // more than a few requests more or less at the target.
-TEST_F(TargetPickerTest, LongPartIsFetchedByATargetInTheZoneOfItsStore)
+TEST_F(TargetSelectorTest, LongStoredPartDrawsTheCallToTheZoneOfItsStore)
 {
   this->targets = { Target("far", "z"), Target("near", "store") };
   this->question.zone = ZoneId("z");
@@ -339,18 +341,18 @@
 // The load: engines that read 38 tokens a millisecond, and prompts of up to 46,000 tokens among
 // many short ones. What a prompt waits for is the same whatever its size, so its size is no reason
 // to refuse it.
-TEST_F(TargetPickerTest, WaitBehindOthersDoesNotGrowWithThePrompt)
+TEST_F(TargetSelectorTest, ExpectedWaitIsIndependentOfPromptLength)
 {
   this->question.model = ModelName("m");
   for (int seen = 0; seen < 20; ++seen) {
-    PickedWork read;
-    read.toRead = TokenCount(10'000);
-    this->picker.NotePace(
+    CallLoad read;
+    read.uncachedTokens = TokenCount(10'000);
+    this->picker.RecordFirstEvent(
       TargetId("a"), this->question, read, false, std::chrono::milliseconds(323));
   }
-  PickedWork waiting;
-  waiting.toRead = TokenCount(10'000);
-  this->picker.OnSent(TargetId("a"), PickQuestion{}, waiting);
+  CallLoad waiting;
+  waiting.uncachedTokens = TokenCount(10'000);
+  this->picker.OnSent(TargetId("a"), SelectionRequest{}, waiting);
   this->question.promptTokens = TokenCount(300);
   const Duration wait = this->picker.ExpectedWait(this->question, this->targets.front());
   const Duration whole = this->picker.ExpectedFirstEvent(this->question, this->targets.front());
@@ -362,7 +364,7 @@
 }
 
 // Engines of few slots under short prompts: the slots are full long before the memory is.
-TEST_F(TargetPickerTest, CallWaitsForASlotOfAFullTarget)
+TEST_F(TargetSelectorTest, ExpectedWaitCountsFullSlots)
 {
   constexpr int kSlots = 16;
   for (TargetRecord& target : this->targets) {
@@ -378,21 +380,21 @@
   this->Load("a", kSlots + 1);
   EXPECT_GE(this->picker.ExpectedWait(this->question, target), std::chrono::milliseconds(340));
   // It is passed over for one that has run less, whose prompts are still to be read.
-  PickedWork reading;
-  reading.toRead = TokenCount(12'000);
-  this->picker.OnSent(TargetId("b"), PickQuestion{}, reading);
+  CallLoad reading;
+  reading.uncachedTokens = TokenCount(12'000);
+  this->picker.OnSent(TargetId("b"), SelectionRequest{}, reading);
   this->targets.pop_back();
   EXPECT_EQ(this->Choose(), "b");
 }
 
-TEST_F(TargetPickerTest, TargetThatTellsNoSlotsHasNoneToWaitFor)
+TEST_F(TargetSelectorTest, UnknownSlotsAddNoWait)
 {
   this->Load("a", 500);
   EXPECT_EQ(this->picker.ExpectedWait(this->question, this->targets.front()), Duration(0));
 }
 
 // A hundred targets in five zones, all about as full: a fifth is near.
-TEST_F(TargetPickerTest, AmongManyTargetsMostPromptsStayInTheirZone)
+TEST_F(TargetSelectorTest, MostPromptsStayInTheirZoneAmongManyTargets)
 {
   this->targets.clear();
   for (int number = 0; number < 100; ++number) {
@@ -414,19 +416,19 @@
 }
 
 // The pattern: targets that have just started bear little, and nearly all others are full.
-TEST_F(TargetPickerTest, TheOneTargetWithRoomIsFoundWhereAllAreCompared)
+TEST_F(TargetSelectorTest, CompareAllFindsTheOnlyTargetWithFreeMemory)
 {
   this->question.cacheTokens = TokenCount(1000);
   this->targets.clear();
-  PickedWork full;
+  CallLoad full;
   full.memory = TokenCount(1000);
   for (int index = 0; index < 60; ++index) {
     this->targets.push_back(Target("t" + std::to_string(index), "z"));
     if (index != 37) {
-      this->picker.OnSent(this->targets.back().id, PickQuestion{}, full);
+      this->picker.OnSent(this->targets.back().id, SelectionRequest{}, full);
     }
   }
-  this->question.amongAll = true;
+  this->question.compareAll = true;
   for (int call = 0; call < 20; ++call) {
     EXPECT_EQ(this->Choose(), "t37");
   }
--- a/test/coordination/WeightRolloutTest.cpp
+++ b/test/coordination/WeightRolloutTest.cpp
@@ -113,7 +113,7 @@
   std::size_t mostPaused = 0;
 };
 
-TEST_F(WeightRolloutTest, AllEnginesComeToTheNamedWeights)
+TEST_F(WeightRolloutTest, RolloutReachesAllEngines)
 {
   this->Run(std::chrono::seconds(13));
   EXPECT_EQ(this->CountAt(2), 10U);
@@ -121,7 +121,7 @@
   EXPECT_TRUE(this->rollout.Paused().empty());
 }
 
-TEST_F(WeightRolloutTest, EnginesThatWereOrderedBeforeComeToLaterWeightsToo)
+TEST_F(WeightRolloutTest, SecondRolloutReachesAllEngines)
 {
   this->Run(std::chrono::seconds(13));
   this->wished[kModel] = 3;
@@ -130,7 +130,7 @@
   EXPECT_EQ(this->refused, 0);
 }
 
-TEST_F(WeightRolloutTest, OnlyAFifthIsOutAtOnce)
+TEST_F(WeightRolloutTest, UnavailableEnginesStayWithinTheShare)
 {
   this->Run(std::chrono::seconds(13));
   EXPECT_EQ(this->mostPaused, 2U);
@@ -142,7 +142,7 @@
   EXPECT_EQ(this->ordered, 0);
 }
 
-TEST_F(WeightRolloutTest, NewLeaderWaitsUntilTheFormerHoldersTimeIsOver)
+TEST_F(WeightRolloutTest, NewLeaderWaitsForTheOrderLease)
 {
   this->Run(RolloutOptions().orderLease);
   EXPECT_EQ(this->ordered, 0);
@@ -159,7 +159,7 @@
   EXPECT_EQ(this->ordered, before);
 }
 
-TEST_F(WeightRolloutTest, OrderThatIsCarriedOutLateChangesNothingAnyMore)
+TEST_F(WeightRolloutTest, LateOrderIsRefused)
 {
   this->delayOrders = true;
   this->Run(std::chrono::seconds(6));
@@ -176,7 +176,7 @@
   EXPECT_EQ(this->refused, static_cast<int>(this->late.size()));
 }
 
-TEST_F(WeightRolloutTest, LostOrderIsGivenAgain)
+TEST_F(WeightRolloutTest, LostOrderIsRepeated)
 {
   this->delayOrders = true;
   this->Run(std::chrono::seconds(6));
@@ -185,7 +185,7 @@
   EXPECT_EQ(this->CountAt(2), 10U);
 }
 
-TEST_F(WeightRolloutTest, EngineThatIsGoneDoesNotHoldUpTheOthers)
+TEST_F(WeightRolloutTest, RemovedEngineDoesNotBlockTheOthers)
 {
   this->Run(RolloutOptions().orderLease + std::chrono::seconds(1));
   this->engines.pop_front();
@@ -193,7 +193,7 @@
   EXPECT_EQ(this->CountAt(2), 9U);
 }
 
-TEST_F(WeightRolloutTest, EngineThatStartsAgainIsReadAndOrderedAnew)
+TEST_F(WeightRolloutTest, RestartedEngineIsReadAndOrderedAgain)
 {
   this->Run(std::chrono::milliseconds(4500));
   Engine& engine = this->engines.front();
@@ -205,7 +205,7 @@
   EXPECT_EQ(this->CountAt(2), 10U);
 }
 
-TEST_F(WeightRolloutTest, ReportOfAnEarlierStartCountsForNothing)
+TEST_F(WeightRolloutTest, ReportOfAnEarlierIncarnationIsIgnored)
 {
   for (Engine& engine : this->engines) {
     engine.record.incarnation = Incarnation(2000);
--- a/test/coordination/ZoneReachTest.cpp
+++ b/test/coordination/ZoneReachTest.cpp
@@ -12,7 +12,7 @@
   void LoseTargets(std::size_t aCount)
   {
     for (std::size_t index = 0; index < aCount; ++index) {
-      this->reach.OnEnd(this->zone, TargetId(std::to_string(index)), HealthSign::Gone);
+      this->reach.OnEnd(this->zone, TargetId(std::to_string(index)), HealthSignal::NotReached);
     }
   }
 
@@ -43,7 +43,7 @@
 TEST_F(ZoneReachTest, AnswerInBetweenSpeaksForTheZone)
 {
   this->LoseTargets(ZoneReach::kTargetsGone - 1);
-  this->reach.OnEnd(this->zone, TargetId("good"), HealthSign::Good);
+  this->reach.OnEnd(this->zone, TargetId("good"), HealthSignal::Good);
   this->LoseTargets(ZoneReach::kTargetsGone - 1);
   EXPECT_FALSE(this->IsOut());
 }
@@ -64,7 +64,7 @@
 {
   this->LoseTargets(ZoneReach::kTargetsGone - 1);
   this->clock.Advance(ZoneReach::kGoneWithin * 2);
-  this->reach.OnEnd(this->zone, TargetId("another"), HealthSign::Gone);
+  this->reach.OnEnd(this->zone, TargetId("another"), HealthSignal::NotReached);
   EXPECT_FALSE(this->IsOut());
 }
 
@@ -75,11 +75,11 @@
   EXPECT_FALSE(this->IsOut());
   this->reach.OnStart(this->zone);
   EXPECT_TRUE(this->IsOut());
-  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Gone);
+  this->reach.OnEnd(this->zone, TargetId("0"), HealthSignal::NotReached);
   EXPECT_TRUE(this->IsOut());
   this->clock.Advance(ZoneReach::kOutFor * 2);
   this->reach.OnStart(this->zone);
-  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Good);
+  this->reach.OnEnd(this->zone, TargetId("0"), HealthSignal::Good);
   EXPECT_FALSE(this->IsOut());
 }
 
@@ -88,7 +88,7 @@
   this->LoseTargets(ZoneReach::kTargetsGone);
   this->clock.Advance(ZoneReach::kOutFor * 2);
   this->reach.OnStart(this->zone);
-  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::None);
+  this->reach.OnEnd(this->zone, TargetId("0"), HealthSignal::None);
   EXPECT_FALSE(this->IsOut());
 }
 
--- a/test/program/ExchangeChoiceTest.cpp
+++ b/test/program/ExchangeChoiceTest.cpp
@@ -18,9 +18,9 @@
   });
   this->AddTarget("t", target.Address());
   // Far more than the target reads within the objective of 20 s.
-  PickedWork waiting;
-  waiting.toRead = TokenCount(100'000'000);
-  this->picker.OnSent(TargetId("t"), PickQuestion{}, waiting);
+  CallLoad waiting;
+  waiting.uncachedTokens = TokenCount(100'000'000);
+  this->picker.OnSent(TargetId("t"), SelectionRequest{}, waiting);
   this->Start();
   this->Call("/prompts/", "X-Model: m\r\nX-Token-Usage: 100,10\r\n");
   const std::string refused = this->Receive();
@@ -38,9 +38,9 @@
   });
   this->AddTarget("t", target.Address());
   this->cacheTokens = 1000;
-  PickedWork running;
+  CallLoad running;
   running.memory = TokenCount(1100);
-  this->picker.OnSent(TargetId("t"), PickQuestion{}, running);
+  this->picker.OnSent(TargetId("t"), SelectionRequest{}, running);
   this->Start();
   this->Call("/prompts/", "X-Model: m\r\nX-Token-Usage: 200,10\r\n");
   const std::string refused = this->Receive();
@@ -58,13 +58,13 @@
     return true;
   });
   this->cacheTokens = 1000;
-  PickedWork running;
+  CallLoad running;
   running.memory = TokenCount(1100);
   for (int index = 0; index < 60; ++index) {
     const std::string id = "t" + std::to_string(index);
     this->AddTarget(id, target.Address());
     if (index != 37) {
-      this->picker.OnSent(TargetId(id), PickQuestion{}, running);
+      this->picker.OnSent(TargetId(id), SelectionRequest{}, running);
     }
   }
   this->Start();
--- a/test/protocol/TargetsWireTest.cpp
+++ b/test/protocol/TargetsWireTest.cpp
@@ -15,7 +15,7 @@
   record.endpoint = Endpoint{ "127.0.0.1", 80 };
   record.incarnation = Incarnation(4);
   message.records = { record };
-  TargetSign sign{ 1, 2, Sequence(3), {} };
+  TargetKeepalive sign{ 1, 2, Sequence(3), {} };
   sign.load.runningRequests = 5;
   sign.load.queuedPrefill = TokenCount(1'000'000);
   message.signs = { sign };
