--- a/include/damasklink/coordination/Target.h
+++ b/include/damasklink/coordination/Target.h
@@ -1,4 +1,4 @@
-// What targets (engines, plain services, stores) say of themselves.
+// What targets (engines, plain services, stores) announce about themselves.
 #pragma once
 
 #include <string>
@@ -17,7 +17,8 @@
   Store,
 };
 
-// Which phase of a prompt an engine takes.
+// The phases of a request that an engine takes: reading the prompt (prefill), generating the answer
+// (decode), or both.
 enum class TargetRole
 {
   Both,
@@ -25,7 +26,7 @@
   Decode,
 };
 
-// One model as an engine serves it now.
+// A model that an engine serves, with the version of its weights and its adapters.
 struct ServedModel
 {
   ModelName model;
@@ -35,23 +36,24 @@
   bool operator==(const ServedModel&) const = default;
 };
 
-// Returns a version of weights that is written as a number, 0 for any other.
+// Returns the version of weights as a number, or 0 when it does not start with one.
 std::uint64_t
 WeightNumber(const WeightVersion& aVersion);
 
-// Load as the target reported it; it lags behind by up to a report interval.
+// The load that a target reported; up to one report interval old.
 struct TargetLoad
 {
   std::uint64_t runningRequests = 0;
   std::uint64_t queuedRequests = 0;
+  // Prompt tokens that wait for prefill.
   TokenCount queuedPrefill;
-  // Requests the target says it can run at once; 0 when it does not say.
+  // Requests that the target can run at once; 0 when it does not report this.
   std::uint64_t slots = 0;
 
   bool operator==(const TargetLoad&) const = default;
 };
 
-// What an engine declares before its rates have been learnt.
+// The rates that an engine declares; used until its actual rates have been learnt.
 struct DeclaredRates
 {
   double prefillTokensPerSecond = 0;
@@ -60,7 +62,7 @@
   bool operator==(const DeclaredRates&) const = default;
 };
 
-// What a store host declares.
+// The capacity that a store declares.
 struct StoreDeclaration
 {
   ByteCount memory;
@@ -71,7 +73,8 @@
   bool operator==(const StoreDeclaration&) const = default;
 };
 
-// One announcement. Records of one target are ordered by (incarnation, sequence).
+// One announcement of a target. The records of one target are ordered by (incarnation, sequence);
+// an incarnation is one start of its process.
 struct TargetRecord
 {
   TargetId id;
@@ -80,14 +83,15 @@
   Endpoint endpoint;
   Incarnation incarnation;
   Sequence sequence;
-  // Sticks for the rest of the incarnation.
+  // The target is shutting down. Once set, it stays set for the rest of the incarnation.
   bool leaving = false;
-  // Whether the target refuses an order that carries an old fencing number.
+  // Whether the target refuses an order with a fencing number below the highest that it has seen.
   bool checksFencing = false;
   TargetRole role = TargetRole::Both;
   std::vector<ServedModel> models;
   ServiceName service;
-  // How much longer it bears a few requests only, as of this announcement.
+  // How much longer the target can take only a few requests after its start, counted from this
+  // announcement.
   Duration coldFor{ 0 };
   TargetLoad load;
   DeclaredRates rates;
--- a/include/damasklink/coordination/TargetBroadcaster.h
+++ b/include/damasklink/coordination/TargetBroadcaster.h
@@ -1,4 +1,5 @@
-// How every host learns of targets that announce themselves to one of them.
+// Distribution of target announcements: each target announces itself to one host, which passes this
+// on to all others.
 #pragma once
 
 #include <map>
@@ -11,18 +12,18 @@
 
 enum class TargetsMessageKind : std::uint8_t
 {
-  Records = 1, // Whole records that are new or changed.
-  Refresh = 2, // Signs of life and load of all targets that announce themselves to the sender.
-  Silent = 3,  // Targets that stopped announcing themselves to the sender.
-  Ask = 4,     // "Send me the records of all your targets."
+  Records = 1, // Complete records that are new or have changed.
+  Refresh = 2, // Keepalives of all targets that announce themselves to the sender.
+  Silent = 3,  // Targets that have stopped announcing themselves to the sender.
+  Ask = 4,     // Requests the records of all targets that announce themselves to the receiver.
 };
 
-// A sign of life, load included; 24 bytes on the wire.
+// Tells that a target is alive, and its load; 24 bytes on the wire.
 struct TargetKeepalive
 {
   // ShortHash() of the target's id.
   std::uint32_t target = 0;
-  // Of everything in the record but sequence and load; another one tells that a record was missed.
+  // FingerprintOfTarget() of its record. A mismatch tells the receiver that it has missed a record.
   std::uint32_t fingerprint = 0;
   Sequence sequence;
   TargetLoad load;
@@ -34,7 +35,7 @@
 {
   TargetsMessageKind kind = TargetsMessageKind::Ask;
   std::vector<TargetRecord> records;
-  std::vector<TargetKeepalive> signs;
+  std::vector<TargetKeepalive> keepalives;
 
   bool operator==(const TargetsMessage&) const = default;
 };
@@ -45,7 +46,7 @@
   TargetsMessage message;
 };
 
-// Merges announcements and passes on what is news.
+// Merges announcements and passes changes on to the peers.
 //
 //   TargetBroadcaster targets(clock, settings);
 //   targets.OnAnnouncement(record);       // Made to this host.
@@ -53,13 +54,18 @@
 //   targets.OnTick();
 //   for (auto& outgoing : targets.TakeOutgoing()) { ... }
 //
-// - The host that a target announces itself to is its home; a target keeps to one host and goes to
-//   the next when that one does not answer. The home alone speaks for the target.
-// - A change, leaving and silence go to all peers at once; load and signs of life go to the zone
-//   every kRefreshInterval and beyond it every kFarRefreshInterval. A silent target is out of use
-//   after three quarters of the limit at its home and on every host that the home reaches; where
-//   the home fell silent too, after kRemoteSilence.
-// - A refresh names fingerprints: who misses a record asks for it.
+// - The host that a target announces itself to is its home. A target keeps its home and moves to
+//   the next host when the home does not answer. Only the home sends messages about the target.
+// - Changes of the record, leaving and silence are sent to all peers at once. Keepalives with the
+//   load are sent to peers in the same zone every kRefreshInterval and to the others every
+//   kFarRefreshInterval.
+// - A silent target becomes unusable after three quarters of the silence limit at its home, which
+//   then tells all reachable hosts. Where the home is silent too, it becomes unusable after
+//   kRemoteSilence.
+// - Keepalives carry fingerprints: a host that has missed a record requests the records of the
+//   sender, at most once per kAskInterval.
+//
+// Not thread-safe.
 class TargetBroadcaster
 {
 public:
@@ -70,46 +76,50 @@
 
   TargetBroadcaster(const Clock& aClock, const HostSettings& aSettings);
 
+  // Takes an announcement that a target made to this host.
   void OnAnnouncement(const TargetRecord& aRecord);
+  // Takes a message of a peer.
   void OnMessage(const HostId& aFrom, const TargetsMessage& aMessage);
+  // Sends the messages that are due. Must be called periodically.
   void OnTick();
 
-  // Returns what is to be sent, and forgets it.
+  // Returns the messages to send and clears the queue.
   std::vector<OutgoingTargetsMessage> TakeOutgoing();
 
   const TargetRegistry& Registry() const { return this->registry; }
 
 private:
   void SendToAll(const TargetsMessage& aMessage);
-  void TakeRecord(const HostId& aFrom, const TargetRecord& aRecord);
-  // Returns whether everything that the sign tells of is known.
-  bool TakeKeepalive(const HostId& aFrom, const TargetKeepalive& aSign);
-  void TakeSilence(const HostId& aFrom, const TargetKeepalive& aSign);
+  void ApplyRecord(const HostId& aFrom, const TargetRecord& aRecord);
+  // Returns whether this host knows the record that the keepalive refers to.
+  bool ApplyKeepalive(const HostId& aFrom, const TargetKeepalive& aKeepalive);
+  void ApplySilence(const HostId& aFrom, const TargetKeepalive& aKeepalive);
   void ReportSilence();
   void SendRefresh(const std::vector<HostId>& aPeers);
   void Forget();
   TargetsMessage OwnRecords() const;
-  TargetKeepalive SignOf(const TargetRecord& aRecord) const;
+  TargetKeepalive KeepaliveOf(const TargetRecord& aRecord) const;
   bool IsOwn(const TargetId& aTarget) const;
 
   const Clock& clock;
   HostId self;
-  // Peers of this host's zone, and all others.
-  std::vector<HostId> near;
-  std::vector<HostId> far;
+  std::vector<HostId> sameZonePeers;
+  std::vector<HostId> otherZonePeers;
+  // How long a target that has its home here may be silent.
   Duration homeSilence;
   TargetRegistry registry;
+  // The home of each target.
   std::map<TargetId, HostId> homes;
   std::map<std::uint32_t, TargetId> byHash;
-  // Own targets whose silence was told.
-  std::set<TargetId> told;
+  // Targets of this home whose silence has been sent to the peers.
+  std::set<TargetId> reportedSilent;
   MonotonicTime nextRefresh;
   MonotonicTime nextFarRefresh;
   std::map<HostId, MonotonicTime> nextAsk;
   std::vector<OutgoingTargetsMessage> outgoing;
 };
 
-// Returns the fingerprint of everything in the record but sequence and load.
+// Returns the fingerprint of everything in the record except sequence and load.
 std::uint32_t
 FingerprintOfTarget(const TargetRecord& aRecord);
 
--- a/include/damasklink/coordination/TargetDirectory.h
+++ b/include/damasklink/coordination/TargetDirectory.h
@@ -1,14 +1,18 @@
-// The targets as one entry host knows them, merged from what several control hosts state.
+// The targets as one entry host knows them, merged from the updates of several control hosts.
 //
-//   TargetDirectory board;
-//   board.Take(controlHost, statement);
-//   board.OnLink(controlHost, false);       // Its words stay, but those of others go first.
-//   for (const TargetRecord& target : board.Usable(service)) ...
+//   TargetDirectory directory;
+//   directory.Take(controlHost, update);
+//   directory.OnLink(controlHost, false);     // Its reports count only where no other host
+//   reports. for (const TargetRecord& target : directory.Usable(service)) ...
 //
-// Rules: what left stays gone, unless a later start of it announces itself under the same id, of
-// which nothing is known then; a target is usable while any control host that is connected says so;
-// when none is connected the last words count, so a host that is cut off goes on with what it knew.
-// Targets of evacuated zones are never usable. Not thread-safe.
+// - A target that has left stays removed, until a later incarnation of it announces itself under
+//   the same id. Nothing is kept from the earlier incarnation then.
+// - A target is usable while any connected control host reports it as usable. Where no connected
+//   control host has reported it, the last reports of the others count, so an entry host that has
+//   lost all control hosts continues with what it knew.
+// - Targets of evacuated zones are never usable.
+//
+// Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -24,49 +28,54 @@
 class TargetDirectory
 {
 public:
-  // Targets that are gone and still remembered, so that no late word brings them back; the oldest
-  // are forgotten. Each restart of a target leaves one, so this outlasts hours of them.
+  // Removed targets that are remembered so that a late update does not bring them back; beyond this
+  // the oldest are forgotten. Each restart of a target under a new id adds one, so this covers
+  // hours of restarts.
   static constexpr std::size_t kMaxRemoved = 4096;
 
-  // Takes what a control host states. An older statement of the same host is replaced.
+  // Applies the update of a control host. An earlier update of the same host is replaced; one about
+  // an earlier incarnation of the target is ignored.
   void Take(const HostId& aFrom, const TargetStatement& aStatement);
 
-  // Tells whether the control host is connected.
+  // Records whether the control host is connected.
   void OnLink(const HostId& aHost, bool aUp);
 
-  // Returns the targets that have started again since the last call, as they are now: whatever is
-  // believed of their earlier starts does not hold any more.
+  // Returns the new records of the targets that have restarted under their ids since the last call.
+  // State that callers keep about the earlier incarnations is obsolete.
   std::vector<TargetRecord> TakeRestarted() { return std::exchange(this->restarted, {}); }
 
-  // Returns the targets that were first heard of since the last call.
-  std::vector<TargetRecord> TakeDiscovered() { return std::exchange(this->appeared, {}); }
+  // Returns the usable targets that were first reported since the last call.
+  std::vector<TargetRecord> TakeDiscovered() { return std::exchange(this->discovered, {}); }
 
-  // Returns whether more than half of the targets of an availability zone are silent: the zone is
-  // rather cut off than its targets gone.
+  // Returns whether fewer than half of the targets of an availability zone are reported as usable.
+  // The zone is then more likely to be unreachable than its targets to have ended.
   bool IsMostlySilent(const ZoneId& aZone) const;
 
-  // Tells that the target does not exist any more, as another one at its address said.
+  // Removes a target because another one answered at its address.
   void MarkRemoved(const TargetId& aTarget);
 
-  // Takes the availability zones whose targets get no work; others that had none do again.
+  // Sets the evacuated availability zones, whose targets get no work. Zones that are no longer in
+  // the set get work again.
   void SetEvacuated(std::set<ZoneId> aZones);
   const std::set<ZoneId>& Evacuated() const { return this->evacuated; }
 
-  // Returns the targets of an availability zone that have not left, usable or not.
+  // Returns the targets of an availability zone that are not removed, usable or not.
   std::vector<TargetRecord> InZone(const ZoneId& aZone) const;
 
-  // Returns the targets of the service that may get new work, ordered by id. When all of them are
-  // silent it returns those: a guess serves better than a refusal.
+  // Returns the targets of the service that may get new work, ordered by id. When there are none it
+  // returns the paused targets, and without those the silent ones: trying them is better than
+  // refusing the call. The reference is valid until the next change.
   const std::vector<TargetRecord>& Usable(const ServiceName& aService) const;
 
-  // Returns the newest record of a target that has not left, or null.
+  // Returns the newest record of a target, or nullptr when it is unknown or removed.
   const TargetRecord* Find(const TargetId& aTarget) const;
 
-  // Rises with each change of what Usable() returns.
+  // Increases with each change that may affect Usable().
   std::uint64_t Version() const { return this->version; }
 
 private:
-  struct Word
+  // What a control host reported last about a target.
+  struct HostReport
   {
     Sequence sequence;
     TargetStanding standing = TargetStanding::Usable;
@@ -76,8 +85,8 @@
   struct Entry
   {
     TargetRecord record;
-    std::map<HostId, Word> words;
-    bool gone = false;
+    std::map<HostId, HostReport> reports;
+    bool removed = false;
   };
 
   void ResetForRestart(const TargetStatement& aStatement, Entry& aEntry);
@@ -89,13 +98,13 @@
 
   std::map<TargetId, Entry> entries;
   std::set<HostId> connected;
-  // In the order in which they went.
-  std::deque<TargetId> gone;
+  // Removed targets, oldest first.
+  std::deque<TargetId> removed;
   std::vector<TargetRecord> restarted;
-  std::vector<TargetRecord> appeared;
+  std::vector<TargetRecord> discovered;
   std::set<ZoneId> evacuated;
   std::uint64_t version = 1;
-  // What Usable() returns, built when it is asked for after a change.
+  // The version that `usable` was built for; it is rebuilt on demand.
   mutable std::uint64_t builtVersion = 0;
   mutable std::map<ServiceName, std::vector<TargetRecord>> usable;
 };
--- a/include/damasklink/coordination/TargetHealth.h
+++ b/include/damasklink/coordination/TargetHealth.h
@@ -1,4 +1,4 @@
-// Which targets are left alone for a while because they keep failing.
+// Outlier ejection: excludes targets that keep failing for a while.
 #pragma once
 
 #include <cstdint>
@@ -12,43 +12,45 @@
 
 namespace damasklink {
 
-// What an attempt tells of its target.
+// What the end of an attempt says about the health of its target.
 enum class HealthSignal
 {
-  Good,       // It answered, be it that it is full.
-  Bad,        // A broken answer, silence.
-  NotReached, // No connection, or what was sent was not even acknowledged.
-  None,       // The caller left, or the host stopped.
+  Good,       // It answered, even if only that it is overloaded.
+  Bad,        // The answer broke off, or none came.
+  NotReached, // No connection, or the data sent was not acknowledged (TCP).
+  None,       // No evidence: the caller left, or this host was stopping.
 };
 
-// Ejects a target after failures in a row, or at once when it cannot be reached, for longer each
-// time, and lets it back half-open: one request at a time until one succeeds.
+// Ejects a target after several consecutive failures, or at once when it cannot be reached. Each
+// ejection lasts longer than the one before. After it the target is half-open: it gets one request
+// at a time until one succeeds.
 //
 //   TargetHealth health(clock, seed);
+//   health.OnStart(target);                        // A request was sent.
 //   health.OnEnd(target, HealthSignal::Bad);
-//   std::vector<TargetRecord> fit = health.Filter(targets);
+//   std::vector<TargetRecord> healthy = health.Filter(targets);
 //
-// Hosts tell each other of targets that they found gone: with 72 hosts, each would lose a request
-// of its own to each dark target, and another one at each try whether it is back. A target that
-// several hosts found gone is ejected at all of them, and as its ejections end at different times,
-// one host tries it for all.
+// Hosts report unreachable targets to each other. Otherwise each of 72 hosts would lose a request
+// of its own to each unreachable target, and another one at each probe. A target that several hosts
+// have reported is ejected on all of them; the ejections end at different times, so that one host
+// probes on behalf of all.
 //
-// Never leaves out more than half of what it is given: when most targets fail, the fault is
-// likely elsewhere, and an empty pool helps nobody. Not thread-safe.
+// Filter() never excludes more than half of the targets: when most of them fail, the cause is
+// likely elsewhere, and an empty pool would refuse every call. Not thread-safe.
 class TargetHealth
 {
 public:
   static constexpr int kConsecutiveFailures = 3;
   static constexpr Duration kFirstEjection = std::chrono::seconds(2);
   static constexpr Duration kMaxEjection = std::chrono::seconds(60);
-  // Hosts that must have found a target gone within the time below until the others believe it: on
-  // a lossy link, one or two of them lose a packet or two.
+  // Number of hosts that must report a target unreachable within kReportWindow before the other
+  // hosts eject it. On a lossy link one or two hosts fail to connect by chance.
   static constexpr std::uint64_t kReportsToEject = 3;
   static constexpr Duration kReportWindow = std::chrono::seconds(1);
-  // Ejections of what others found gone end over this time: long beside the 0.3 s until a host that
-  // tries in vain has told the others.
+  // Ejections because of reports end at random times within this period. It is long compared with
+  // the 0.3 s that the report of a failed probe takes to arrive at the other hosts.
   static constexpr Duration kProbeSpread = std::chrono::seconds(5);
-  // Findings that are kept for hosts that never ask for them.
+  // Findings that are kept until TakeFindings() is called; it may never be called on some hosts.
   static constexpr std::size_t kMaxPendingFindings = 1000;
 
   TargetHealth(const Clock& aClock, std::uint64_t aSeed)
@@ -57,25 +59,29 @@
   {
   }
 
-  // Tells that a request was sent to the target.
+  // Records that a request was sent to the target.
   void OnStart(const TargetId& aTarget);
+  // Records how an attempt at the target ended.
   void OnEnd(const TargetId& aTarget, HealthSignal aSign);
 
-  // The target has started again: what its earlier start was sick with is over.
+  // Clears the state of a target that has restarted: failures of its earlier incarnation no longer
+  // count.
   void OnRestart(const TargetId& aTarget);
 
-  // Returns what this host found since the last call, for the others.
+  // Returns the targets that this host found unreachable, or back, since the last call, to be
+  // reported to the other hosts.
   std::vector<TargetFindings> TakeFindings();
 
-  // Takes what hosts found, this one possibly among them.
+  // Applies the findings of other hosts, which may include those of this host.
   void Take(const std::vector<TargetFindings>& aFindings);
 
-  // Returns the targets that may be sent a request now.
+  // Returns the targets that may be sent a request now: those that are not ejected, and ejected
+  // ones as far as they are needed to make up half of the list.
   std::vector<TargetRecord> Filter(const std::vector<TargetRecord>& aTargets) const;
 
-  // Returns whether the target is ejected, or has its one request of the half-open state. For those
-  // who keep the floor themselves.
-  bool IsOut(const TargetId& aTarget) const;
+  // Returns whether the target is ejected, or half-open with its one request in flight. For callers
+  // that enforce a minimum pool size themselves.
+  bool IsEjected(const TargetId& aTarget) const;
 
 private:
   struct Entry
@@ -84,20 +90,22 @@
     int ejections = 0;
     MonotonicTime ejectedUntil;
     bool probing = false;
-    // Hosts that found it gone since a time.
-    std::uint64_t findings = 0;
-    MonotonicTime findingsSince;
+    // Reports of hosts that could not reach it, and when the first of them arrived.
+    std::uint64_t reports = 0;
+    MonotonicTime reportsSince;
+    // Enough hosts reported it; from then on, one report ejects it again.
     bool reportedUnreachable = false;
   };
 
   void Eject(Entry& aEntry);
-  void TakeUnreachable(const TargetFindings& aFound);
+  void TakeUnreachable(const TargetFindings& aFindings);
 
   const Clock& clock;
   std::minstd_rand random;
-  // Targets with a failure since their last success.
+  // Targets with a failure, or an unreachable report, since their last success.
   std::map<TargetId, Entry> entries;
-  std::map<TargetId, TargetFindings> untold;
+  // Findings of this host that TakeFindings() has not returned yet.
+  std::map<TargetId, TargetFindings> pendingFindings;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/TargetOrders.h
+++ b/include/damasklink/coordination/TargetOrders.h
@@ -1,4 +1,4 @@
-// Which orders engines get so that they come to serve what deployments wish.
+// Orders that bring engines to the state that their deployments specify.
 #pragma once
 
 #include <map>
@@ -11,59 +11,62 @@
 
 namespace damasklink {
 
-// An order states the wished end, so giving it twice does what giving it once does.
+// An order to an engine. It states the desired state, so carrying it out twice has the same effect
+// as once.
 struct TargetOrder
 {
   TargetId target;
   Endpoint endpoint;
   FencingNumber fencing;
-  ServedModel wished;
+  ServedModel desired;
   DeploymentRole role = DeploymentRole::Keep;
 
   bool operator==(const TargetOrder&) const = default;
 };
 
-// Asks the control group for a fencing number; answered with OnFencingIssued().
+// Requests a fencing number from the control group; answered with OnFencingIssued().
 struct IssueFencing
 {
   TargetId target;
 };
 
-// Sends an order; answered with OnSent(). The sender checks the lease just before the bytes leave.
+// Sends an order to its target; answered with OnSent(). The sender checks the lease immediately
+// before the bytes leave.
 struct SendOrder
 {
   TargetOrder order;
 };
 
-// Has the control group remember that a rollout stopped.
+// Records in the control group that a rollout has stopped.
 struct StopRollout
 {
   DeploymentName deployment;
-  DesiredStateHash wish = 0;
+  DesiredStateHash desiredHash = 0;
   std::string reason;
 };
 
 using OrderAction = std::variant<IssueFencing, SendOrder, StopRollout>;
 
-// What came of sending an order.
+// The result of sending an order.
 enum class OrderOutcome
 {
-  Taken,
-  Refused,    // The target answered that it will not.
-  NotSent,    // The lease was over before the bytes left, or the target could not be reached.
-  NotKnown,   // Bytes left and no answer came.
-  LeaseEnded, // Sent, and the lease was over right after: a successor may have ordered otherwise.
+  Accepted,
+  Refused,    // The target answered that it will not carry out the order.
+  NotSent,    // The lease had ended before the bytes left, or the target could not be reached.
+  NotKnown,   // Bytes left, but no answer came.
+  LeaseEnded, // The lease ended right after sending: a new leader may have sent another order.
 };
 
+// Time limits that decide when a new leader may give orders.
 struct OrderTimings
 {
-  // No lease lasts longer.
+  // Upper bound on the duration of a leader's lease.
   Duration lease = std::chrono::seconds(2);
-  // Longest time between the check of the lease and the last byte of an order.
+  // Upper bound on the time between the check of the lease and the last byte of an order.
   Duration orderInFlight = std::chrono::seconds(5);
 };
 
-// How far one deployment is; for status.
+// How far the rollout of one deployment has come; shown by the status command.
 struct DeploymentProgress
 {
   DeploymentName deployment;
@@ -71,63 +74,70 @@
   std::string detail;
 };
 
-// Decides on orders while this host leads, and compares what targets report with what is wished.
+// Decides on orders while this host leads, by comparing what targets report with the desired state.
 //
-//   TargetOrders orders(clock, limits, machine);
-//   for (auto& action : orders.Plan(true, tree.Deployments(), registry)) { ... }
+//   TargetOrders orders(clock, timings, machine);
+//   for (auto& action : orders.Plan(leaseHeld, tree.Deployments(), registry)) { ... }
+//
+// - Only the holder of the lease gives orders. Targets that check fencing numbers can be ordered at
+//   once, since a new leader's numbers are higher. Before ordering other targets, a new leader
+//   waits until the former lease and the longest order in flight have ended.
+// - The reports of targets are compared again on each call: an order of a former leader that
+//   arrives late, or a restart with other weights, is corrected by a new order.
+// - Consecutive loads are at least the deployment's load interval apart, and keep_serving of its
+//   engines remain usable and without an order.
+// - A rollout stops at the first engine that refuses its order, becomes silent while it has one, or
+//   does not report the desired state within the load limit. No further engine is ordered until the
+//   deployment's desired state or its attempt number changes. Engines that already have the desired
+//   state keep it.
+// - An engine that ignores fencing numbers gets its order a second time when the load limit ends,
+//   before this counts as a failure: a late order of a former leader may have replaced the first
+//   one.
 //
-// - Only the holder of the lease gives orders. A new leader first waits until the former lease and
-//   the longest order in flight are over before it orders targets that ignore fencing numbers;
-//   targets that check them take its higher number at once.
-// - What a target reports is compared again and again: an order of a former leader that arrived
-//   late, or a restart with other weights, is repaired by a new order.
-// - Between two loads passes the load interval of the deployment, and keep_serving engines of it
-//   stay usable and without an order.
-// - The first engine that refuses its order, falls silent under it, or does not report the wished
-//   end within the load limit stops the rollout: no further engine is ordered until the wish or
-//   its attempt changes. Engines that have the wished end already stay as they are.
-// - An engine that ignores fencing numbers is ordered once more when the load limit is over, before
-//   that counts as a failure: an order of a former leader may have pushed out the one it had.
 // Not thread-safe.
 class TargetOrders
 {
 public:
   TargetOrders(const Clock& aClock, OrderTimings aLimits, const OrderStateMachine& aMachine);
 
-  // Requires to be called now and then; aLeaseHeld tells whether this host may act.
+  // Returns the actions to take now. Must be called periodically; aLeaseHeld tells whether this
+  // host holds the leader's lease.
   std::vector<OrderAction> Plan(bool aLeaseHeld,
                                 const DeploymentSet& aDeployments,
                                 const TargetRegistry& aTargets);
 
-  // The group gave a number, or could not; then the order is tried again.
+  // Takes the fencing number of an order. After an error the order is dropped and planned again.
   void OnFencingIssued(const TargetId& aTarget, const Result<FencingNumber>& aFencing);
 
+  // Takes the result of sending an order.
   void OnSent(const TargetId& aTarget, OrderOutcome aOutcome);
 
-  // The group could not remember the stop; it is asked again.
+  // The control group did not record the stop; the next Plan() requests it again.
   void OnStopNotRecorded(const DeploymentName& aDeployment) { this->stopping.erase(aDeployment); }
 
+  // Returns the progress of each deployment, ordered by name.
   std::vector<DeploymentProgress> Progress(const DeploymentSet& aDeployments,
                                            const TargetRegistry& aTargets) const;
 
 private:
   enum class OrderStage
   {
-    Issuing, // Waits for its fencing number.
-    Issued,  // Has one; to be sent.
+    Issuing, // Waiting for a fencing number.
+    Issued,  // Has a fencing number and is to be sent.
     Sending,
-    Taken, // The target works on it.
+    Accepted, // The target is carrying it out, or may be.
     Failed,
   };
 
   struct OpenOrder
   {
     DeploymentName deployment;
-    DesiredStateHash wish = 0;
+    DesiredStateHash desiredHash = 0;
     OrderStage stage = OrderStage::Issuing;
     FencingNumber fencing;
+    // When it began, or when it was last sent.
     MonotonicTime since;
-    // Was sent a second time, since nothing came of the first.
+    // Whether it was sent a second time because the first had no effect.
     bool repeated = false;
     std::string failure;
   };
@@ -136,7 +146,8 @@
                       const Deployment& aDeployment,
                       const TargetRegistry& aTargets,
                       std::vector<OrderAction>& aTo);
-  // Moves the open order of one target on. Returns whether the target has an order open.
+  // Advances the open order of one target. Returns whether the target has an openOrders
+  // order.
   bool Advance(const TargetRecord& aRecord,
                const Deployment& aDeployment,
                const TargetRegistry& aTargets,
@@ -145,22 +156,25 @@
              const Deployment& aDeployment,
              const TargetRecord& aRecord,
              std::vector<OrderAction>& aTo);
-  // Whether the target may be ordered by this leader now.
+  // Returns whether this leader may give the target orders yet.
   bool MayOrder(const TargetRecord& aRecord) const;
-  std::string FindFailure(const DeploymentName& aName, DesiredStateHash aWish) const;
+  // Returns the failure of an order of the deployment as text, or an empty string.
+  std::string FindFailure(const DeploymentName& aName, DesiredStateHash aDesiredHash) const;
+  // Counts the usable engines of the deployment that have no open order.
   std::size_t CountServing(const Deployment& aDeployment, const TargetRegistry& aTargets) const;
 
   const Clock& clock;
   OrderTimings limits;
   const OrderStateMachine& machine;
   bool leading = false;
-  MonotonicTime ledSince;
+  MonotonicTime leadingSince;
   MonotonicTime lastLoad;
-  std::map<TargetId, OpenOrder> open;
+  std::map<TargetId, OpenOrder> openOrders;
+  // Deployments whose stop is being recorded.
   std::set<DeploymentName> stopping;
 };
 
-// Returns whether the target reports the wished end.
+// Returns whether the target reports the desired state of the deployment.
 bool
 HasDesiredState(const TargetRecord& aRecord, const Deployment& aDeployment);
 
--- a/include/damasklink/coordination/TargetRegistry.h
+++ b/include/damasklink/coordination/TargetRegistry.h
@@ -1,4 +1,4 @@
-// The targets that announced themselves, merged from any host in any order.
+// The targets that have announced themselves, merged from announcements in any order.
 #pragma once
 
 #include <map>
@@ -16,34 +16,40 @@
 //   registry.Merge(record);
 //   for (const TargetRecord& target : registry.Usable()) ...
 //
-// A record replaces the one held only when its (incarnation, sequence) is higher. "Leaving" sticks
-// for an incarnation. A target not heard of for the silence limit is not usable; it is kept for a
-// while so that a late announcement of an older incarnation cannot revive it. An address has one
-// target, the one that announced itself from it last: a target that crashed says nothing, and its
-// successor may have its address. Not thread-safe.
+// - A record replaces the stored one only when its (incarnation, sequence) is higher. `leaving`
+//   stays set for the rest of an incarnation.
+// - A target that has not been heard from for the silence limit is not usable. It is
+// remembered for
+//   a while longer, so that a late announcement of an older incarnation cannot bring it back.
+// - An address belongs to the target that announced itself from it last. A target that crashed does
+//   not sign off, and another one may start at its address.
+//
+// Not thread-safe.
 class TargetRegistry
 {
 public:
+  // aSilence: how long a target may be silent and still be usable.
   TargetRegistry(const Clock& aClock, Duration aSilence);
 
-  // Takes an announcement, heard just now. Returns whether it was news that peers should hear.
+  // Takes an announcement that was just received. Returns whether it was newer than the stored
+  // record, so that it should be passed on to peers.
   bool Merge(const TargetRecord& aRecord);
 
-  // As above, for a target that may be silent for aSilence.
+  // As above, with a silence limit of its own for this target.
   bool Merge(const TargetRecord& aRecord, Duration aSilence);
 
-  // Takes a sign of life of the incarnation that is held. Returns false, and does nothing, when
-  // another one is held or the target is unknown.
+  // Takes a keepalive of the stored incarnation. Returns false, and does nothing, when the target
+  // is unknown or another incarnation is stored.
   bool Refresh(const TargetId& aTarget,
                Incarnation aIncarnation,
                Sequence aSequence,
                const TargetLoad& aLoad);
 
-  // Takes the word of the host that the target announces itself to: silent since aSequence. Does
-  // nothing when a later announcement is held.
+  // Marks the target as silent since aSequence, as reported by the host that it announces itself
+  // to. Does nothing when a later announcement is stored.
   void MarkSilent(const TargetId& aTarget, Incarnation aIncarnation, Sequence aSequence);
 
-  // Returns the record that is held, or nullptr.
+  // Returns the stored record, or nullptr.
   const TargetRecord* Find(const TargetId& aTarget) const;
 
   // Returns whether the target may get new work.
@@ -52,24 +58,24 @@
   // Returns the targets that may get new work, ordered by id.
   std::vector<TargetRecord> Usable() const;
 
-  // Returns every target that is remembered, usable or not.
+  // Returns all remembered targets, usable or not.
   std::vector<TargetRecord> All() const;
 
-  // Returns the targets that may get new work now and could not at the last call, or the other way
-  // round. Unlike the others it copies no records, so it may be called often among thousands.
+  // Returns the targets whose usability has changed since the last call. Unlike Usable() and All()
+  // it copies no records, so it can be called often with thousands of targets.
   std::vector<TargetId> TakeUsabilityChanges();
 
-  // Forgets targets that have been silent for long. Requires to be called now and then.
+  // Forgets targets that have been silent for long. Must be called periodically.
   void Expire();
 
 private:
   struct Entry
   {
     TargetRecord record;
-    MonotonicTime heard;
-    Duration silence{ 0 };
+    MonotonicTime lastHeard;
+    Duration silenceLimit{ 0 };
     bool silent = false;
-    // What TakeUsabilityChanges() told of it last.
+    // The usability that TakeUsabilityChanges() returned last.
     bool reportedUsable = false;
   };
 
@@ -79,9 +85,10 @@
   void ForgetAddress(const TargetId& aTarget, const Endpoint& aAddress);
 
   const Clock& clock;
-  Duration silence;
+  Duration silenceLimit;
   std::map<TargetId, Entry> entries;
-  // Who is remembered at an address, so that an announcement costs the same among any number.
+  // The remembered targets by address; keeps the cost of an announcement independent of the number
+  // of targets.
   std::map<Endpoint, std::set<TargetId>> addresses;
 };
 
--- a/src/coordination/OrderStateMachine.cpp
+++ b/src/coordination/OrderStateMachine.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint64_t kSnapshotVersion = 1;
-// Stops of deployments that are long gone; the first by name go first.
+// Limits the stops that are kept of deleted deployments; beyond it the first by name is dropped.
 constexpr std::size_t kMaxStops = 10'000;
 
 enum class OrderCommand : std::uint8_t
@@ -40,7 +40,7 @@
   } else if (command == static_cast<std::uint64_t>(OrderCommand::Stop)) {
     const auto deployment = reader.Id<DeploymentName>();
     RolloutStop stop;
-    stop.wish = reader.Number();
+    stop.desiredHash = reader.Number();
     stop.reason = std::string(reader.Text());
     stop.when = aContext.proposedAt;
     if (reader.AtCleanEnd()) {
@@ -61,7 +61,7 @@
   CompactWriter writer;
   writer.Number(kSnapshotVersion).Id(this->lastIssued).Number(this->stops.size());
   for (const auto& [deployment, stop] : this->stops) {
-    writer.Id(deployment).Number(stop.wish).Text(stop.reason);
+    writer.Id(deployment).Number(stop.desiredHash).Text(stop.reason);
     writer.Number(static_cast<std::uint64_t>(stop.when.time_since_epoch().count()));
   }
   return std::move(writer).Take();
@@ -77,13 +77,13 @@
   const std::size_t count = reader.Count();
   for (std::size_t index = 0; index < count && !reader.Bad(); ++index) {
     RolloutStop& stop = loaded.stops[reader.Id<DeploymentName>()];
-    stop.wish = reader.Number();
+    stop.desiredHash = reader.Number();
     stop.reason = std::string(reader.Text());
     stop.when = WallTime(WallTime::duration(static_cast<WallTime::rep>(reader.Number())));
   }
   if (version != kSnapshotVersion || !reader.AtCleanEnd()) {
     return Fail(ErrorKind::Corrupt,
-                "a snapshot of the orders cannot be read",
+                "the snapshot of the order state cannot be read",
                 "run the program version that wrote it, or repair this host from the group");
   }
   *this = std::move(loaded);
@@ -91,10 +91,10 @@
 }
 
 const RolloutStop*
-OrderStateMachine::FindStop(const DeploymentName& aDeployment, DesiredStateHash aWish) const
+OrderStateMachine::FindStop(const DeploymentName& aDeployment, DesiredStateHash aDesiredHash) const
 {
   const auto found = this->stops.find(aDeployment);
-  const bool stopped = found != this->stops.end() && found->second.wish == aWish;
+  const bool stopped = found != this->stops.end() && found->second.desiredHash == aDesiredHash;
   return stopped ? &found->second : nullptr;
 }
 
@@ -108,12 +108,12 @@
 
 std::string
 PackStopRollout(const DeploymentName& aDeployment,
-                DesiredStateHash aWish,
+                DesiredStateHash aDesiredHash,
                 const std::string& aReason)
 {
   CompactWriter writer;
   writer.Number(static_cast<std::uint64_t>(OrderCommand::Stop)).Id(aDeployment);
-  writer.Number(aWish).Text(aReason);
+  writer.Number(aDesiredHash).Text(aReason);
   return std::move(writer).Take();
 }
 
@@ -123,7 +123,8 @@
   CompactReader reader(aAnswer);
   const auto fencing = reader.NumberAs<FencingNumber>();
   if (!reader.AtCleanEnd()) {
-    return Fail(ErrorKind::Corrupt, "a fencing number cannot be read", "try the order again");
+    return Fail(
+      ErrorKind::Corrupt, "the fencing number in the answer cannot be read", "try the order again");
   }
   return fencing;
 }
--- a/src/coordination/TargetBroadcaster.cpp
+++ b/src/coordination/TargetBroadcaster.cpp
@@ -7,7 +7,8 @@
 namespace damasklink {
 namespace {
 
-// The home gives up on a target after this share of the limit, so that peers hear of it within.
+// The share of the silence limit after which the home reports a target as silent, so that peers
+// learn of it within the limit.
 constexpr int kHomeSilenceNumerator = 3;
 constexpr int kHomeSilenceDenominator = 4;
 
@@ -43,7 +44,8 @@
 {
   for (const PeerSettings& peer : aSettings.peers) {
     if (peer.host != this->self) {
-      (peer.zone == aSettings.zone ? this->near : this->far).push_back(peer.host);
+      (peer.zone == aSettings.zone ? this->sameZonePeers : this->otherZonePeers)
+        .push_back(peer.host);
     }
   }
 }
@@ -61,7 +63,7 @@
   }
   this->homes[aRecord.id] = this->self;
   this->byHash[ShortHash(aRecord.id.Value())] = aRecord.id;
-  this->told.erase(aRecord.id);
+  this->reportedSilent.erase(aRecord.id);
   const TargetRecord& merged = *this->registry.Find(aRecord.id);
   const bool changed = isNew || FingerprintOfTarget(merged) != before;
   if (changed || !wasOwn || !wasUsable) {
@@ -77,14 +79,14 @@
     return;
   }
   for (const TargetRecord& record : aMessage.records) {
-    this->TakeRecord(aFrom, record);
+    this->ApplyRecord(aFrom, record);
   }
   bool allKnown = true;
-  for (const TargetKeepalive& sign : aMessage.signs) {
+  for (const TargetKeepalive& keepalive : aMessage.keepalives) {
     if (aMessage.kind == TargetsMessageKind::Silent) {
-      this->TakeSilence(aFrom, sign);
+      this->ApplySilence(aFrom, keepalive);
     } else {
-      allKnown = this->TakeKeepalive(aFrom, sign) && allKnown;
+      allKnown = this->ApplyKeepalive(aFrom, keepalive) && allKnown;
     }
   }
   const MonotonicTime now = this->clock.MonotonicNow();
@@ -96,7 +98,7 @@
 }
 
 void
-TargetBroadcaster::TakeRecord(const HostId& aFrom, const TargetRecord& aRecord)
+TargetBroadcaster::ApplyRecord(const HostId& aFrom, const TargetRecord& aRecord)
 {
   if (this->registry.Merge(aRecord, kRemoteSilence)) {
     this->homes[aRecord.id] = aFrom;
@@ -105,32 +107,32 @@
 }
 
 bool
-TargetBroadcaster::TakeKeepalive(const HostId& aFrom, const TargetKeepalive& aSign)
+TargetBroadcaster::ApplyKeepalive(const HostId& aFrom, const TargetKeepalive& aKeepalive)
 {
-  const auto found = this->byHash.find(aSign.target);
+  const auto found = this->byHash.find(aKeepalive.target);
   const TargetRecord* held =
     found == this->byHash.end() ? nullptr : this->registry.Find(found->second);
   if (held == nullptr) {
     return false;
   }
   if (this->homes[held->id] != aFrom) {
-    // Another host heard from the target later, unless this one never heard of the move.
-    return aSign.sequence <= held->sequence;
+    // Another host is the home. A higher sequence means that this host missed the move to aFrom.
+    return aKeepalive.sequence <= held->sequence;
   }
-  if (FingerprintOfTarget(*held) != aSign.fingerprint) {
+  if (FingerprintOfTarget(*held) != aKeepalive.fingerprint) {
     return false;
   }
-  return this->registry.Refresh(held->id, held->incarnation, aSign.sequence, aSign.load);
+  return this->registry.Refresh(held->id, held->incarnation, aKeepalive.sequence, aKeepalive.load);
 }
 
 void
-TargetBroadcaster::TakeSilence(const HostId& aFrom, const TargetKeepalive& aSign)
+TargetBroadcaster::ApplySilence(const HostId& aFrom, const TargetKeepalive& aKeepalive)
 {
-  const auto found = this->byHash.find(aSign.target);
+  const auto found = this->byHash.find(aKeepalive.target);
   const TargetRecord* held =
     found == this->byHash.end() ? nullptr : this->registry.Find(found->second);
   if (held != nullptr && this->homes[held->id] == aFrom) {
-    this->registry.MarkSilent(held->id, held->incarnation, aSign.sequence);
+    this->registry.MarkSilent(held->id, held->incarnation, aKeepalive.sequence);
   }
 }
 
@@ -141,12 +143,12 @@
   const MonotonicTime now = this->clock.MonotonicNow();
   if (now >= this->nextRefresh) {
     this->nextRefresh = now + kRefreshInterval;
-    this->SendRefresh(this->near);
+    this->SendRefresh(this->sameZonePeers);
     this->Forget();
   }
   if (now >= this->nextFarRefresh) {
     this->nextFarRefresh = now + kFarRefreshInterval;
-    this->SendRefresh(this->far);
+    this->SendRefresh(this->otherZonePeers);
   }
 }
 
@@ -167,11 +169,11 @@
   for (const auto& [target, home] : this->homes) {
     const bool silent = home == this->self && !this->registry.IsUsable(target);
     const TargetRecord* record = silent ? this->registry.Find(target) : nullptr;
-    if (record != nullptr && !record->leaving && this->told.insert(target).second) {
-      silence.signs.push_back(this->SignOf(*record));
+    if (record != nullptr && !record->leaving && this->reportedSilent.insert(target).second) {
+      silence.keepalives.push_back(this->KeepaliveOf(*record));
     }
   }
-  if (!silence.signs.empty()) {
+  if (!silence.keepalives.empty()) {
     this->SendToAll(silence);
   }
 }
@@ -182,10 +184,10 @@
   TargetsMessage refresh{ TargetsMessageKind::Refresh, {}, {} };
   for (const auto& [target, home] : this->homes) {
     if (home == this->self && this->registry.IsUsable(target)) {
-      refresh.signs.push_back(this->SignOf(*this->registry.Find(target)));
+      refresh.keepalives.push_back(this->KeepaliveOf(*this->registry.Find(target)));
     }
   }
-  if (refresh.signs.empty()) {
+  if (refresh.keepalives.empty()) {
     return;
   }
   for (const HostId& peer : aPeers) {
@@ -202,7 +204,7 @@
 void
 TargetBroadcaster::SendToAll(const TargetsMessage& aMessage)
 {
-  for (const std::vector<HostId>* group : { &this->near, &this->far }) {
+  for (const std::vector<HostId>* group : { &this->sameZonePeers, &this->otherZonePeers }) {
     for (const HostId& peer : *group) {
       this->outgoing.push_back({ peer, aMessage });
     }
@@ -223,7 +225,7 @@
 }
 
 TargetKeepalive
-TargetBroadcaster::SignOf(const TargetRecord& aRecord) const
+TargetBroadcaster::KeepaliveOf(const TargetRecord& aRecord) const
 {
   return TargetKeepalive{
     ShortHash(aRecord.id.Value()), FingerprintOfTarget(aRecord), aRecord.sequence, aRecord.load
--- a/src/coordination/TargetDirectory.cpp
+++ b/src/coordination/TargetDirectory.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// In one life an engine's weights only get newer, so the highest version that anybody told counts.
+// Keeps the highest version of each model's weights that any host reported: within one incarnation
+// the weights of an engine only become newer.
 void
 KeepNewerWeights(const std::vector<ServedModel>& aOther, std::vector<ServedModel>& aTo)
 {
@@ -35,7 +36,7 @@
     this->ResetForRestart(aStatement, entry);
   }
   if (isNew && aStatement.standing == TargetStanding::Usable) {
-    this->appeared.push_back(aStatement.record);
+    this->discovered.push_back(aStatement.record);
   }
   if (aStatement.record.sequence >= entry.record.sequence) {
     const std::vector<ServedModel> before = std::move(entry.record.models);
@@ -44,7 +45,8 @@
   } else {
     KeepNewerWeights(aStatement.record.models, entry.record.models);
   }
-  entry.words[aFrom] = Word{ aStatement.record.sequence, aStatement.standing, aStatement.paused };
+  entry.reports[aFrom] =
+    HostReport{ aStatement.record.sequence, aStatement.standing, aStatement.paused };
   if (aStatement.standing == TargetStanding::Leaving) {
     this->MarkEntryRemoved(aStatement.record.id, entry);
   }
@@ -55,8 +57,8 @@
 TargetDirectory::ResetForRestart(const TargetStatement& aStatement, Entry& aEntry)
 {
   const TargetId& target = aStatement.record.id;
-  if (aEntry.gone) {
-    this->gone.erase(std::find(this->gone.begin(), this->gone.end(), target));
+  if (aEntry.removed) {
+    this->removed.erase(std::find(this->removed.begin(), this->removed.end(), target));
   }
   aEntry = Entry{};
   aEntry.record = aStatement.record;
@@ -66,13 +68,13 @@
 void
 TargetDirectory::MarkEntryRemoved(const TargetId& aTarget, Entry& aEntry)
 {
-  if (std::exchange(aEntry.gone, true)) {
+  if (std::exchange(aEntry.removed, true)) {
     return;
   }
-  this->gone.push_back(aTarget);
-  if (this->gone.size() > kMaxRemoved) {
-    this->entries.erase(this->gone.front());
-    this->gone.pop_front();
+  this->removed.push_back(aTarget);
+  if (this->removed.size() > kMaxRemoved) {
+    this->entries.erase(this->removed.front());
+    this->removed.pop_front();
   }
 }
 
@@ -98,7 +100,7 @@
 {
   std::vector<TargetRecord> found;
   for (const auto& [id, entry] : this->entries) {
-    if (!entry.gone && entry.record.zone == aZone) {
+    if (!entry.removed && entry.record.zone == aZone) {
       found.push_back(entry.record);
     }
   }
@@ -111,7 +113,7 @@
   std::size_t all = 0;
   std::size_t usable = 0;
   for (const auto& [id, entry] : this->entries) {
-    if (!entry.gone && entry.record.zone == aZone) {
+    if (!entry.removed && entry.record.zone == aZone) {
       ++all;
       usable += this->IsReportedUsable(entry) ? 1 : 0;
     }
@@ -123,7 +125,7 @@
 TargetDirectory::MarkRemoved(const TargetId& aTarget)
 {
   const auto found = this->entries.find(aTarget);
-  if (found != this->entries.end() && !found->second.gone) {
+  if (found != this->entries.end() && !found->second.removed) {
     this->MarkEntryRemoved(aTarget, found->second);
     this->Changed();
   }
@@ -144,7 +146,7 @@
 TargetDirectory::Find(const TargetId& aTarget) const
 {
   const auto found = this->entries.find(aTarget);
-  return found == this->entries.end() || found->second.gone ? nullptr : &found->second.record;
+  return found == this->entries.end() || found->second.removed ? nullptr : &found->second.record;
 }
 
 void
@@ -153,29 +155,30 @@
   ++this->version;
 }
 
-// The words of connected hosts count; those of others only where no connected one has spoken.
+// Reports of connected hosts take precedence; those of other hosts count only where no connected
+// host has reported.
 bool
 TargetDirectory::IsReportedUsable(const Entry& aEntry) const
 {
-  bool spoken = false;
-  bool lastWord = false;
-  for (const auto& [host, word] : aEntry.words) {
-    const bool usable = word.standing == TargetStanding::Usable;
+  bool reported = false;
+  bool lastReportUsable = false;
+  for (const auto& [host, report] : aEntry.reports) {
+    const bool usable = report.standing == TargetStanding::Usable;
     if (this->connected.contains(host)) {
       if (usable) {
         return true;
       }
-      spoken = true;
+      reported = true;
     }
-    lastWord = lastWord || usable;
+    lastReportUsable = lastReportUsable || usable;
   }
-  return !spoken && lastWord;
+  return !reported && lastReportUsable;
 }
 
 bool
 TargetDirectory::IsPaused(const Entry& aEntry) const
 {
-  return std::any_of(aEntry.words.begin(), aEntry.words.end(), [&](const auto& aItem) {
+  return std::any_of(aEntry.reports.begin(), aEntry.reports.end(), [&](const auto& aItem) {
     return aItem.second.paused && this->connected.contains(aItem.first);
   });
 }
@@ -187,7 +190,7 @@
   std::map<ServiceName, std::vector<TargetRecord>> paused;
   std::map<ServiceName, std::vector<TargetRecord>> silent;
   for (const auto& [id, entry] : this->entries) {
-    if (entry.gone || this->evacuated.contains(entry.record.zone)) {
+    if (entry.removed || this->evacuated.contains(entry.record.zone)) {
       continue;
     }
     const ServiceName& service = entry.record.service;
--- a/src/coordination/TargetHealth.cpp
+++ b/src/coordination/TargetHealth.cpp
@@ -21,7 +21,7 @@
     const auto found = this->entries.find(aTarget);
     if (found != this->entries.end()) {
       if (found->second.reportedUnreachable) {
-        TargetFindings& findings = this->untold[aTarget];
+        TargetFindings& findings = this->pendingFindings[aTarget];
         findings.target = aTarget;
         findings.back = 1;
       }
@@ -39,15 +39,15 @@
   ++entry.failures;
   const bool probeFailed = entry.probing;
   entry.probing = false;
-  const bool alreadyOut = this->clock.MonotonicNow() < entry.ejectedUntil;
-  if (aSign == HealthSignal::NotReached && !alreadyOut &&
-      this->untold.size() < kMaxPendingFindings) {
-    TargetFindings& findings = this->untold[aTarget];
+  const bool alreadyEjected = this->clock.MonotonicNow() < entry.ejectedUntil;
+  if (aSign == HealthSignal::NotReached && !alreadyEjected &&
+      this->pendingFindings.size() < kMaxPendingFindings) {
+    TargetFindings& findings = this->pendingFindings[aTarget];
     findings.target = aTarget;
     findings.gone = 1;
   }
-  const bool enough = entry.failures >= kConsecutiveFailures || aSign == HealthSignal::NotReached;
-  if (!alreadyOut && (probeFailed || enough)) {
+  const bool failed = entry.failures >= kConsecutiveFailures || aSign == HealthSignal::NotReached;
+  if (!alreadyEjected && (probeFailed || failed)) {
     this->Eject(entry);
   }
 }
@@ -56,7 +56,7 @@
 TargetHealth::OnRestart(const TargetId& aTarget)
 {
   this->entries.erase(aTarget);
-  this->untold.erase(aTarget);
+  this->pendingFindings.erase(aTarget);
 }
 
 void
@@ -67,7 +67,7 @@
     length *= 2;
   }
   length = std::min(length, kMaxEjection);
-  // Jitter, so that targets ejected together do not come back together.
+  // Jitter keeps targets that were ejected together from coming back together.
   std::uniform_int_distribution<std::int64_t> jitter(0, length.count() / 4);
   aEntry.ejectedUntil = this->clock.MonotonicNow() + length + Duration(jitter(this->random));
   ++aEntry.ejections;
@@ -77,7 +77,7 @@
 TargetHealth::TakeFindings()
 {
   std::vector<TargetFindings> findings;
-  for (const auto& [target, found] : std::exchange(this->untold, {})) {
+  for (const auto& [target, found] : std::exchange(this->pendingFindings, {})) {
     findings.push_back(found);
   }
   return findings;
@@ -86,29 +86,30 @@
 void
 TargetHealth::Take(const std::vector<TargetFindings>& aFindings)
 {
-  for (const TargetFindings& found : aFindings) {
-    if (found.back > 0) {
+  for (const TargetFindings& findings : aFindings) {
+    if (findings.back > 0) {
       std::erase_if(this->entries, [&](const auto& aItem) {
-        return aItem.first == found.target && aItem.second.reportedUnreachable;
+        return aItem.first == findings.target && aItem.second.reportedUnreachable;
       });
-    } else if (found.gone > 0) {
-      this->TakeUnreachable(found);
+    } else if (findings.gone > 0) {
+      this->TakeUnreachable(findings);
     }
   }
 }
 
 void
-TargetHealth::TakeUnreachable(const TargetFindings& aFound)
+TargetHealth::TakeUnreachable(const TargetFindings& aFindings)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  Entry& entry = this->entries[aFound.target];
-  if (entry.findings == 0 || now - entry.findingsSince > kReportWindow) {
-    entry.findings = 0;
-    entry.findingsSince = now;
+  Entry& entry = this->entries[aFindings.target];
+  if (entry.reports == 0 || now - entry.reportsSince > kReportWindow) {
+    entry.reports = 0;
+    entry.reportsSince = now;
   }
-  entry.findings += aFound.gone;
-  // Once it is believed, one host that tried in vain is enough.
-  if (!entry.reportedUnreachable && entry.findings < kReportsToEject) {
+  entry.reports += aFindings.gone;
+  // A target that has already been ejected because of reports needs only one more, of a failed
+  // probe.
+  if (!entry.reportedUnreachable && entry.reports < kReportsToEject) {
     return;
   }
   entry.reportedUnreachable = true;
@@ -119,7 +120,7 @@
 }
 
 bool
-TargetHealth::IsOut(const TargetId& aTarget) const
+TargetHealth::IsEjected(const TargetId& aTarget) const
 {
   const auto found = this->entries.find(aTarget);
   if (found == this->entries.end()) {
@@ -131,23 +132,23 @@
 std::vector<TargetRecord>
 TargetHealth::Filter(const std::vector<TargetRecord>& aTargets) const
 {
-  std::vector<TargetRecord> fit;
-  std::vector<const TargetRecord*> out;
+  std::vector<TargetRecord> healthy;
+  std::vector<const TargetRecord*> ejected;
   for (const TargetRecord& target : aTargets) {
-    if (this->IsOut(target.id)) {
-      out.push_back(&target);
+    if (this->IsEjected(target.id)) {
+      ejected.push_back(&target);
     } else {
-      fit.push_back(target);
+      healthy.push_back(target);
     }
   }
   const std::size_t floor = (aTargets.size() + 1) / 2;
-  for (const TargetRecord* target : out) {
-    if (fit.size() >= floor) {
+  for (const TargetRecord* target : ejected) {
+    if (healthy.size() >= floor) {
       break;
     }
-    fit.push_back(*target);
+    healthy.push_back(*target);
   }
-  return fit;
+  return healthy;
 }
 
 } // namespace damasklink
--- a/src/coordination/TargetOrders.cpp
+++ b/src/coordination/TargetOrders.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 bool
-HasRole(TargetRole aReported, DeploymentRole aWished)
+HasRole(TargetRole aReported, DeploymentRole aDesired)
 {
-  switch (aWished) {
+  switch (aDesired) {
     case DeploymentRole::Keep:
       return true;
     case DeploymentRole::Both:
@@ -24,17 +24,17 @@
 }
 
 bool
-HasAdapters(const ServedModel& aServed, const std::vector<AdapterName>& aWished)
+HasAdapters(const ServedModel& aServed, const std::vector<AdapterName>& aDesired)
 {
-  return std::all_of(aWished.begin(), aWished.end(), [&](const AdapterName& aAdapter) {
+  return std::all_of(aDesired.begin(), aDesired.end(), [&](const AdapterName& aAdapter) {
     return std::find(aServed.adapters.begin(), aServed.adapters.end(), aAdapter) !=
            aServed.adapters.end();
   });
 }
 
-// Whether the target serves the model in any version.
+// Returns whether the target serves the model in any version.
 bool
-ServesModel(const TargetRecord& aRecord, const ModelName& aModel)
+ServesAnyVersion(const TargetRecord& aRecord, const ModelName& aModel)
 {
   return std::any_of(aRecord.models.begin(), aRecord.models.end(), [&](const ServedModel& aServed) {
     return aServed.model == aModel;
@@ -80,18 +80,18 @@
   }
   const MonotonicTime now = this->clock.MonotonicNow();
   if (!this->leading) {
-    // What this host had under way when it led before is another leader's now.
-    this->open.clear();
+    // The open orders of an earlier term belong to the leaders that followed it.
+    this->openOrders.clear();
     this->stopping.clear();
     this->leading = true;
-    this->ledSince = now;
-    // The former leader may have begun a load just now.
+    this->leadingSince = now;
+    // The former leader may have started a load just now.
     this->lastLoad = now;
   }
-  std::erase_if(this->open, [&](const auto& aItem) {
+  std::erase_if(this->openOrders, [&](const auto& aItem) {
     const auto deployment = aDeployments.find(aItem.second.deployment);
     return deployment == aDeployments.end() ||
-           HashDesiredState(deployment->second) != aItem.second.wish;
+           HashDesiredState(deployment->second) != aItem.second.desiredHash;
   });
   for (const auto& [name, deployment] : aDeployments) {
     this->PlanDeployment(name, deployment, aTargets, actions);
@@ -105,34 +105,35 @@
                              const TargetRegistry& aTargets,
                              std::vector<OrderAction>& aTo)
 {
-  const DesiredStateHash wish = HashDesiredState(aDeployment);
-  std::vector<const TargetRecord*> waiting;
+  const DesiredStateHash desiredHash = HashDesiredState(aDeployment);
+  std::vector<const TargetRecord*> candidates;
   for (const TargetId& target : aDeployment.targets) {
     const TargetRecord* record = aTargets.Find(target);
     if (record == nullptr) {
       continue;
     }
-    const bool ordered = this->Advance(*record, aDeployment, aTargets, aTo);
-    if (!ordered && !HasDesiredState(*record, aDeployment) && aTargets.IsUsable(target)) {
-      waiting.push_back(record);
+    const bool hasOrder = this->Advance(*record, aDeployment, aTargets, aTo);
+    if (!hasOrder && !HasDesiredState(*record, aDeployment) && aTargets.IsUsable(target)) {
+      candidates.push_back(record);
     }
   }
-  if (this->machine.FindStop(aName, wish) != nullptr) {
+  if (this->machine.FindStop(aName, desiredHash) != nullptr) {
     return;
   }
-  if (const std::string failure = this->FindFailure(aName, wish); !failure.empty()) {
+  if (const std::string failure = this->FindFailure(aName, desiredHash); !failure.empty()) {
     if (this->stopping.insert(aName).second) {
-      aTo.push_back(StopRollout{ aName, wish, failure });
+      aTo.push_back(StopRollout{ aName, desiredHash, failure });
     }
     return;
   }
   this->stopping.erase(aName);
-  for (const TargetRecord* record : waiting) {
-    const bool soon = this->clock.MonotonicNow() - this->lastLoad < aDeployment.loadInterval;
-    // Taking this engine out must leave enough; one that does not serve the model costs nothing.
-    const bool spare = !ServesModel(*record, aDeployment.model) ||
-                       this->CountServing(aDeployment, aTargets) > aDeployment.keepServing;
-    if (!soon && spare && this->MayOrder(*record)) {
+  for (const TargetRecord* record : candidates) {
+    const bool tooSoon = this->clock.MonotonicNow() - this->lastLoad < aDeployment.loadInterval;
+    // Ordering this engine must leave enough others; an engine that does not serve the model is not
+    // missed.
+    const bool enoughOthers = !ServesAnyVersion(*record, aDeployment.model) ||
+                              this->CountServing(aDeployment, aTargets) > aDeployment.keepServing;
+    if (!tooSoon && enoughOthers && this->MayOrder(*record)) {
       this->Begin(aName, aDeployment, *record, aTo);
     }
   }
@@ -144,8 +145,8 @@
                       const TargetRegistry& aTargets,
                       std::vector<OrderAction>& aTo)
 {
-  const auto found = this->open.find(aRecord.id);
-  if (found == this->open.end()) {
+  const auto found = this->openOrders.find(aRecord.id);
+  if (found == this->openOrders.end()) {
     return false;
   }
   OpenOrder& order = found->second;
@@ -162,23 +163,23 @@
                    aDeployment.role } });
     return true;
   }
-  if (order.stage == OrderStage::Taken && HasDesiredState(aRecord, aDeployment)) {
-    this->open.erase(found);
+  if (order.stage == OrderStage::Accepted && HasDesiredState(aRecord, aDeployment)) {
+    this->openOrders.erase(found);
     return false;
   }
   const Duration elapsed = this->clock.MonotonicNow() - order.since;
-  if (order.stage == OrderStage::Taken && !aTargets.IsUsable(aRecord.id)) {
+  if (order.stage == OrderStage::Accepted && !aTargets.IsUsable(aRecord.id)) {
     order.stage = OrderStage::Failed;
-    order.failure = "fell silent or left under its order";
-  } else if (order.stage == OrderStage::Taken && elapsed >= aDeployment.loadLimit) {
+    order.failure = "became silent or left while it had an order";
+  } else if (order.stage == OrderStage::Accepted && elapsed >= aDeployment.loadLimit) {
     if (!aRecord.checksFencing && !order.repeated) {
-      // A former leader's order may have come late and pushed this one out: the engine then reports
-      // nothing new either. Once more tells that from an engine that cannot load.
+      // A late order of a former leader may have replaced this one; the engine then reports no
+      // change either. Sending it again distinguishes this from an engine that cannot load.
       order.repeated = true;
       order.stage = OrderStage::Issued;
     } else {
       order.stage = OrderStage::Failed;
-      order.failure = "did not report the wished end within the load limit";
+      order.failure = "did not report the desired state within the load limit";
     }
   }
   return true;
@@ -193,9 +194,9 @@
   const MonotonicTime now = this->clock.MonotonicNow();
   OpenOrder order;
   order.deployment = aName;
-  order.wish = HashDesiredState(aDeployment);
+  order.desiredHash = HashDesiredState(aDeployment);
   order.since = now;
-  this->open[aRecord.id] = std::move(order);
+  this->openOrders[aRecord.id] = std::move(order);
   this->lastLoad = now;
   aTo.push_back(IssueFencing{ aRecord.id });
 }
@@ -203,15 +204,15 @@
 bool
 TargetOrders::MayOrder(const TargetRecord& aRecord) const
 {
-  const Duration led = this->clock.MonotonicNow() - this->ledSince;
-  return aRecord.checksFencing || led >= this->limits.lease + this->limits.orderInFlight;
+  const Duration leadingFor = this->clock.MonotonicNow() - this->leadingSince;
+  return aRecord.checksFencing || leadingFor >= this->limits.lease + this->limits.orderInFlight;
 }
 
 std::string
-TargetOrders::FindFailure(const DeploymentName& aName, DesiredStateHash aWish) const
+TargetOrders::FindFailure(const DeploymentName& aName, DesiredStateHash aDesiredHash) const
 {
-  for (const auto& [target, order] : this->open) {
-    const bool failed = order.stage == OrderStage::Failed && order.wish == aWish;
+  for (const auto& [target, order] : this->openOrders) {
+    const bool failed = order.stage == OrderStage::Failed && order.desiredHash == aDesiredHash;
     if (failed && order.deployment == aName) {
       return Concat("engine '", target.Value(), "' ", order.failure);
     }
@@ -224,19 +225,19 @@
 {
   return static_cast<std::size_t>(std::count_if(
     aDeployment.targets.begin(), aDeployment.targets.end(), [&](const TargetId& aTarget) {
-      return aTargets.IsUsable(aTarget) && !this->open.contains(aTarget);
+      return aTargets.IsUsable(aTarget) && !this->openOrders.contains(aTarget);
     }));
 }
 
 void
 TargetOrders::OnFencingIssued(const TargetId& aTarget, const Result<FencingNumber>& aFencing)
 {
-  const auto found = this->open.find(aTarget);
-  if (found == this->open.end() || found->second.stage != OrderStage::Issuing) {
+  const auto found = this->openOrders.find(aTarget);
+  if (found == this->openOrders.end() || found->second.stage != OrderStage::Issuing) {
     return;
   }
   if (!aFencing) {
-    this->open.erase(found);
+    this->openOrders.erase(found);
     return;
   }
   found->second.fencing = aFencing.value();
@@ -246,20 +247,20 @@
 void
 TargetOrders::OnSent(const TargetId& aTarget, OrderOutcome aOutcome)
 {
-  const auto found = this->open.find(aTarget);
-  if (found == this->open.end() || found->second.stage != OrderStage::Sending) {
+  const auto found = this->openOrders.find(aTarget);
+  if (found == this->openOrders.end() || found->second.stage != OrderStage::Sending) {
     return;
   }
   switch (aOutcome) {
-    case OrderOutcome::Taken:
+    case OrderOutcome::Accepted:
     case OrderOutcome::NotKnown:
     case OrderOutcome::LeaseEnded:
-      // Whether it did anything is read from what the target reports.
-      found->second.stage = OrderStage::Taken;
+      // Later reports of the target tell whether the order had any effect.
+      found->second.stage = OrderStage::Accepted;
       found->second.since = this->clock.MonotonicNow();
       return;
     case OrderOutcome::NotSent:
-      this->open.erase(found);
+      this->openOrders.erase(found);
       return;
     case OrderOutcome::Refused:
       found->second.stage = OrderStage::Failed;
@@ -279,7 +280,7 @@
       done += aTargets.IsUsable(target) && HasDesiredState(*record, deployment) ? 1 : 0;
     }
     const std::string counts =
-      Concat(done, " of ", deployment.targets.size(), " engines as wished");
+      Concat(done, " of ", deployment.targets.size(), " engines in the desired state");
     const RolloutStop* stop = this->machine.FindStop(name, HashDesiredState(deployment));
     if (stop != nullptr) {
       all.push_back(
--- a/src/coordination/TargetRegistry.cpp
+++ b/src/coordination/TargetRegistry.cpp
@@ -5,7 +5,8 @@
 namespace damasklink {
 namespace {
 
-// A forgotten target could be revived by an old announcement, so memory outlasts any delay.
+// Targets are remembered for this many silence limits. An old announcement could bring back a
+// forgotten target, so this must exceed any delay of an announcement.
 constexpr int kRetentionSilences = 300;
 
 auto
@@ -18,14 +19,14 @@
 
 TargetRegistry::TargetRegistry(const Clock& aClock, Duration aSilence)
   : clock(aClock)
-  , silence(aSilence)
+  , silenceLimit(aSilence)
 {
 }
 
 bool
 TargetRegistry::Merge(const TargetRecord& aRecord)
 {
-  return this->Merge(aRecord, this->silence);
+  return this->Merge(aRecord, this->silenceLimit);
 }
 
 bool
@@ -36,19 +37,20 @@
   if (!isNew && VersionOfRecord(aRecord) <= VersionOfRecord(entry.record)) {
     return false;
   }
-  const bool sameLife = !isNew && aRecord.incarnation == entry.record.incarnation;
-  const bool stickyLeaving = sameLife && entry.record.leaving;
+  const bool sameIncarnation = !isNew && aRecord.incarnation == entry.record.incarnation;
+  const bool stickyLeaving = sameIncarnation && entry.record.leaving;
   if (isNew || entry.record.endpoint != aRecord.endpoint) {
     this->MoveAddress(aRecord.id, entry.record.endpoint, aRecord.endpoint);
   }
   entry.record = aRecord;
   entry.record.leaving = aRecord.leaving || stickyLeaving;
-  entry.heard = this->clock.MonotonicNow();
-  entry.silence = aSilence;
+  entry.lastHeard = this->clock.MonotonicNow();
+  entry.silenceLimit = aSilence;
   entry.silent = false;
   if (!entry.record.leaving) {
     this->MarkOthersSilentAt(entry.record);
   }
+  // A repeated sequence shows that the host which forwards it is alive, not the target.
   return true;
 }
 
@@ -102,7 +104,7 @@
   }
   entry.record.sequence = aSequence;
   entry.record.load = aLoad;
-  entry.heard = this->clock.MonotonicNow();
+  entry.lastHeard = this->clock.MonotonicNow();
   entry.silent = false;
   return true;
 }
@@ -129,8 +131,8 @@
 bool
 TargetRegistry::IsUsable(const Entry& aEntry) const
 {
-  const Duration quiet = this->clock.MonotonicNow() - aEntry.heard;
-  return !aEntry.silent && !aEntry.record.leaving && quiet < aEntry.silence;
+  const Duration silentFor = this->clock.MonotonicNow() - aEntry.lastHeard;
+  return !aEntry.silent && !aEntry.record.leaving && silentFor < aEntry.silenceLimit;
 }
 
 bool
@@ -181,7 +183,7 @@
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   std::erase_if(this->entries, [&](const auto& aItem) {
-    const bool expired = now - aItem.second.heard >= this->silence * kRetentionSilences;
+    const bool expired = now - aItem.second.lastHeard >= this->silenceLimit * kRetentionSilences;
     if (expired) {
       this->ForgetAddress(aItem.first, aItem.second.record.endpoint);
     }
--- a/src/program/OrderSender.cpp
+++ b/src/program/OrderSender.cpp
@@ -93,7 +93,7 @@
   }
   const int status = exchange.value()->Status();
   if (status == kStatusOk) {
-    return OrderOutcome::Taken;
+    return OrderOutcome::Accepted;
   }
   return status >= kFirstClientError ? OrderOutcome::Refused : OrderOutcome::NotKnown;
 }
--- a/src/program/OrdersModule.cpp
+++ b/src/program/OrdersModule.cpp
@@ -20,7 +20,7 @@
 OutcomeName(OrderOutcome aOutcome)
 {
   switch (aOutcome) {
-    case OrderOutcome::Taken:
+    case OrderOutcome::Accepted:
       return "taken";
     case OrderOutcome::Refused:
       return "refused";
@@ -120,7 +120,7 @@
     .With("reason", aStop.reason);
   this->groups.Propose(ControlGroupId(),
                        MachinePart::Orders,
-                       PackStopRollout(aStop.deployment, aStop.wish, aStop.reason),
+                       PackStopRollout(aStop.deployment, aStop.desiredHash, aStop.reason),
                        kProposalTimeout,
                        [this, name = aStop.deployment](const Result<std::string>& aAnswer) {
                          if (!aAnswer) {
--- a/src/protocol/OrderApi.cpp
+++ b/src/protocol/OrderApi.cpp
@@ -20,12 +20,12 @@
 FormatTargetOrder(const TargetOrder& aOrder)
 {
   Json adapters = Json::array();
-  for (const AdapterName& adapter : aOrder.wished.adapters) {
+  for (const AdapterName& adapter : aOrder.desired.adapters) {
     adapters.push_back(adapter.Value());
   }
   return Dump(Json{ { "fencing", aOrder.fencing.Value() },
-                    { "model", aOrder.wished.model.Value() },
-                    { "version", aOrder.wished.version.Value() },
+                    { "model", aOrder.desired.model.Value() },
+                    { "version", aOrder.desired.version.Value() },
                     { "adapters", adapters },
                     { "role", kRoles.at(static_cast<std::size_t>(aOrder.role)) } });
 }
@@ -40,14 +40,14 @@
   FieldReader fields(body);
   TargetOrder order;
   order.fencing = FencingNumber(fields.Count("fencing"));
-  order.wished.model = ModelName(fields.Text("model"));
-  order.wished.version = WeightVersion(fields.Text("version"));
+  order.desired.model = ModelName(fields.Text("model"));
+  order.desired.version = WeightVersion(fields.Text("version"));
   for (const Json& item : fields.Items("adapters")) {
     if (!item.is_string()) {
       fields.Note("adapters", "holds an entry that is not a text");
       break;
     }
-    order.wished.adapters.emplace_back(item.get<std::string>());
+    order.desired.adapters.emplace_back(item.get<std::string>());
   }
   const std::string role = fields.Text("role");
   const auto* const found = std::find(kRoles.begin(), kRoles.end(), role);
@@ -56,7 +56,7 @@
   } else {
     order.role = static_cast<DeploymentRole>(found - kRoles.begin());
   }
-  if (order.wished.model.Empty() || order.wished.version.Empty()) {
+  if (order.desired.model.Empty() || order.desired.version.Empty()) {
     fields.Note("model", "and version must be given");
   }
   if (!fields.Problem().empty()) {
--- a/src/protocol/TargetsWire.cpp
+++ b/src/protocol/TargetsWire.cpp
@@ -53,7 +53,7 @@
 {
   flatbuffers::FlatBufferBuilder builder;
   std::vector<wire::Sign> signs;
-  for (const TargetKeepalive& sign : aMessage.signs) {
+  for (const TargetKeepalive& sign : aMessage.keepalives) {
     signs.push_back(WireSign(sign));
   }
   std::vector<std::string> records;
@@ -81,7 +81,7 @@
   message.kind = static_cast<TargetsMessageKind>(frame->kind());
   if (frame->signs() != nullptr) {
     for (const wire::Sign* sign : *frame->signs()) {
-      message.signs.push_back(ReadSign(*sign));
+      message.keepalives.push_back(ReadSign(*sign));
     }
   }
   if (frame->records() != nullptr) {
--- a/standin/EngineOrders.cpp
+++ b/standin/EngineOrders.cpp
@@ -60,7 +60,7 @@
     this->models = this->loading;
   }
   this->role = RoleAfter(this->role, order.value().role);
-  this->loading = { order.value().wished };
+  this->loading = { order.value().desired };
   this->loadedAt = std::chrono::steady_clock::now() + this->options.loadTime;
   return response;
 }
--- a/test/coordination/TargetBroadcasterTest.cpp
+++ b/test/coordination/TargetBroadcasterTest.cpp
@@ -11,11 +11,12 @@
 
 constexpr std::size_t kHosts = 4;
 constexpr Duration kStep = std::chrono::milliseconds(100);
-constexpr Duration kAnnounced = std::chrono::milliseconds(300);
+constexpr Duration kAnnounceInterval = std::chrono::milliseconds(300);
 constexpr Duration kSilenceLimit = std::chrono::seconds(2);
 const TargetId kTarget("engine-1");
 
-// Hosts that pass targets on to each other, and one target that announces itself to one of them.
+// Hosts that pass announcements on to each other, and one target that announces itself to one of
+// them.
 class FakeHosts
 {
 public:
@@ -44,7 +45,7 @@
     this->hosts[aHome]->OnAnnouncement(this->record);
   }
 
-  void DeliverAll(const std::function<bool()>& aArrives)
+  void DeliverAll(const std::function<bool()>& aIsDelivered)
   {
     bool moved = true;
     while (moved) {
@@ -53,7 +54,7 @@
         for (const OutgoingTargetsMessage& outgoing : this->hosts[from]->TakeOutgoing()) {
           moved = true;
           const std::size_t to = std::stoul(outgoing.to.Value());
-          if (aArrives() && from != this->dead && to != this->dead) {
+          if (aIsDelivered() && from != this->stopped && to != this->stopped) {
             this->hosts[to]->OnMessage(NameOf(from), outgoing.message);
           }
         }
@@ -61,21 +62,22 @@
     }
   }
 
-  // Lets time pass; the target announces itself to aHome unless that is no host.
+  // Advances the clock in steps of kStep. The target announces itself to aHome; with kHosts it is
+  // silent.
   void Run(
     Duration aTime,
     std::size_t aHome,
-    const std::function<bool()>& aArrives = [] { return true; })
+    const std::function<bool()>& aIsDelivered = [] { return true; })
   {
     for (Duration passed{ 0 }; passed < aTime; passed += kStep) {
       this->clock.Advance(kStep);
-      if (aHome < kHosts && passed % kAnnounced == Duration(0)) {
+      if (aHome < kHosts && passed % kAnnounceInterval == Duration(0)) {
         this->Announce(aHome);
       }
       for (auto& host : this->hosts) {
         host->OnTick();
       }
-      this->DeliverAll(aArrives);
+      this->DeliverAll(aIsDelivered);
     }
   }
 
@@ -90,7 +92,7 @@
   ManualClock clock;
   std::vector<std::unique_ptr<TargetBroadcaster>> hosts;
   TargetRecord record;
-  std::size_t dead = kHosts;
+  std::size_t stopped = kHosts;
 };
 
 TEST(TargetBroadcasterTest, AnnouncedTargetStaysUsableOnAllHosts)
@@ -110,7 +112,7 @@
   hosts.Run(kSilenceLimit - kStep, kHosts);
   EXPECT_EQ(hosts.CountUsable(), 0U);
   hosts.Run(kStep, 0);
-  EXPECT_EQ(hosts.CountUsable(), kHosts) << "heard of again";
+  EXPECT_EQ(hosts.CountUsable(), kHosts) << "usable again after an announcement";
 }
 
 TEST(TargetBroadcasterTest, LeavingTargetIsUnusableAtOnce)
@@ -127,7 +129,7 @@
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
-  hosts.dead = 0;
+  hosts.stopped = 0;
   hosts.Run(TargetBroadcaster::kRemoteSilence, kHosts);
   EXPECT_EQ(hosts.CountUsable(), 0U);
 }
@@ -172,7 +174,8 @@
   EXPECT_EQ(hosts.hosts[3]->Registry().Find(kTarget)->load.runningRequests, 9U);
 }
 
-// Whatever was lost, and wherever the target announced itself meanwhile: all know it in the end.
+// Messages are lost and the target changes its home and its weights meanwhile. Once messages arrive
+// again, every host must learn the target's current record from the refresh.
 RC_GTEST_PROP(TargetBroadcasterTest, MissedAnnouncementsAreRecoveredByTheRefresh, ())
 {
   FakeHosts hosts;
--- a/test/coordination/TargetDirectoryTest.cpp
+++ b/test/coordination/TargetDirectoryTest.cpp
@@ -13,14 +13,14 @@
 const ServiceName kService("s");
 
 TargetStatement
-Say(const std::string& aTarget, std::uint64_t aSequence, TargetStanding aStanding)
+MakeUpdate(const std::string& aTarget, std::uint64_t aSequence, TargetStanding aStanding)
 {
-  TargetStatement statement;
-  statement.record.id = TargetId(aTarget);
-  statement.record.service = kService;
-  statement.record.sequence = Sequence(aSequence);
-  statement.standing = aStanding;
-  return statement;
+  TargetStatement update;
+  update.record.id = TargetId(aTarget);
+  update.record.service = kService;
+  update.record.sequence = Sequence(aSequence);
+  update.standing = aStanding;
+  return update;
 }
 
 class TargetDirectoryTest : public ::testing::Test
@@ -28,189 +28,189 @@
 protected:
   TargetDirectoryTest()
   {
-    this->board.OnLink(kFirst, true);
-    this->board.OnLink(kSecond, true);
+    this->directory.OnLink(kFirst, true);
+    this->directory.OnLink(kSecond, true);
   }
 
-  std::size_t Usable() const { return this->board.Usable(kService).size(); }
+  std::size_t Usable() const { return this->directory.Usable(kService).size(); }
 
-  TargetDirectory board;
+  TargetDirectory directory;
 };
 
 TEST_F(TargetDirectoryTest, ReportedTargetIsUsable)
 {
-  this->board.Take(kFirst, Say("t", 1, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdate("t", 1, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 1U);
-  EXPECT_TRUE(this->board.Usable(ServiceName("other")).empty());
+  EXPECT_TRUE(this->directory.Usable(ServiceName("other")).empty());
 }
 
 TEST_F(TargetDirectoryTest, LeavingTargetStaysRemoved)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Leaving));
-  this->board.Take(kSecond, Say("t", 6, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Leaving));
+  this->directory.Take(kSecond, MakeUpdate("t", 6, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 0U);
 }
 
 TEST_F(TargetDirectoryTest, TargetIsUsableWhileAnyConnectedHostReportsIt)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Silent));
-  this->board.Take(kSecond, Say("t", 5, TargetStanding::Usable));
-  this->board.Take(kFirst, Say("u", 5, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Silent));
+  this->directory.Take(kSecond, MakeUpdate("t", 5, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdate("u", 5, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 2U);
 }
 
 TEST_F(TargetDirectoryTest, ConnectedHostOverridesDisconnectedOne)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Silent));
-  this->board.Take(kFirst, Say("u", 5, TargetStanding::Usable));
-  this->board.Take(kSecond, Say("t", 4, TargetStanding::Usable));
-  this->board.OnLink(kSecond, false);
+  this->directory.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Silent));
+  this->directory.Take(kFirst, MakeUpdate("u", 5, TargetStanding::Usable));
+  this->directory.Take(kSecond, MakeUpdate("t", 4, TargetStanding::Usable));
+  this->directory.OnLink(kSecond, false);
   EXPECT_EQ(this->Usable(), 1U);
 }
 
 TEST_F(TargetDirectoryTest, LastReportsCountWithoutConnectedHosts)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Usable));
-  this->board.OnLink(kFirst, false);
-  this->board.OnLink(kSecond, false);
+  this->directory.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Usable));
+  this->directory.OnLink(kFirst, false);
+  this->directory.OnLink(kSecond, false);
   EXPECT_EQ(this->Usable(), 1U);
 }
 
 TEST_F(TargetDirectoryTest, SilentTargetsAreUsedWithoutAlternatives)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Silent));
+  this->directory.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Silent));
   EXPECT_EQ(this->Usable(), 1U);
 }
 
 TEST_F(TargetDirectoryTest, PausedTargetIsUnusedWhileAnotherIsUsable)
 {
-  TargetStatement paused = Say("t", 5, TargetStanding::Usable);
+  TargetStatement paused = MakeUpdate("t", 5, TargetStanding::Usable);
   paused.paused = true;
-  this->board.Take(kFirst, paused);
-  this->board.Take(kFirst, Say("u", 5, TargetStanding::Usable));
+  this->directory.Take(kFirst, paused);
+  this->directory.Take(kFirst, MakeUpdate("u", 5, TargetStanding::Usable));
   ASSERT_EQ(this->Usable(), 1U);
-  EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("u"));
+  EXPECT_EQ(this->directory.Usable(kService).front().id, TargetId("u"));
 }
 
 TEST_F(TargetDirectoryTest, MarkRemovedHidesTheTarget)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetStanding::Usable));
-  this->board.MarkRemoved(TargetId("t"));
+  this->directory.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Usable));
+  this->directory.MarkRemoved(TargetId("t"));
   EXPECT_EQ(this->Usable(), 0U);
-  EXPECT_EQ(this->board.Find(TargetId("t")), nullptr);
+  EXPECT_EQ(this->directory.Find(TargetId("t")), nullptr);
 }
 
 TEST_F(TargetDirectoryTest, OldestRemovedTargetsAreForgotten)
 {
   for (std::size_t number = 0; number <= TargetDirectory::kMaxRemoved; ++number) {
     const std::string id = "t" + std::to_string(number);
-    this->board.Take(kFirst, Say(id, 1, TargetStanding::Usable));
-    this->board.MarkRemoved(TargetId(id));
+    this->directory.Take(kFirst, MakeUpdate(id, 1, TargetStanding::Usable));
+    this->directory.MarkRemoved(TargetId(id));
   }
-  // The oldest one is forgotten, the next one is not.
-  this->board.Take(kFirst, Say("t0", 2, TargetStanding::Usable));
-  this->board.Take(kFirst, Say("t1", 2, TargetStanding::Usable));
+  // Only the oldest removed target, t0, is forgotten and may return.
+  this->directory.Take(kFirst, MakeUpdate("t0", 2, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdate("t1", 2, TargetStanding::Usable));
   ASSERT_EQ(this->Usable(), 1U);
-  EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("t0"));
+  EXPECT_EQ(this->directory.Usable(kService).front().id, TargetId("t0"));
 }
 
 TEST_F(TargetDirectoryTest, OlderRecordDoesNotReplaceTheNewerOne)
 {
-  TargetStatement newer = Say("t", 5, TargetStanding::Usable);
+  TargetStatement newer = MakeUpdate("t", 5, TargetStanding::Usable);
   newer.record.load.slots = 7;
-  this->board.Take(kFirst, newer);
-  this->board.Take(kSecond, Say("t", 4, TargetStanding::Usable));
-  EXPECT_EQ(this->board.Find(TargetId("t"))->load.slots, 7U);
+  this->directory.Take(kFirst, newer);
+  this->directory.Take(kSecond, MakeUpdate("t", 4, TargetStanding::Usable));
+  EXPECT_EQ(this->directory.Find(TargetId("t"))->load.slots, 7U);
 }
 
 TargetStatement
-SayOf(std::uint64_t aStart, std::uint64_t aSequence, TargetStanding aStanding)
+MakeUpdateOf(std::uint64_t aIncarnation, std::uint64_t aSequence, TargetStanding aStanding)
 {
-  TargetStatement statement = Say("t", aSequence, aStanding);
-  statement.record.incarnation = Incarnation(aStart);
-  return statement;
+  TargetStatement update = MakeUpdate("t", aSequence, aStanding);
+  update.record.incarnation = Incarnation(aIncarnation);
+  return update;
 }
 
 TEST_F(TargetDirectoryTest, RestartedTargetIsUsableAfterLeaving)
 {
-  this->board.Take(kFirst, SayOf(1000, 50, TargetStanding::Leaving));
-  this->board.Take(kSecond, SayOf(2000, 1, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdateOf(1000, 50, TargetStanding::Leaving));
+  this->directory.Take(kSecond, MakeUpdateOf(2000, 1, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 1U);
-  ASSERT_EQ(this->board.TakeRestarted().size(), 1U);
-  EXPECT_TRUE(this->board.TakeRestarted().empty());
+  ASSERT_EQ(this->directory.TakeRestarted().size(), 1U);
+  EXPECT_TRUE(this->directory.TakeRestarted().empty());
 }
 
-TEST_F(TargetDirectoryTest, StatementsOfAnEarlierIncarnationAreIgnored)
+TEST_F(TargetDirectoryTest, UpdatesOfAnEarlierIncarnationAreIgnored)
 {
-  this->board.Take(kFirst, SayOf(2000, 1, TargetStanding::Usable));
-  this->board.Take(kSecond, SayOf(1000, 50, TargetStanding::Leaving));
+  this->directory.Take(kFirst, MakeUpdateOf(2000, 1, TargetStanding::Usable));
+  this->directory.Take(kSecond, MakeUpdateOf(1000, 50, TargetStanding::Leaving));
   EXPECT_EQ(this->Usable(), 1U);
-  EXPECT_EQ(this->board.Find(TargetId("t"))->sequence, Sequence(1));
-  EXPECT_TRUE(this->board.TakeRestarted().empty());
+  EXPECT_EQ(this->directory.Find(TargetId("t"))->sequence, Sequence(1));
+  EXPECT_TRUE(this->directory.TakeRestarted().empty());
 }
 
 TEST_F(TargetDirectoryTest, RemovedTargetReturnsWithItsNextIncarnation)
 {
-  this->board.Take(kFirst, SayOf(1000, 5, TargetStanding::Usable));
-  this->board.MarkRemoved(TargetId("t"));
-  this->board.Take(kFirst, SayOf(1000, 6, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdateOf(1000, 5, TargetStanding::Usable));
+  this->directory.MarkRemoved(TargetId("t"));
+  this->directory.Take(kFirst, MakeUpdateOf(1000, 6, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 0U);
-  this->board.Take(kFirst, SayOf(2000, 1, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdateOf(2000, 1, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 1U);
 }
 
 TEST_F(TargetDirectoryTest, DiscoveredTargetsAreReturnedOnce)
 {
-  this->board.Take(kFirst, Say("t", 1, TargetStanding::Usable));
-  this->board.Take(kSecond, Say("t", 2, TargetStanding::Usable));
-  this->board.Take(kFirst, Say("old", 1, TargetStanding::Silent));
-  const std::vector<TargetRecord> appeared = this->board.TakeDiscovered();
-  ASSERT_EQ(appeared.size(), 1U);
-  EXPECT_EQ(appeared[0].id, TargetId("t"));
-  EXPECT_TRUE(this->board.TakeDiscovered().empty());
+  this->directory.Take(kFirst, MakeUpdate("t", 1, TargetStanding::Usable));
+  this->directory.Take(kSecond, MakeUpdate("t", 2, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdate("old", 1, TargetStanding::Silent));
+  const std::vector<TargetRecord> discovered = this->directory.TakeDiscovered();
+  ASSERT_EQ(discovered.size(), 1U);
+  EXPECT_EQ(discovered[0].id, TargetId("t"));
+  EXPECT_TRUE(this->directory.TakeDiscovered().empty());
 }
 
 TEST_F(TargetDirectoryTest, ZoneIsMostlySilentAboveHalf)
 {
-  this->board.Take(kFirst, Say("a", 1, TargetStanding::Usable));
-  this->board.Take(kFirst, Say("b", 1, TargetStanding::Silent));
-  EXPECT_FALSE(this->board.IsMostlySilent(ZoneId()));
-  this->board.Take(kFirst, Say("c", 1, TargetStanding::Silent));
-  EXPECT_TRUE(this->board.IsMostlySilent(ZoneId()));
+  this->directory.Take(kFirst, MakeUpdate("a", 1, TargetStanding::Usable));
+  this->directory.Take(kFirst, MakeUpdate("b", 1, TargetStanding::Silent));
+  EXPECT_FALSE(this->directory.IsMostlySilent(ZoneId()));
+  this->directory.Take(kFirst, MakeUpdate("c", 1, TargetStanding::Silent));
+  EXPECT_TRUE(this->directory.IsMostlySilent(ZoneId()));
 }
 
-// Whatever was said before a start was first stated, and whatever is said late of earlier ones, the
-// board holds what is said of the newest start alone.
+// Updates may arrive late and in any order: the directory must depend only on those about the
+// newest incarnation of a target.
 RC_GTEST_PROP(TargetDirectoryProperty, EarlierIncarnationsLeaveNoTrace, ())
 {
-  struct Saying
+  struct Report
   {
-    unsigned start;
+    unsigned incarnation;
     unsigned sequence;
     unsigned standing;
     bool second;
   };
-  const auto saying = rc::gen::construct<Saying>(rc::gen::inRange(1U, 4U),
-                                                 rc::gen::inRange(1U, 6U),
-                                                 rc::gen::inRange(1U, 4U),
-                                                 rc::gen::arbitrary<bool>());
-  const auto sayings = *rc::gen::nonEmpty(rc::gen::container<std::vector<Saying>>(saying));
+  const auto anyReport = rc::gen::construct<Report>(rc::gen::inRange(1U, 4U),
+                                                    rc::gen::inRange(1U, 6U),
+                                                    rc::gen::inRange(1U, 4U),
+                                                    rc::gen::arbitrary<bool>());
+  const auto reports = *rc::gen::nonEmpty(rc::gen::container<std::vector<Report>>(anyReport));
   unsigned newest = 0;
-  for (const Saying& said : sayings) {
-    newest = std::max(newest, said.start);
+  for (const Report& report : reports) {
+    newest = std::max(newest, report.incarnation);
   }
   TargetDirectory all;
   TargetDirectory newestOnly;
-  for (TargetDirectory* board : { &all, &newestOnly }) {
-    board->OnLink(kFirst, true);
-    board->OnLink(kSecond, true);
+  for (TargetDirectory* directory : { &all, &newestOnly }) {
+    directory->OnLink(kFirst, true);
+    directory->OnLink(kSecond, true);
   }
-  for (const Saying& said : sayings) {
-    const HostId& host = said.second ? kSecond : kFirst;
-    const auto standing = static_cast<TargetStanding>(said.standing);
-    all.Take(host, SayOf(said.start, said.sequence, standing));
-    if (said.start == newest) {
-      newestOnly.Take(host, SayOf(said.start, said.sequence, standing));
+  for (const Report& report : reports) {
+    const HostId& host = report.second ? kSecond : kFirst;
+    const auto standing = static_cast<TargetStanding>(report.standing);
+    all.Take(host, MakeUpdateOf(report.incarnation, report.sequence, standing));
+    if (report.incarnation == newest) {
+      newestOnly.Take(host, MakeUpdateOf(report.incarnation, report.sequence, standing));
     }
   }
   RC_ASSERT(all.Usable(kService) == newestOnly.Usable(kService));
@@ -218,16 +218,16 @@
 
 TEST_F(TargetDirectoryTest, EvacuatedZoneIsUnusableEvenWithoutAlternatives)
 {
-  const ZoneId zone("hall");
-  TargetStatement statement = Say("t", 1, TargetStanding::Usable);
-  statement.record.zone = zone;
-  this->board.Take(kFirst, statement);
-  this->board.SetEvacuated({ zone });
+  const ZoneId zone("zone-1");
+  TargetStatement update = MakeUpdate("t", 1, TargetStanding::Usable);
+  update.record.zone = zone;
+  this->directory.Take(kFirst, update);
+  this->directory.SetEvacuated({ zone });
   EXPECT_EQ(this->Usable(), 0U);
-  EXPECT_EQ(this->board.InZone(zone).size(), 1U);
-  this->board.Take(kFirst, Say("u", 1, TargetStanding::Usable));
+  EXPECT_EQ(this->directory.InZone(zone).size(), 1U);
+  this->directory.Take(kFirst, MakeUpdate("u", 1, TargetStanding::Usable));
   EXPECT_EQ(this->Usable(), 1U);
-  this->board.SetEvacuated({});
+  this->directory.SetEvacuated({});
   EXPECT_EQ(this->Usable(), 2U);
 }
 
--- a/test/coordination/TargetHealthTest.cpp
+++ b/test/coordination/TargetHealthTest.cpp
@@ -23,7 +23,7 @@
     }
   }
 
-  bool IsFit(const char* aId) const
+  bool IsEligible(const char* aId) const
   {
     for (const TargetRecord& target : this->health.Filter(this->targets)) {
       if (target.id == TargetId(aId)) {
@@ -41,8 +41,8 @@
 TEST_F(TargetHealthTest, ConsecutiveFailuresEjectTheTarget)
 {
   this->Fail("a");
-  EXPECT_FALSE(this->IsFit("a"));
-  EXPECT_TRUE(this->IsFit("b"));
+  EXPECT_FALSE(this->IsEligible("a"));
+  EXPECT_TRUE(this->IsEligible("b"));
 }
 
 TEST_F(TargetHealthTest, SuccessResetsTheFailureCount)
@@ -50,18 +50,18 @@
   for (int index = 0; index < 10; ++index) {
     this->health.OnEnd(TargetId("a"), index % 2 == 0 ? HealthSignal::Bad : HealthSignal::Good);
   }
-  EXPECT_TRUE(this->IsFit("a"));
+  EXPECT_TRUE(this->IsEligible("a"));
 }
 
 TEST_F(TargetHealthTest, HalfOpenTargetGetsOneRequestAtATime)
 {
   this->Fail("a");
   this->clock.Advance(std::chrono::seconds(3));
-  EXPECT_TRUE(this->IsFit("a"));
+  EXPECT_TRUE(this->IsEligible("a"));
   this->health.OnStart(TargetId("a"));
-  EXPECT_FALSE(this->IsFit("a"));
+  EXPECT_FALSE(this->IsEligible("a"));
   this->health.OnEnd(TargetId("a"), HealthSignal::Good);
-  EXPECT_TRUE(this->IsFit("a"));
+  EXPECT_TRUE(this->IsEligible("a"));
 }
 
 TEST_F(TargetHealthTest, FailedProbeEjectsForLonger)
@@ -71,7 +71,7 @@
   this->health.OnStart(TargetId("a"));
   this->health.OnEnd(TargetId("a"), HealthSignal::Bad);
   this->clock.Advance(std::chrono::seconds(3));
-  EXPECT_FALSE(this->IsFit("a"));
+  EXPECT_FALSE(this->IsEligible("a"));
 }
 
 TEST_F(TargetHealthTest, FilterKeepsHalfOfThePoolWhenAllFail)
@@ -86,26 +86,26 @@
 {
   this->health.OnStart(TargetId("a"));
   this->health.OnEnd(TargetId("a"), HealthSignal::NotReached);
-  EXPECT_FALSE(this->IsFit("a"));
-  EXPECT_TRUE(this->IsFit("b"));
+  EXPECT_FALSE(this->IsEligible("a"));
+  EXPECT_TRUE(this->IsEligible("b"));
 }
 
 TEST_F(TargetHealthTest, TargetReportedUnreachableBySeveralHostsIsEjected)
 {
   const TargetId target("a");
   this->health.Take({ TargetFindings{ target, TargetHealth::kReportsToEject - 1, 0 } });
-  EXPECT_TRUE(this->IsFit("a"));
+  EXPECT_TRUE(this->IsEligible("a"));
   this->health.Take({ TargetFindings{ target, 1, 0 } });
-  EXPECT_FALSE(this->IsFit("a"));
+  EXPECT_FALSE(this->IsEligible("a"));
 }
 
-TEST_F(TargetHealthTest, FindingsThatAreFarApartDoNotAddUp)
+TEST_F(TargetHealthTest, ReportsOutsideTheWindowDoNotAddUp)
 {
   for (int time = 0; time < 10; ++time) {
     this->health.Take({ TargetFindings{ TargetId("a"), 1, 0 } });
     this->clock.Advance(TargetHealth::kReportWindow);
   }
-  EXPECT_TRUE(this->IsFit("a"));
+  EXPECT_TRUE(this->IsEligible("a"));
 }
 
 TEST_F(TargetHealthTest, OneReportEjectsAgainAfterAFailedProbe)
@@ -113,9 +113,9 @@
   const TargetId target("a");
   this->health.Take({ TargetFindings{ target, TargetHealth::kReportsToEject, 0 } });
   this->clock.Advance(TargetHealth::kFirstEjection + TargetHealth::kProbeSpread);
-  EXPECT_TRUE(this->IsFit("a"));
+  EXPECT_TRUE(this->IsEligible("a"));
   this->health.Take({ TargetFindings{ target, 1, 0 } });
-  EXPECT_FALSE(this->IsFit("a"));
+  EXPECT_FALSE(this->IsEligible("a"));
 }
 
 TEST_F(TargetHealthTest, RecoveryReportedByAnotherHostEndsTheEjection)
@@ -123,14 +123,14 @@
   const TargetId target("a");
   this->health.Take({ TargetFindings{ target, TargetHealth::kReportsToEject, 0 } });
   this->health.Take({ TargetFindings{ target, 0, 1 } });
-  EXPECT_TRUE(this->IsFit("a"));
+  EXPECT_TRUE(this->IsEligible("a"));
 }
 
 TEST_F(TargetHealthTest, RecoveryReportDoesNotEndAnEjectionForOwnFailures)
 {
   this->Fail("a");
   this->health.Take({ TargetFindings{ TargetId("a"), 0, 1 } });
-  EXPECT_FALSE(this->IsFit("a"));
+  EXPECT_FALSE(this->IsEligible("a"));
 }
 
 TEST_F(TargetHealthTest, UnreachableTargetIsReportedOncePerEjection)
--- a/test/coordination/TargetOrdersTest.cpp
+++ b/test/coordination/TargetOrdersTest.cpp
@@ -19,7 +19,7 @@
   return ServedModel{ ModelName("m"), WeightVersion(aVersion), {} };
 }
 
-// An engine that takes orders, loads for a while and reports what it serves.
+// An engine that accepts orders, loads for kLoad and then reports what it serves.
 struct FakeEngine
 {
   TargetRecord record;
@@ -34,13 +34,14 @@
       return OrderOutcome::Refused;
     }
     this->highest = aOrder.fencing;
-    this->loading = aOrder.wished;
+    this->loading = aOrder.desired;
     this->loadedAt = aNow + kLoad;
-    return OrderOutcome::Taken;
+    return OrderOutcome::Accepted;
   }
 };
 
-// Engines, and hosts that lead one after the other. An order may be held back and arrive later.
+// Engines, and hosts that lead one after the other. With `holdBack` orders are not delivered, so
+// that a test can deliver them later.
 class Fixture
 {
 public:
@@ -63,7 +64,7 @@
     this->NewLeader();
   }
 
-  // The next host begins with nothing but the replicated state.
+  // The new leader has only the replicated state.
   void NewLeader()
   {
     this->orders = std::make_unique<TargetOrders>(this->clock, this->limits, this->machine);
@@ -76,7 +77,7 @@
       this->Report(engine);
     }
     for (const OrderAction& action : this->orders->Plan(true, this->deployments, this->registry)) {
-      this->Carry(action);
+      this->Execute(action);
     }
   }
 
@@ -99,12 +100,12 @@
     this->registry.Merge(aEngine.record);
   }
 
-  void Carry(const OrderAction& aAction)
+  void Execute(const OrderAction& aAction)
   {
     const ApplyContext context{ ControlGroupId(), LogIndex(1),    Term(1),
                                 WallTime(),       Incarnation(1), WallTime() };
     if (const auto* issue = std::get_if<IssueFencing>(&aAction)) {
-      this->begun.push_back(this->clock.MonotonicNow());
+      this->issuedAt.push_back(this->clock.MonotonicNow());
       this->orders->OnFencingIssued(
         issue->target,
         UnpackFencing(this->machine.Apply(context, PackIssueFencing(issue->target))));
@@ -112,7 +113,7 @@
       this->Deliver(send->order);
     } else {
       const auto& stop = std::get<StopRollout>(aAction);
-      this->machine.Apply(context, PackStopRollout(stop.deployment, stop.wish, stop.reason));
+      this->machine.Apply(context, PackStopRollout(stop.deployment, stop.desiredHash, stop.reason));
     }
   }
 
@@ -155,7 +156,7 @@
   std::vector<FakeEngine> engines;
   std::unique_ptr<TargetOrders> orders;
   std::vector<TargetOrder> sent;
-  std::vector<MonotonicTime> begun;
+  std::vector<MonotonicTime> issuedAt;
   bool holdBack = false;
 };
 
@@ -165,7 +166,7 @@
   system.Run(std::chrono::seconds(30));
   EXPECT_EQ(system.CountAt("v2"), 4U);
   EXPECT_EQ(system.State(), "complete");
-  EXPECT_EQ(system.sent.size(), 4U) << "one order each";
+  EXPECT_EQ(system.sent.size(), 4U) << "one order for each engine";
 }
 
 TEST(TargetOrdersTest, KeepServingLimitsConcurrentLoads)
@@ -184,9 +185,9 @@
   Fixture system(4);
   system.deployments[kName].keepServing = 0;
   system.Run(std::chrono::seconds(30));
-  ASSERT_EQ(system.begun.size(), 4U);
-  for (std::size_t index = 1; index < system.begun.size(); ++index) {
-    EXPECT_GE(system.begun[index] - system.begun[index - 1],
+  ASSERT_EQ(system.issuedAt.size(), 4U);
+  for (std::size_t index = 1; index < system.issuedAt.size(); ++index) {
+    EXPECT_GE(system.issuedAt[index] - system.issuedAt[index - 1],
               system.deployments[kName].loadInterval);
   }
 }
@@ -201,7 +202,7 @@
   EXPECT_EQ(system.State(), "stopped");
   system.NewLeader();
   system.Run(std::chrono::minutes(1));
-  EXPECT_EQ(system.sent.size(), 2U) << "the next leader knows of the stop";
+  EXPECT_EQ(system.sent.size(), 2U) << "the stop is replicated";
   system.engines[1].failsLoads = false;
   system.deployments[kName].attempt = 1;
   system.Run(std::chrono::minutes(1));
@@ -214,7 +215,7 @@
   system.engines[1].failsLoads = true;
   system.Run(std::chrono::minutes(2));
   EXPECT_EQ(system.CountAt("v2"), 1U);
-  EXPECT_EQ(system.sent.size(), 3U) << "the first engine's order, and two of the one that fails";
+  EXPECT_EQ(system.sent.size(), 3U) << "one order of the first engine, two of the failing one";
   EXPECT_EQ(system.State(), "stopped");
 }
 
@@ -253,7 +254,7 @@
     ASSERT_TRUE(system.orders->Plan(false, system.deployments, system.registry).empty());
   }
   system.Run(std::chrono::seconds(5));
-  EXPECT_FALSE(system.sent.empty()) << "with the lease it is";
+  EXPECT_FALSE(system.sent.empty()) << "orders are given with the lease";
 }
 
 TEST(TargetOrdersTest, NewLeaderWaitsBeforeOrderingTargetsWithoutFencing)
@@ -261,9 +262,9 @@
   Fixture system(2, false);
   const Duration wait = system.limits.lease + system.limits.orderInFlight;
   system.Run(wait);
-  EXPECT_TRUE(system.begun.empty());
+  EXPECT_TRUE(system.issuedAt.empty());
   system.Run(kStep * 2);
-  EXPECT_FALSE(system.begun.empty());
+  EXPECT_FALSE(system.issuedAt.empty());
 }
 
 TEST(TargetOrdersTest, FencingTargetRefusesTheOrderOfAFormerLeader)
@@ -282,8 +283,10 @@
   EXPECT_EQ(system.engines[0].Take(late, system.clock.MonotonicNow()), OrderOutcome::Refused);
 }
 
-// A leader is frozen with an order in hand; it arrives at any later time at a target that does not
-// check fencing numbers. In the end every engine serves what is wished.
+// Guards against an engine that keeps the weights of a superseded order: a leader stops with an
+// order unsent, its successor rolls out another version, and the old order then arrives at any
+// time, also at targets that ignore fencing numbers. In the end every engine must serve the desired
+// version.
 RC_GTEST_PROP(TargetOrdersTest, LateOrderOfAFormerLeaderIsRepaired, ())
 {
   Fixture system(3, *rc::gen::arbitrary<bool>());
--- a/test/coordination/TargetRegistryTest.cpp
+++ b/test/coordination/TargetRegistryTest.cpp
@@ -65,7 +65,7 @@
   EXPECT_TRUE(registry.TakeUsabilityChanges().empty());
 }
 
-// The merged record is the same whatever the order of arrival.
+// The merged record does not depend on the order of arrival.
 RC_GTEST_PROP(TargetRegistryProperty, OrderOfArrivalDoesNotMatter, ())
 {
   using Ages = std::vector<std::pair<unsigned, unsigned>>;
@@ -83,8 +83,9 @@
   RC_ASSERT(forward.All() == backward.All());
 }
 
-// Targets that come, go, move and are forgotten in any order: an address has the one target that
-// announced itself from it last, as a look at all targets would tell.
+// Targets are announced, change their addresses and expire in any order. The index by address must
+// give the same result as a search of all targets: only the target that announced itself last from
+// an address is usable.
 RC_GTEST_PROP(TargetRegistryProperty, AddressBelongsToTheLastAnnouncedTarget, ())
 {
   constexpr unsigned kTargets = 4;
@@ -93,14 +94,14 @@
   const auto step =
     rc::gen::pair(rc::gen::inRange(0U, kTargets), rc::gen::inRange(1U, kAddresses + 1));
   const Steps steps = *rc::gen::nonEmpty(rc::gen::container<Steps>(step));
-  const bool pauses = *rc::gen::arbitrary<bool>();
+  const bool expires = *rc::gen::arbitrary<bool>();
   ManualClock clock;
   TargetRegistry registry(clock, kSilence);
   std::map<unsigned, unsigned> addressOf;
   std::map<unsigned, unsigned> lastAt;
   std::uint64_t sequence = 0;
   for (const auto& [target, address] : steps) {
-    if (pauses && sequence == steps.size() / 2) {
+    if (expires && sequence == steps.size() / 2) {
       clock.Advance(kSilence * 400);
       registry.Expire();
       addressOf.clear();
@@ -112,9 +113,8 @@
     registry.Merge(record);
     addressOf[target] = address;
     lastAt[address] = target;
-    for (const auto& [other, place] : addressOf) {
-      RC_ASSERT(registry.IsUsable(TargetId("t" + std::to_string(other))) ==
-                (lastAt[place] == other));
+    for (const auto& [other, at] : addressOf) {
+      RC_ASSERT(registry.IsUsable(TargetId("t" + std::to_string(other))) == (lastAt[at] == other));
     }
   }
 }
--- a/test/program/OrderSenderTest.cpp
+++ b/test/program/OrderSenderTest.cpp
@@ -38,7 +38,7 @@
     sender.Start();
     TargetOrder order;
     order.endpoint = this->server.Address();
-    order.wished = ServedModel{ ModelName("m"), WeightVersion("v"), {} };
+    order.desired = ServedModel{ ModelName("m"), WeightVersion("v"), {} };
     sender.Send(order);
     sent.WaitForNotification();
     return outcome;
@@ -54,7 +54,7 @@
 TEST_F(OrderSenderTest, SendsUnderTheLease)
 {
   this->lease.Set(true);
-  EXPECT_EQ(this->SendOne(), OrderOutcome::Taken);
+  EXPECT_EQ(this->SendOne(), OrderOutcome::Accepted);
   EXPECT_EQ(this->arrived.load(), 1);
 }
 
--- a/test/protocol/TargetsWireTest.cpp
+++ b/test/protocol/TargetsWireTest.cpp
@@ -18,7 +18,7 @@
   TargetKeepalive sign{ 1, 2, Sequence(3), {} };
   sign.load.runningRequests = 5;
   sign.load.queuedPrefill = TokenCount(1'000'000);
-  message.signs = { sign };
+  message.keepalives = { sign };
   EXPECT_EQ(DecodeTargetsMessage(EncodeTargetsMessage(message)).value(), message);
 }
 
