--- a/include/damasklink/coordination/EngineLatencyModel.h
+++ b/include/damasklink/coordination/EngineLatencyModel.h
@@ -1,17 +1,18 @@
-// How fast the engines of a model read prompts, learnt from the first events of this host's calls.
+// Estimates how fast the engines of a model process prompts, from the first events of this host's
+// calls.
 //
-//   EngineLatencyModel pace;
-//   pace.RecordPrefill(TokenCount(12'800), took);   // Nothing else waited there to be read.
-//   pace.RecordShortPrompt(took);                         // Hardly anything to read.
-//   pace.NoteRun(took);                           // From the sending of any prompt to its end.
-//   pace.MillisecondsPerToken();                              // Milliseconds to read one token.
-//   pace.BaseLatency();                             // Milliseconds of a first event beyond
-//   reading. pace.Run();                                   // Milliseconds for which a prompt has a
-//   slot.
+//   EngineLatencyModel model;
+//   model.RecordPrefill(TokenCount(12'800), took);  // Nothing else waited for prefill there.
+//   model.RecordShortPrompt(took);                  // Next to nothing to prefill.
+//   model.RecordRun(took);                          // A prompt held its slot for so long.
+//   model.MillisecondsPerToken();                   // Prefill time of one token.
+//   model.BaseLatency();                            // Time to the first event without prefill.
+//   model.RunTime();                                // Time for which a prompt holds a slot.
 //
-// The first two are medians of the last observations, so one observation in three may be garbage (a
-// prompt that was found kept after all, one that waited behind another host's). Before enough were
-// made, declared figures count. Not thread-safe.
+// All results are in milliseconds. Prefill time and base latency are medians of the last
+// observations, so up to one observation in three may be wrong (a prompt that was cached after all,
+// or that waited behind another host's). Until there are enough observations, default figures
+// apply. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -22,13 +23,13 @@
 
 namespace damasklink {
 
-// The median of the last observations.
+// The median of the last kWindowSize observations.
 class MovingMedian
 {
 public:
-  // Observations that count: at one long prompt a second and host, half a minute of them.
+  // At one long prompt a second and host, observations of half a minute.
   static constexpr std::size_t kWindowSize = 31;
-  // Below so many the median could be that of garbage.
+  // With fewer observations, most of them could be wrong.
   static constexpr std::size_t kMinObservations = 5;
 
   explicit MovingMedian(double aPrior)
@@ -38,7 +39,7 @@
 
   void Observe(double aValue);
 
-  // The prior before there are enough observations.
+  // Returns the median, or the prior until there are enough observations.
   double Value() const { return this->median; }
 
   std::size_t Count() const { return this->count; }
@@ -53,47 +54,50 @@
 class EngineLatencyModel
 {
 public:
-  // Milliseconds a token before anything was observed: between the fastest and the slowest engines
-  // that the users have declared (38 to 125 tokens a millisecond).
+  // Milliseconds a token before anything was observed: between the slowest and the fastest engines
+  // that users have declared (38 to 125 tokens a millisecond).
   static constexpr double kDefaultPerToken = 1.0 / 80;
-  // Milliseconds of a first event that waits for nothing, before any was observed.
+  // Milliseconds to the first event of a prompt that waits for nothing, before any was observed.
   static constexpr double kDefaultBaseLatency = 60;
-  // No engine reads a token in less or more milliseconds; observations beyond are cut to these.
+  // Bounds of the milliseconds a token that any engine takes; observations outside are clamped.
   static constexpr double kMinPerToken = 1.0 / 2000;
   static constexpr double kMaxPerToken = 1;
-  // A first event that is later than this says more of what held it up than of the engine.
+  // Upper bound in milliseconds; a later first event was delayed by something other than the
+  // engine.
   static constexpr double kMaxBaseLatency = 1000;
 
-  // Milliseconds for which a prompt has a slot, before any was observed; and the weight of a new
-  // observation in their mean: some hundred of them count, since prompts differ much.
+  // Milliseconds for which a prompt holds a slot, before any was observed; and the weight of a new
+  // observation in their exponential moving average. Prompts differ much, so about a hundred of
+  // them count.
   static constexpr double kDefaultRunTime = 400;
   static constexpr double kRunTimeWeight = 0.01;
 
-  // Takes how long a prompt's first event took of which the engine read so many tokens.
-  void RecordPrefill(TokenCount aRead, Duration aTook);
+  // Records the time to the first event of a prompt, and the number of tokens that the engine had
+  // to prefill.
+  void RecordPrefill(TokenCount aTokens, Duration aTook);
 
-  // Takes how long the first event of a prompt took of which the engine read next to nothing.
+  // Records the time to the first event of a prompt that needed next to no prefill.
   void RecordShortPrompt(Duration aTook);
 
-  // Takes how long a prompt had a slot of its engine.
-  void NoteRun(Duration aTook);
+  // Records how long a prompt held a slot of its engine.
+  void RecordRun(Duration aTook);
 
-  double MillisecondsPerToken() const { return this->perToken.Value(); }
-  double Run() const { return this->run; }
-  double BaseLatency() const { return this->firstStep.Value(); }
+  double MillisecondsPerToken() const { return this->perTokenMedian.Value(); }
+  double RunTime() const { return this->runTime; }
+  double BaseLatency() const { return this->baseLatencyMedian.Value(); }
 
-  // Milliseconds until the first event of a prompt of which the engine reads so many tokens, when
-  // nothing waits before it.
-  double Expected(TokenCount aToRead) const
+  // Returns the expected milliseconds to the first event of a prompt with so many tokens to
+  // prefill, when nothing waits before it.
+  double Expected(TokenCount aUncached) const
   {
     return this->BaseLatency() +
-           this->MillisecondsPerToken() * static_cast<double>(aToRead.Value());
+           this->MillisecondsPerToken() * static_cast<double>(aUncached.Value());
   }
 
 private:
-  MovingMedian perToken{ kDefaultPerToken };
-  MovingMedian firstStep{ kDefaultBaseLatency };
-  double run = kDefaultRunTime;
+  MovingMedian perTokenMedian{ kDefaultPerToken };
+  MovingMedian baseLatencyMedian{ kDefaultBaseLatency };
+  double runTime = kDefaultRunTime;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/TargetOrders.h
+++ b/include/damasklink/coordination/TargetOrders.h
@@ -146,8 +146,7 @@
                       const Deployment& aDeployment,
                       const TargetRegistry& aTargets,
                       std::vector<OrderAction>& aTo);
-  // Advances the open order of one target. Returns whether the target has an openOrders
-  // order.
+  // Advances the open order of one target. Returns whether the target has an open order.
   bool Advance(const TargetRecord& aRecord,
                const Deployment& aDeployment,
                const TargetRegistry& aTargets,
--- a/include/damasklink/coordination/TargetRegistry.h
+++ b/include/damasklink/coordination/TargetRegistry.h
@@ -18,8 +18,7 @@
 //
 // - A record replaces the stored one only when its (incarnation, sequence) is higher. `leaving`
 //   stays set for the rest of an incarnation.
-// - A target that has not been heard from for the silence limit is not usable. It is
-// remembered for
+// - A target that has not been heard from for the silence limit is not usable. It is remembered for
 //   a while longer, so that a late announcement of an older incarnation cannot bring it back.
 // - An address belongs to the target that announced itself from it last. A target that crashed does
 //   not sign off, and another one may start at its address.
--- a/include/damasklink/coordination/TargetSelector.h
+++ b/include/damasklink/coordination/TargetSelector.h
@@ -1,15 +1,15 @@
 // Chooses the target of a call in a serving deployment.
 //
-//   TargetSelector picker(health, reach, seed);
-//   const TargetRecord* target = picker.Choose(question, board.Usable(service));
-//   picker.OnSent(target->id, work);
-//   picker.OnFirstEvent(target->id, work);
-//   picker.OnEnd(target->id, work);
+//   TargetSelector selector(health, reach, seed);
+//   const TargetRecord* target = selector.Choose(request, directory.Usable(service));
+//   selector.OnSent(target->id, request, load);
+//   selector.OnFirstEvent(target->id, load);
+//   selector.OnEnd(target->id, load);
 //
-// The cost of a target is the time to its first event, as far as this host can tell: the prompt
-// tokens that this host and the others sent there and that are not read yet, those of this call
-// that it must read itself, the requests that it runs, and the wait for one of its slots. What
-// other hosts sent is known some hundred milliseconds late. Not thread-safe.
+// The cost of a target is the expected time to the first event, in milliseconds. It counts the
+// prompt tokens that all entry hosts have sent there and that wait for prefill, the tokens of this
+// call that are not cached there, the running requests, and the wait for a free slot. The load of
+// the other hosts is known some hundred milliseconds late. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -30,97 +30,102 @@
 
 namespace damasklink {
 
-// A store that holds a part.
+// A store that holds a part of a prompt.
 struct PartSource
 {
   ZoneId zone;
-  // Milliseconds to fetch the part within the store's zone, without waiting.
+  // Milliseconds to transfer the part within the store's zone, without queueing.
   double fetch = 0;
 };
 
-// What a choice is made for.
+// The call for which a target is chosen.
 struct SelectionRequest
 {
   // Availability zone of this host.
   ZoneId zone;
-  // Tokens that one target's memory holds; zero where that is not known.
+  // Tokens that fit into one target's memory; zero when this is not known.
   TokenCount cacheTokens;
-  // All prompt tokens of the call; zero for calls without a prompt.
+  // Prompt tokens in total; zero for calls without a prompt.
   TokenCount promptTokens;
-  // The parts that calls share, from the start of the prompt.
+  // The parts that this prompt shares with other calls, from its start.
   std::vector<SizedPart> parts;
-  // From where the parts can be fetched, by position; nothing for those that no store holds.
+  // For each of `parts` the store that has it; empty where no store has it.
   std::vector<std::optional<PartSource>> stored;
-  // The model, and the newest version of its weights; zero where that is not known.
+  // The model, and the newest version of its weights; zero when this is not known.
   ModelName model;
   std::uint64_t weights = 0;
-  // Targets with weights older than this are no choice any more while there is another one.
+  // Targets with older weights are excluded while there is a target with these or newer ones.
   std::uint64_t minWeights = 0;
-  // Targets that were tried already.
+  // Targets that have been tried already.
   std::set<TargetId> excluded;
-  // Targets that name a limit and may not be sent more by this host just now.
-  std::set<TargetId> limited;
-  // Compares all targets, and not only some of them.
+  // Targets with a rate limit of which this host has used up its share for now.
+  std::set<TargetId> rateLimited;
+  // Compares all targets instead of a sample.
   bool compareAll = false;
 };
 
-// Returns the version of a model's weights that the target has, 0 when it does not serve the model.
+// Returns the version of the model's weights that the target has, or 0 when it does not serve the
+// model.
 std::uint64_t
 WeightsOf(const TargetRecord& aTarget, const ModelName& aModel);
 
-// What one call adds to the load of its target.
+// The load that one call puts on its target.
 struct CallLoad
 {
-  // Prompt tokens that the target must read.
+  // Prompt tokens that the target must prefill.
   TokenCount uncachedTokens;
-  // Prompt and answer, which take up memory until the end.
+  // Tokens of prompt and answer, which occupy memory until the end of the call.
   TokenCount memory;
-  bool answering = false;
-  // Other prompts waited at the target to be read when it was sent.
+  // The first event has arrived, so the prefill is done.
+  bool firstEventSeen = false;
+  // Other prompts waited for prefill at the target when the call was sent.
   bool queuedBehindOthers = false;
-  // The start of the target that it was sent to.
-  Incarnation start;
+  // The incarnation of the target that the call was sent to.
+  Incarnation incarnation;
 };
 
-// The figures of the cost, in milliseconds, beside what EngineLatencyModel learns.
+// Coefficients of the cost, in milliseconds unless stated otherwise. EngineLatencyModel supplies
+// the figures that are learnt.
 struct SelectionCosts
 {
-  // What reading costs beyond its own time, in multiples of it: an engine reads one prompt after
-  // the other, so the calls that come meanwhile wait too. With less, a part is read a second time
-  // beside the engine that is reading it.
+  // Extra cost of prefill, as a multiple of its duration: an engine prefills one prompt after the
+  // other, so calls that arrive meanwhile wait too. With a lower figure, a part is computed a
+  // second time on another engine while the first one is still computing it.
   double prefillBlocking = 1;
-  // Each request that the target runs already: a step takes longer, and memory is shared.
+  // Each request that the target is running: its steps take longer, and memory is shared.
   double perRunningRequest = 2.5;
-  // Requests at which each weighs twice as much: queues grow faster than the load.
+  // Number of requests at which each of them costs twice as much: queues grow faster than load.
   double requestsToDouble = 10;
-  // How many times as long reading takes while other requests get their tokens in between.
+  // Factor by which prefill takes longer while the engine generates tokens of other requests in
+  // between.
   double prefillInterleaving = 1.4;
-  // Memory as large as the target's that is not there: about how long a request holds its own.
+  // Lack of memory as large as the target's whole memory: about as long as a request holds its own.
   double memoryOverflow = 1000;
-  // Memory of running requests may fill this share of a target before it costs anything; what is
-  // free above it keeps cached parts.
+  // Share of a target's memory that running requests may fill at no cost; the rest is left for
+  // cached parts.
   double freeMemoryShare = 0.5;
-  // A target whose memory would be full: requests wait there for others to end, or push them out.
+  // Cost when the memory would be full: requests then wait for others to end, or evict them.
   double memoryPressure = 400;
-  // A transfer between zones takes so many times as long as one within a zone.
+  // Factor of the transfer time between zones, compared with that within a zone.
   double crossZoneFetch = 2;
-  // A target whose weights are older than the newest: what begins there is worth less to the
-  // caller. About what reading a long prompt anew costs a target whose caches are empty after its
-  // load, so that the load decides between the two.
+  // A target whose weights are older than the newest: answers that begin there are worth less to
+  // the caller. About the time to prefill a long prompt on a target with empty caches, as after
+  // loading weights, so that the load decides between the two.
   double outdatedWeights = 70;
-  // A target is much fuller than another one for plain calls when it runs so many times as many and
-  // so many more: what chance alone makes of six slots in use is below that.
+  // For calls without a prompt, a target counts as overloaded when it runs more than
+  // imbalanceFactor times as many requests as another one plus imbalanceMargin. With six slots in
+  // use, random fluctuation stays below that.
   double imbalanceFactor = 1.5;
   double imbalanceMargin = 3;
-  // A target in another zone: the way, and bytes between zones that are paid for.
+  // A target in another zone: network delay, and traffic between zones that is paid for.
   double crossZone = 4;
 };
 
 class TargetSelector
 {
 public:
-  // A prompt of which so many tokens are to be read is told to the other hosts at once: short calls
-  // that they send behind it before they hear of it come late.
+  // From this number of uncached tokens on, a send is reported to the other hosts at once;
+  // otherwise short calls that they send behind it before they know of it would be late.
   static constexpr std::uint64_t kLongPrefill = 1000;
 
   TargetSelector(const TargetHealth& aHealth,
@@ -128,103 +133,112 @@
                  std::uint64_t aSeed,
                  SelectionCosts aCosts = SelectionCosts());
 
-  // Returns the target with the least cost among those that hold its shared parts, a few that are
-  // drawn at random, and a few of the host's own zone, null when there is none. Ejected targets are
-  // chosen only when more than half of the list is ejected: then the fault is likely elsewhere.
-  // Targets of zones that are out are chosen only when there are no others.
-  const TargetRecord* Choose(const SelectionRequest& aQuestion,
+  // Returns the target of least cost, or nullptr when there is none. It compares the targets that
+  // have the shared parts of the prompt, a random sample, and a sample of this host's zone.
+  //
+  // Ejected targets are considered only when more than half of the list is ejected, since the cause
+  // is then likely elsewhere. Targets of unreachable zones are considered only when there are no
+  // others.
+  const TargetRecord* Choose(const SelectionRequest& aRequest,
                              const std::vector<TargetRecord>& aTargets);
 
-  // Returns how long the call is expected to wait at the target before its own prompt is read: for
-  // what waits there to be read, for a slot, and for memory that is not there.
-  Duration ExpectedWait(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const;
+  // Returns how long the call is expected to wait at the target before its own prefill starts: for
+  // the prefill of earlier prompts, for a slot, and for memory.
+  Duration ExpectedWait(const SelectionRequest& aRequest, const TargetRecord& aTarget) const;
 
-  // Returns how long the call's first event is expected to take at the target, that wait included.
-  Duration ExpectedFirstEvent(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const;
+  // Returns the expected time to the call's first event at the target, including ExpectedWait().
+  Duration ExpectedFirstEvent(const SelectionRequest& aRequest, const TargetRecord& aTarget) const;
 
-  // Returns the share of the target's memory that requests would hold with this call, above 1 when
-  // some of them would have to wait for others to end; 0 where its memory is not known.
-  double MemoryShare(const SelectionRequest& aQuestion, const TargetId& aTarget) const;
+  // Returns the share of the target's memory that requests would occupy with this call; above 1
+  // some of them would have to wait for others to end. 0 when the memory is not known.
+  double MemoryShare(const SelectionRequest& aRequest, const TargetId& aTarget) const;
 
-  // Returns the prompt tokens of the call that the target would read itself.
-  TokenCount UncachedTokens(const SelectionRequest& aQuestion, const TargetId& aTarget) const;
+  // Returns the prompt tokens that the target would have to prefill itself.
+  TokenCount UncachedTokens(const SelectionRequest& aRequest, const TargetId& aTarget) const;
 
-  void OnSent(const TargetId& aTarget, const SelectionRequest& aQuestion, const CallLoad& aWork);
-  void OnFirstEvent(const TargetId& aTarget, CallLoad& aWork);
-  void OnEnd(const TargetId& aTarget, const CallLoad& aWork);
+  // Records that a call was sent, got its first event, or ended.
+  void OnSent(const TargetId& aTarget, const SelectionRequest& aRequest, const CallLoad& aLoad);
+  void OnFirstEvent(const TargetId& aTarget, CallLoad& aLoad);
+  void OnEnd(const TargetId& aTarget, const CallLoad& aLoad);
 
-  // The target has started again: it holds nothing, and what an earlier start of it ran is lost.
+  // Clears the cached parts and the load of a target that has restarted. Calls to its earlier
+  // incarnation no longer count.
   void OnRestart(const TargetRecord& aTarget);
 
-  // Returns whether a long prompt was sent since the last TakeSends(): the others should hear of it
-  // at once.
-  bool HasUrgentSends() const { return this->urgent; }
+  // Returns whether a long prompt was sent since the last TakeSends(), so that the others should be
+  // told at once.
+  bool HasUrgentSends() const { return this->hasUrgent; }
 
-  // Returns what this host has at the targets where that has changed since the last call, and the
-  // parts that it sent there; for the control host that adds it up.
+  // Returns this host's load at the targets where it has changed since the last call, with the
+  // parts sent there. It is sent to the control host that adds up the loads of entry hosts.
   std::vector<TargetSendsNow> TakeSends();
 
-  // The next TakeSends() returns all that this host has: it is for another control host.
-  void TellAllAnew();
+  // Makes the next TakeSends() return the load at all targets, for a new control host.
+  void ResendAll();
 
-  // Takes the totals that a control host made of what entry hosts have, this one among them. They
-  // count until the control host tells otherwise or is forgotten.
-  void TakeSum(const SendsNews& aNews, MonotonicTime aNow);
+  // Takes the sums that a control host computed over entry hosts, this one included. They apply
+  // until the control host sends others or is forgotten.
+  void ApplySum(const SendsNews& aNews, MonotonicTime aNow);
 
-  // Forgets control hosts that have told nothing since a time.
-  void ForgetSumsBefore(MonotonicTime aTime) { this->told.ForgetBefore(aTime); }
+  // Removes the sums of control hosts that have sent nothing since a time.
+  void RemoveSumsBefore(MonotonicTime aTime) { this->sums.ForgetBefore(aTime); }
 
-  // Returns what all hosts are believed to have at the target, this one among them.
+  // Returns the estimated load of all entry hosts at the target, this one included.
   SentLoad LoadOf(const TargetId& aTarget) const;
 
-  // Returns a target that is believed to hold the part, of those in the list; null when none is.
+  // Returns a target of the list, other than aFor, that is believed to have the part cached,
+  // preferably in the zone of aFor; nullptr when there is none. Ejected targets and unreachable
+  // zones are left out.
   const TargetRecord* FindHolder(const SizedPart& aPart,
                                  const std::vector<TargetRecord>& aTargets,
                                  const TargetRecord& aFor) const;
 
-  // How fast the engines of a model read.
+  // Returns the latency model of the engines of a model.
   const EngineLatencyModel& LatencyModelOf(const ModelName& aModel) const;
 
-  // Takes how long the first event of a call took after it was sent. Calls before which other
-  // prompts were read, as far as this host knows, say nothing of the engine and are passed over;
-  // returns whether this one counted.
+  // Records the time from sending a call to its first event in the latency model. aFetched tells
+  // that parts came from a store. Returns whether the call was used: calls behind which other
+  // prompts were prefilled, as far as this host knows, say nothing about the engine.
   bool RecordFirstEvent(const TargetId& aTarget,
-                        const SelectionRequest& aQuestion,
-                        const CallLoad& aWork,
+                        const SelectionRequest& aRequest,
+                        const CallLoad& aLoad,
                         bool aFetched,
                         Duration aTook);
 
-  // Takes how long a call of a model ran at its engine, from its sending to its end.
-  void NoteRun(const ModelName& aModel, Duration aTook) { this->paces[aModel].NoteRun(aTook); }
+  // Records the time from sending a call to its end at an engine of the model.
+  void RecordRun(const ModelName& aModel, Duration aTook)
+  {
+    this->latencyModels[aModel].RecordRun(aTook);
+  }
 
   HeldParts& Held() { return this->held; }
 
 private:
-  std::vector<const TargetRecord*> Candidates(const SelectionRequest& aQuestion,
-                                              const std::vector<const TargetRecord*>& aFit);
-  const TargetRecord* ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aFit);
-  bool IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aWork) const;
-  bool HoldsAllParts(const SelectionRequest& aQuestion, const TargetId& aTarget) const;
-  double CostOf(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const;
-  double QueueDelay(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const;
+  std::vector<const TargetRecord*> Candidates(const SelectionRequest& aRequest,
+                                              const std::vector<const TargetRecord*>& aEligible);
+  const TargetRecord* ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aEligible);
+  bool IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aLoad) const;
+  bool HoldsAllParts(const SelectionRequest& aRequest, const TargetId& aTarget) const;
+  double CostOf(const SelectionRequest& aRequest, const TargetRecord& aTarget) const;
+  double QueueDelay(const SelectionRequest& aRequest, const TargetRecord& aTarget) const;
 
   const TargetHealth& health;
   const ZoneReach& reach;
   SelectionCosts costs;
   std::minstd_rand random;
   HeldParts held;
-  absl::flat_hash_map<ModelName, EngineLatencyModel> paces;
-  // What this host has at targets.
-  absl::flat_hash_map<TargetId, SentLoad> loads;
-  // Targets that have started again under their ids, with their newest starts.
-  absl::flat_hash_map<TargetId, Incarnation> starts;
-  // What this host has changed since TakeSends(), with the parts sent.
-  std::map<TargetId, std::vector<SizedPart>> untold;
-  bool urgent = false;
-  // What this host told of itself; the sums that come back contain it.
+  absl::flat_hash_map<ModelName, EngineLatencyModel> latencyModels;
+  // The load of this host.
+  absl::flat_hash_map<TargetId, SentLoad> ownLoads;
+  // The newest incarnations of the targets that have restarted.
+  absl::flat_hash_map<TargetId, Incarnation> incarnations;
+  // Targets whose load has changed since TakeSends(), with the parts sent there.
+  std::map<TargetId, std::vector<SizedPart>> unreportedParts;
+  bool hasUrgent = false;
+  // The load that this host has reported; the sums of control hosts include it.
   absl::flat_hash_map<TargetId, SentLoad> ownReported;
-  // Sums by control host.
-  SendsSum told;
+  // The sums of all control hosts.
+  SendsSum sums;
 };
 
 } // namespace damasklink
--- a/src/coordination/EngineLatencyModel.cpp
+++ b/src/coordination/EngineLatencyModel.cpp
@@ -30,26 +30,26 @@
 }
 
 void
-EngineLatencyModel::RecordPrefill(TokenCount aRead, Duration aTook)
+EngineLatencyModel::RecordPrefill(TokenCount aTokens, Duration aTook)
 {
-  if (aRead == TokenCount()) {
+  if (aTokens == TokenCount()) {
     return;
   }
-  const double reading = Milliseconds(aTook) - this->BaseLatency();
-  const double perRead = reading / static_cast<double>(aRead.Value());
-  this->perToken.Observe(std::clamp(perRead, kMinPerToken, kMaxPerToken));
+  const double prefill = Milliseconds(aTook) - this->BaseLatency();
+  const double perToken = prefill / static_cast<double>(aTokens.Value());
+  this->perTokenMedian.Observe(std::clamp(perToken, kMinPerToken, kMaxPerToken));
 }
 
 void
 EngineLatencyModel::RecordShortPrompt(Duration aTook)
 {
-  this->firstStep.Observe(std::clamp(Milliseconds(aTook), 0.0, kMaxBaseLatency));
+  this->baseLatencyMedian.Observe(std::clamp(Milliseconds(aTook), 0.0, kMaxBaseLatency));
 }
 
 void
-EngineLatencyModel::NoteRun(Duration aTook)
+EngineLatencyModel::RecordRun(Duration aTook)
 {
-  this->run += kRunTimeWeight * (Milliseconds(aTook) - this->run);
+  this->runTime += kRunTimeWeight * (Milliseconds(aTook) - this->runTime);
 }
 
 } // namespace damasklink
--- a/src/coordination/TargetSelector.cpp
+++ b/src/coordination/TargetSelector.cpp
@@ -6,17 +6,18 @@
 namespace damasklink {
 namespace {
 
-// Targets whose costs differ by less than this are equal: hosts that know the same would otherwise
-// all choose the same one.
+// Targets whose costs differ by less than this count as equal; otherwise all hosts with the same
+// information would choose the same target.
 constexpr double kTieMilliseconds = 0.5;
 
-// Targets that are compared, drawn at random, beside those that hold all shared parts of the
-// prompt. What hosts know of each other is some hundred milliseconds old: if each compared all
-// targets, all of them would choose the same one until they heard of it.
+// Number of random targets that are compared beside those that have all shared parts of the prompt.
+// Hosts learn of each other's sends some hundred milliseconds late: if each compared all targets,
+// all would choose the same one until then.
 constexpr std::size_t kSampleSize = 4;
 
-// Beside these as many of the host's own availability zone, of which among hundreds hardly any is
-// drawn otherwise: bytes between zones are paid for, and a zone that is about as full is as good.
+// Number of targets of this host's zone that are compared in addition; a random sample of hundreds
+// contains hardly any. Traffic between zones is paid for, so an equally loaded target of the own
+// zone is the better choice.
 constexpr std::size_t kSameZoneSampleSize = 4;
 
 Duration
@@ -50,42 +51,43 @@
 }
 
 const TargetRecord*
-TargetSelector::Choose(const SelectionRequest& aQuestion, const std::vector<TargetRecord>& aTargets)
+TargetSelector::Choose(const SelectionRequest& aRequest, const std::vector<TargetRecord>& aTargets)
 {
-  std::vector<const TargetRecord*> fit;
+  std::vector<const TargetRecord*> eligible;
   std::vector<const TargetRecord*> ejected;
-  std::vector<const TargetRecord*> outOfReach;
+  std::vector<const TargetRecord*> inUnreachableZone;
   const auto isNewEnough = [&](const TargetRecord& aTarget) {
-    return WeightsOf(aTarget, aQuestion.model) >= aQuestion.minWeights;
+    return WeightsOf(aTarget, aRequest.model) >= aRequest.minWeights;
   };
-  const bool mayChoose = std::any_of(aTargets.begin(), aTargets.end(), isNewEnough);
+  const bool anyNewEnough = std::any_of(aTargets.begin(), aTargets.end(), isNewEnough);
   for (const TargetRecord& target : aTargets) {
-    const bool tooOld = mayChoose && !isNewEnough(target);
-    if (tooOld || aQuestion.excluded.contains(target.id) || aQuestion.limited.contains(target.id)) {
+    const bool tooOld = anyNewEnough && !isNewEnough(target);
+    if (tooOld || aRequest.excluded.contains(target.id) ||
+        aRequest.rateLimited.contains(target.id)) {
       continue;
     }
     if (this->reach.IsOut(target.zone)) {
-      outOfReach.push_back(&target);
+      inUnreachableZone.push_back(&target);
     } else {
-      (this->health.IsOut(target.id) ? ejected : fit).push_back(&target);
+      (this->health.IsEjected(target.id) ? ejected : eligible).push_back(&target);
     }
   }
-  if (fit.size() < ejected.size()) {
-    fit.insert(fit.end(), ejected.begin(), ejected.end());
+  if (eligible.size() < ejected.size()) {
+    eligible.insert(eligible.end(), ejected.begin(), ejected.end());
   }
-  if (fit.empty()) {
-    fit = std::move(outOfReach);
+  if (eligible.empty()) {
+    eligible = std::move(inUnreachableZone);
   }
-  if (fit.empty()) {
+  if (eligible.empty()) {
     return nullptr;
   }
-  if (aQuestion.promptTokens == TokenCount()) {
-    return this->ChooseWithoutPrompt(fit);
+  if (aRequest.promptTokens == TokenCount()) {
+    return this->ChooseWithoutPrompt(eligible);
   }
   const TargetRecord* best = nullptr;
   double least = 0;
-  for (const TargetRecord* target : this->Candidates(aQuestion, fit)) {
-    const double cost = this->CostOf(aQuestion, *target);
+  for (const TargetRecord* target : this->Candidates(aRequest, eligible)) {
+    const double cost = this->CostOf(aRequest, *target);
     if (best == nullptr || cost + kTieMilliseconds < least) {
       best = target;
       least = cost;
@@ -94,43 +96,43 @@
   return best;
 }
 
-// Returns the targets that are compared for a prompt; the first one is chosen among equals, so each
-// drawing begins at random.
+// Returns the targets to compare for a prompt. Among equals the first one is chosen, so each sample
+// starts at a random position.
 std::vector<const TargetRecord*>
-TargetSelector::Candidates(const SelectionRequest& aQuestion,
-                           const std::vector<const TargetRecord*>& aFit)
+TargetSelector::Candidates(const SelectionRequest& aRequest,
+                           const std::vector<const TargetRecord*>& aEligible)
 {
   std::vector<const TargetRecord*> candidates;
-  const std::size_t start = this->random() % aFit.size();
-  for (std::size_t step = 0; step < aFit.size(); ++step) {
-    const TargetRecord* target = aFit[(start + step) % aFit.size()];
-    if (aQuestion.compareAll || step < kSampleSize || this->HoldsAllParts(aQuestion, target->id)) {
+  const std::size_t start = this->random() % aEligible.size();
+  for (std::size_t step = 0; step < aEligible.size(); ++step) {
+    const TargetRecord* target = aEligible[(start + step) % aEligible.size()];
+    if (aRequest.compareAll || step < kSampleSize || this->HoldsAllParts(aRequest, target->id)) {
       candidates.push_back(target);
     }
   }
-  if (aQuestion.compareAll) {
+  if (aRequest.compareAll) {
     return candidates;
   }
-  const std::size_t nearStart = this->random() % aFit.size();
-  std::size_t near = 0;
-  for (std::size_t step = 0; step < aFit.size() && near < kSameZoneSampleSize; ++step) {
-    const TargetRecord* target = aFit[(nearStart + step) % aFit.size()];
-    if (target->zone == aQuestion.zone) {
+  const std::size_t sameZoneStart = this->random() % aEligible.size();
+  std::size_t sameZone = 0;
+  for (std::size_t step = 0; step < aEligible.size() && sameZone < kSameZoneSampleSize; ++step) {
+    const TargetRecord* target = aEligible[(sameZoneStart + step) % aEligible.size()];
+    if (target->zone == aRequest.zone) {
       candidates.push_back(target);
-      ++near;
+      ++sameZone;
     }
   }
   return candidates;
 }
 
-// Calls without a prompt last some tens of milliseconds, less than what hosts know of each other is
-// old: were the least loaded target chosen, all hosts would choose it until they heard of each
-// other. So chance decides, unless the target is much fuller than another one drawn at random.
+// Calls without a prompt take some tens of milliseconds, less than the delay with which hosts learn
+// of each other's sends: if each host chose the least loaded target, all would choose the same one.
+// The choice is therefore random, unless the target is much more loaded than a second random one.
 const TargetRecord*
-TargetSelector::ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aFit)
+TargetSelector::ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aEligible)
 {
-  const TargetRecord* first = aFit[this->random() % aFit.size()];
-  const TargetRecord* other = aFit[this->random() % aFit.size()];
+  const TargetRecord* first = aEligible[this->random() % aEligible.size()];
+  const TargetRecord* other = aEligible[this->random() % aEligible.size()];
   const auto load = [this](const TargetRecord* aTarget) {
     return static_cast<double>(this->LoadOf(aTarget->id).requests);
   };
@@ -139,121 +141,125 @@
   return muchFuller ? other : first;
 }
 
-// The first parts of many prompts are the same and held everywhere; the last shared one tells.
+// Tests for all parts: the first parts of many prompts are the same and cached on all targets, so
+// only the last shared one distinguishes them.
 bool
-TargetSelector::HoldsAllParts(const SelectionRequest& aQuestion, const TargetId& aTarget) const
+TargetSelector::HoldsAllParts(const SelectionRequest& aRequest, const TargetId& aTarget) const
 {
-  const std::size_t count = aQuestion.parts.size();
-  return count > 0 && this->held.LeadingHeld(aTarget, aQuestion.parts) == count;
+  const std::size_t count = aRequest.parts.size();
+  return count > 0 && this->held.LeadingHeld(aTarget, aRequest.parts) == count;
 }
 
 TokenCount
-TargetSelector::UncachedTokens(const SelectionRequest& aQuestion, const TargetId& aTarget) const
+TargetSelector::UncachedTokens(const SelectionRequest& aRequest, const TargetId& aTarget) const
 {
-  std::size_t covered = this->held.LeadingHeld(aTarget, aQuestion.parts);
-  while (covered < aQuestion.stored.size() && aQuestion.stored[covered]) {
+  std::size_t covered = this->held.LeadingHeld(aTarget, aRequest.parts);
+  while (covered < aRequest.stored.size() && aRequest.stored[covered]) {
     ++covered;
   }
   std::uint64_t saved = 0;
-  for (std::size_t index = 0; index < covered && index < aQuestion.parts.size(); ++index) {
-    saved += aQuestion.parts[index].tokens.Value();
+  for (std::size_t index = 0; index < covered && index < aRequest.parts.size(); ++index) {
+    saved += aRequest.parts[index].tokens.Value();
   }
-  const std::uint64_t all = aQuestion.promptTokens.Value();
+  const std::uint64_t all = aRequest.promptTokens.Value();
   return TokenCount(all - std::min(all, saved));
 }
 
-// This host's own load, and that of the others: the sums less what this host told of itself.
+// This host's own load plus that of the others: the sums of control hosts less what this host has
+// reported to them.
 SentLoad
 TargetSelector::LoadOf(const TargetId& aTarget) const
 {
-  SentLoad all = this->told.Of(aTarget);
+  SentLoad all = this->sums.Of(aTarget);
   if (const auto own = this->ownReported.find(aTarget); own != this->ownReported.end()) {
     all -= own->second;
   }
-  if (const auto own = this->loads.find(aTarget); own != this->loads.end()) {
+  if (const auto own = this->ownLoads.find(aTarget); own != this->ownLoads.end()) {
     all += own->second;
   }
   return all;
 }
 
 Duration
-TargetSelector::ExpectedFirstEvent(const SelectionRequest& aQuestion,
+TargetSelector::ExpectedFirstEvent(const SelectionRequest& aRequest,
                                    const TargetRecord& aTarget) const
 {
-  const EngineLatencyModel& pace = this->LatencyModelOf(aQuestion.model);
+  const EngineLatencyModel& model = this->LatencyModelOf(aRequest.model);
   const auto uncachedTokens =
-    static_cast<double>(this->UncachedTokens(aQuestion, aTarget.id).Value());
-  const double own = pace.BaseLatency() +
-                     pace.MillisecondsPerToken() * this->costs.prefillInterleaving * uncachedTokens;
-  return this->ExpectedWait(aQuestion, aTarget) + Milliseconds(own);
+    static_cast<double>(this->UncachedTokens(aRequest, aTarget.id).Value());
+  const double own = model.BaseLatency() + model.MillisecondsPerToken() *
+                                             this->costs.prefillInterleaving * uncachedTokens;
+  return this->ExpectedWait(aRequest, aTarget) + Milliseconds(own);
 }
 
 Duration
-TargetSelector::ExpectedWait(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const
+TargetSelector::ExpectedWait(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
 {
-  double milliseconds = this->costs.prefillInterleaving * this->QueueDelay(aQuestion, aTarget);
-  const double used = this->MemoryShare(aQuestion, aTarget.id);
+  double milliseconds = this->costs.prefillInterleaving * this->QueueDelay(aRequest, aTarget);
+  const double used = this->MemoryShare(aRequest, aTarget.id);
   milliseconds += this->costs.memoryOverflow * std::max(used - 1, 0.0);
   return Milliseconds(milliseconds);
 }
 
-// Returns the milliseconds until what waits at the target has been read and one of its slots is
-// free. Those that wait for a slot are not read yet, so the longer of the two contains the other.
+// Returns the milliseconds until the prefill queue of the target is empty and one of its slots is
+// free. Requests that wait for a slot have not been prefilled either, so the longer of the two
+// times includes the other.
 double
-TargetSelector::QueueDelay(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const
+TargetSelector::QueueDelay(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
 {
-  const EngineLatencyModel& pace = this->LatencyModelOf(aQuestion.model);
+  const EngineLatencyModel& model = this->LatencyModelOf(aRequest.model);
   const SentLoad load = this->LoadOf(aTarget.id);
-  const double reading = pace.MillisecondsPerToken() * static_cast<double>(load.unread);
+  const double prefill = model.MillisecondsPerToken() * static_cast<double>(load.unread);
   const std::uint64_t slots = aTarget.load.slots;
   if (slots == 0 || load.requests < slots) {
-    return reading;
+    return prefill;
   }
   const auto ahead = static_cast<double>(load.requests - slots + 1);
-  return std::max(reading, pace.Run() * ahead / static_cast<double>(slots));
+  return std::max(prefill, model.RunTime() * ahead / static_cast<double>(slots));
 }
 
 double
-TargetSelector::MemoryShare(const SelectionRequest& aQuestion, const TargetId& aTarget) const
+TargetSelector::MemoryShare(const SelectionRequest& aRequest, const TargetId& aTarget) const
 {
-  if (aQuestion.cacheTokens == TokenCount()) {
+  if (aRequest.cacheTokens == TokenCount()) {
     return 0;
   }
-  const std::uint64_t tokens = aQuestion.promptTokens.Value() + this->LoadOf(aTarget).memory;
-  return static_cast<double>(tokens) / static_cast<double>(aQuestion.cacheTokens.Value());
+  const std::uint64_t tokens = aRequest.promptTokens.Value() + this->LoadOf(aTarget).memory;
+  return static_cast<double>(tokens) / static_cast<double>(aRequest.cacheTokens.Value());
 }
 
 double
-TargetSelector::CostOf(const SelectionRequest& aQuestion, const TargetRecord& aTarget) const
+TargetSelector::CostOf(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
 {
-  double cost = aTarget.zone == aQuestion.zone ? 0 : this->costs.crossZone;
+  double cost = aTarget.zone == aRequest.zone ? 0 : this->costs.crossZone;
   const SentLoad load = this->LoadOf(aTarget.id);
   const auto requests = static_cast<double>(load.requests);
-  const double perToken = this->LatencyModelOf(aQuestion.model).MillisecondsPerToken();
-  const double perOwnToken = perToken * (1 + this->costs.prefillBlocking);
-  cost += this->QueueDelay(aQuestion, aTarget);
+  const double perToken = this->LatencyModelOf(aRequest.model).MillisecondsPerToken();
+  const double costPerUncachedToken = perToken * (1 + this->costs.prefillBlocking);
+  cost += this->QueueDelay(aRequest, aTarget);
   cost += this->costs.perRunningRequest * requests * (1 + requests / this->costs.requestsToDouble);
-  if (aQuestion.cacheTokens > TokenCount()) {
-    const double used = this->MemoryShare(aQuestion, aTarget.id);
+  if (aRequest.cacheTokens > TokenCount()) {
+    const double used = this->MemoryShare(aRequest, aTarget.id);
     const double over = std::max(used - this->costs.freeMemoryShare, 0.0);
     cost += this->costs.memoryPressure * over / (1 - this->costs.freeMemoryShare);
   }
-  if (aQuestion.promptTokens == TokenCount()) {
+  if (aRequest.promptTokens == TokenCount()) {
     return cost;
   }
-  if (aQuestion.weights > 0 && WeightsOf(aTarget, aQuestion.model) < aQuestion.weights) {
-    // Its shared parts are in its cache or in a store, made by its own version.
+  if (aRequest.weights > 0 && WeightsOf(aTarget, aRequest.model) < aRequest.weights) {
+    // The shared parts need no prefill: they are in the target's cache or in a store, computed with
+    // its own version of the weights.
     std::uint64_t shared = 0;
-    for (const SizedPart& part : aQuestion.parts) {
+    for (const SizedPart& part : aRequest.parts) {
       shared += part.tokens.Value();
     }
-    const std::uint64_t all = aQuestion.promptTokens.Value();
+    const std::uint64_t all = aRequest.promptTokens.Value();
     const auto own = static_cast<double>(all - std::min(all, shared));
-    return cost + this->costs.outdatedWeights + perOwnToken * own;
+    return cost + this->costs.outdatedWeights + costPerUncachedToken * own;
   }
-  const std::size_t leading = this->held.LeadingHeld(aTarget.id, aQuestion.parts);
-  for (std::size_t index = leading; index < aQuestion.stored.size(); ++index) {
-    const std::optional<PartSource>& source = aQuestion.stored[index];
+  const std::size_t leading = this->held.LeadingHeld(aTarget.id, aRequest.parts);
+  for (std::size_t index = leading; index < aRequest.stored.size(); ++index) {
+    const std::optional<PartSource>& source = aRequest.stored[index];
     if (!source) {
       break;
     }
@@ -261,27 +267,27 @@
     cost += source->fetch * (sameZone ? 1 : this->costs.crossZoneFetch);
   }
   const auto uncachedTokens =
-    static_cast<double>(this->UncachedTokens(aQuestion, aTarget.id).Value());
-  return cost + perOwnToken * uncachedTokens;
+    static_cast<double>(this->UncachedTokens(aRequest, aTarget.id).Value());
+  return cost + costPerUncachedToken * uncachedTokens;
 }
 
 void
 TargetSelector::OnSent(const TargetId& aTarget,
-                       const SelectionRequest& aQuestion,
-                       const CallLoad& aWork)
+                       const SelectionRequest& aRequest,
+                       const CallLoad& aLoad)
 {
-  SentLoad& load = this->loads[aTarget];
+  SentLoad& load = this->ownLoads[aTarget];
   ++load.requests;
-  load.unread += aWork.uncachedTokens.Value();
-  load.memory += aWork.memory.Value();
-  this->urgent = this->urgent || aWork.uncachedTokens.Value() >= kLongPrefill;
-  std::vector<SizedPart>& parts = this->untold[aTarget];
-  if (aQuestion.cacheTokens > TokenCount()) {
-    this->held.SetCapacity(aQuestion.cacheTokens);
+  load.unread += aLoad.uncachedTokens.Value();
+  load.memory += aLoad.memory.Value();
+  this->hasUrgent = this->hasUrgent || aLoad.uncachedTokens.Value() >= kLongPrefill;
+  std::vector<SizedPart>& parts = this->unreportedParts[aTarget];
+  if (aRequest.cacheTokens > TokenCount()) {
+    this->held.SetCapacity(aRequest.cacheTokens);
   }
-  if (!aQuestion.parts.empty()) {
-    this->held.OnRead(aTarget, aQuestion.parts);
-    parts.insert(parts.end(), aQuestion.parts.begin(), aQuestion.parts.end());
+  if (!aRequest.parts.empty()) {
+    this->held.OnRead(aTarget, aRequest.parts);
+    parts.insert(parts.end(), aRequest.parts.begin(), aRequest.parts.end());
   }
 }
 
@@ -289,10 +295,10 @@
 TargetSelector::TakeSends()
 {
   std::vector<TargetSendsNow> sends;
-  this->urgent = false;
-  for (auto& [target, parts] : std::exchange(this->untold, {})) {
-    const auto found = this->loads.find(target);
-    const SentLoad load = found == this->loads.end() ? SentLoad() : found->second;
+  this->hasUrgent = false;
+  for (auto& [target, parts] : std::exchange(this->unreportedParts, {})) {
+    const auto found = this->ownLoads.find(target);
+    const SentLoad load = found == this->ownLoads.end() ? SentLoad() : found->second;
     if (load.IsEmpty()) {
       this->ownReported.erase(target);
     } else {
@@ -304,18 +310,18 @@
 }
 
 void
-TargetSelector::TellAllAnew()
+TargetSelector::ResendAll()
 {
   this->ownReported.clear();
-  for (const auto& [target, load] : this->loads) {
-    this->untold.try_emplace(target);
+  for (const auto& [target, load] : this->ownLoads) {
+    this->unreportedParts.try_emplace(target);
   }
 }
 
 void
-TargetSelector::TakeSum(const SendsNews& aNews, MonotonicTime aNow)
+TargetSelector::ApplySum(const SendsNews& aNews, MonotonicTime aNow)
 {
-  this->told.Take(aNews, aNow);
+  this->sums.Take(aNews, aNow);
   for (const TargetSendsNow& sends : aNews.sends) {
     if (!sends.parts.empty()) {
       this->held.OnRead(sends.target, sends.parts);
@@ -330,7 +336,7 @@
 {
   const TargetRecord* found = nullptr;
   for (const TargetRecord& target : aTargets) {
-    const bool holds = target.id != aFor.id && !this->health.IsOut(target.id) &&
+    const bool holds = target.id != aFor.id && !this->health.IsEjected(target.id) &&
                        !this->reach.IsOut(target.zone) && this->held.Holds(target.id, aPart.key);
     if (holds && (found == nullptr || target.zone == aFor.zone)) {
       found = &target;
@@ -342,78 +348,78 @@
 void
 TargetSelector::OnRestart(const TargetRecord& aTarget)
 {
-  this->starts[aTarget.id] = aTarget.incarnation;
+  this->incarnations[aTarget.id] = aTarget.incarnation;
   this->held.Forget(aTarget.id);
-  this->loads.erase(aTarget.id);
-  // Empty now, which the others must hear.
-  this->untold[aTarget.id].clear();
+  this->ownLoads.erase(aTarget.id);
+  // The load is empty now, which must be reported.
+  this->unreportedParts[aTarget.id].clear();
 }
 
 bool
-TargetSelector::IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aWork) const
+TargetSelector::IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aLoad) const
 {
-  const auto found = this->starts.find(aTarget);
-  return found != this->starts.end() && aWork.start < found->second;
+  const auto found = this->incarnations.find(aTarget);
+  return found != this->incarnations.end() && aLoad.incarnation < found->second;
 }
 
 const EngineLatencyModel&
 TargetSelector::LatencyModelOf(const ModelName& aModel) const
 {
-  static const EngineLatencyModel kUnknown;
-  const auto found = this->paces.find(aModel);
-  return found == this->paces.end() ? kUnknown : found->second;
+  static const EngineLatencyModel kDefault;
+  const auto found = this->latencyModels.find(aModel);
+  return found == this->latencyModels.end() ? kDefault : found->second;
 }
 
 bool
 TargetSelector::RecordFirstEvent(const TargetId& aTarget,
-                                 const SelectionRequest& aQuestion,
-                                 const CallLoad& aWork,
+                                 const SelectionRequest& aRequest,
+                                 const CallLoad& aLoad,
                                  bool aFetched,
                                  Duration aTook)
 {
-  const std::uint64_t own = aWork.uncachedTokens.Value();
+  const std::uint64_t own = aLoad.uncachedTokens.Value();
   const std::uint64_t unread = this->LoadOf(aTarget).unread;
-  const bool othersRead = aWork.queuedBehindOthers || unread >= own + kLongPrefill;
-  if (othersRead) {
+  const bool waitedForOthers = aLoad.queuedBehindOthers || unread >= own + kLongPrefill;
+  if (waitedForOthers) {
     return false;
   }
-  EngineLatencyModel& pace = this->paces[aQuestion.model];
+  EngineLatencyModel& model = this->latencyModels[aRequest.model];
   if (own < kLongPrefill) {
-    pace.RecordShortPrompt(aTook);
+    model.RecordShortPrompt(aTook);
   } else if (!aFetched) {
-    pace.RecordPrefill(aWork.uncachedTokens, aTook);
+    model.RecordPrefill(aLoad.uncachedTokens, aTook);
   }
   return true;
 }
 
 void
-TargetSelector::OnFirstEvent(const TargetId& aTarget, CallLoad& aWork)
+TargetSelector::OnFirstEvent(const TargetId& aTarget, CallLoad& aLoad)
 {
-  if (!aWork.answering && !this->IsOfEarlierIncarnation(aTarget, aWork)) {
-    aWork.answering = true;
-    SentLoad& load = this->loads[aTarget];
-    load.unread -= std::min(load.unread, aWork.uncachedTokens.Value());
-    this->untold.try_emplace(aTarget);
+  if (!aLoad.firstEventSeen && !this->IsOfEarlierIncarnation(aTarget, aLoad)) {
+    aLoad.firstEventSeen = true;
+    SentLoad& load = this->ownLoads[aTarget];
+    load.unread -= std::min(load.unread, aLoad.uncachedTokens.Value());
+    this->unreportedParts.try_emplace(aTarget);
   }
 }
 
 void
-TargetSelector::OnEnd(const TargetId& aTarget, const CallLoad& aWork)
+TargetSelector::OnEnd(const TargetId& aTarget, const CallLoad& aLoad)
 {
-  const auto found = this->loads.find(aTarget);
-  if (found == this->loads.end() || this->IsOfEarlierIncarnation(aTarget, aWork)) {
+  const auto found = this->ownLoads.find(aTarget);
+  if (found == this->ownLoads.end() || this->IsOfEarlierIncarnation(aTarget, aLoad)) {
     return;
   }
   SentLoad& load = found->second;
   load.requests -= std::min<std::uint64_t>(load.requests, 1);
-  load.memory -= std::min(load.memory, aWork.memory.Value());
-  if (!aWork.answering) {
-    load.unread -= std::min(load.unread, aWork.uncachedTokens.Value());
+  load.memory -= std::min(load.memory, aLoad.memory.Value());
+  if (!aLoad.firstEventSeen) {
+    load.unread -= std::min(load.unread, aLoad.uncachedTokens.Value());
   }
   if (load.requests == 0) {
-    this->loads.erase(found);
+    this->ownLoads.erase(found);
   }
-  this->untold.try_emplace(aTarget);
+  this->unreportedParts.try_emplace(aTarget);
 }
 
 } // namespace damasklink
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -369,15 +369,15 @@
       .With("hub", chosen.value_or(HostId()))
       .With("before", before.value_or(HostId()));
     this->picture.ListenForStores(chosen);
-    this->picker.TellAllAnew();
+    this->picker.ResendAll();
     this->crashes.TellAllAnew();
     this->limits.TellAllAnew();
     // The totals of the next hub contain all that those of the former did.
-    this->picker.ForgetSumsBefore(this->clock.MonotonicNow());
+    this->picker.RemoveSumsBefore(this->clock.MonotonicNow());
   }
   this->TellWhatChanged(changed);
   this->configuration.Step();
-  this->picker.ForgetSumsBefore(this->clock.MonotonicNow() - SendsSum::kMemory);
+  this->picker.RemoveSumsBefore(this->clock.MonotonicNow() - SendsSum::kMemory);
   this->sharing.expires_after(kShareStep);
   this->sharing.async_wait([this](const IoError& aError) {
     if (!aError) {
@@ -477,7 +477,7 @@
   if (const auto* news = std::get_if<SendsNews>(&message.value())) {
     // The totals of two control hosts speak of the same calls.
     if (this->hub.Hub() == aPeer) {
-      this->picker.TakeSum(*news, this->clock.MonotonicNow());
+      this->picker.ApplySum(*news, this->clock.MonotonicNow());
       this->TakeLimits(*news);
     }
     this->pace.Take(news->excesses);
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -198,7 +198,7 @@
   this->work.uncachedTokens = this->context.picker.UncachedTokens(this->question, aTarget.id);
   this->work.memory =
     TokenCount(this->call.promptTokens.Value() + this->call.mostAnswerTokens.Value());
-  this->work.start = aTarget.incarnation;
+  this->work.incarnation = aTarget.incarnation;
   this->work.queuedBehindOthers =
     this->context.picker.LoadOf(aTarget.id).unread >= TargetSelector::kLongPrefill;
   this->context.picker.OnSent(aTarget.id, this->question, this->work);
@@ -436,7 +436,7 @@
   if (this->overloaded) {
     return this->context.returns.Join();
   }
-  if (this->question.limited.empty()) {
+  if (this->question.rateLimited.empty()) {
     return kComeBackAfter;
   }
   return std::max(kComeBackAfter,
--- a/src/program/ExchangeChoice.cpp
+++ b/src/program/ExchangeChoice.cpp
@@ -127,13 +127,13 @@
 void
 Exchange::FindLimited()
 {
-  this->question.limited.clear();
+  this->question.rateLimited.clear();
   if (this->context.limits.IsEmpty()) {
     return;
   }
   for (const TargetRecord& target : this->Targets()) {
     if (!this->context.limits.MaySend(target.id)) {
-      this->question.limited.insert(target.id);
+      this->question.rateLimited.insert(target.id);
     }
   }
 }
@@ -289,7 +289,7 @@
 void
 Exchange::NoteFirstEvent(const TargetRecord& aTarget)
 {
-  if (this->work.answering || this->question.promptTokens == TokenCount()) {
+  if (this->work.firstEventSeen || this->question.promptTokens == TokenCount()) {
     return;
   }
   TargetSelector& picker = this->context.picker;
@@ -323,7 +323,7 @@
 void
 Exchange::NoteRun()
 {
-  if (!this->work.answering) {
+  if (!this->work.firstEventSeen) {
     return;
   }
   TargetSelector& picker = this->context.picker;
@@ -331,7 +331,7 @@
     picker.LatencyModelOf(this->question.model).Expected(this->work.uncachedTokens);
   const Duration answering = this->context.clock.MonotonicNow() - this->firstEventAt;
   const auto read = std::chrono::duration<double, std::milli>(reading);
-  picker.NoteRun(this->question.model, answering + std::chrono::duration_cast<Duration>(read));
+  picker.RecordRun(this->question.model, answering + std::chrono::duration_cast<Duration>(read));
 }
 
 } // namespace damasklink
