--- a/include/damasklink/coordination/AttemptRecovery.h
+++ b/include/damasklink/coordination/AttemptRecovery.h
@@ -1,4 +1,4 @@
-// What to do with a prompt whose attempt was lost.
+// Decides how a request continues after an attempt was lost.
 #pragma once
 
 #include <cstdint>
@@ -11,38 +11,39 @@
 
 enum class RecoveryStep
 {
-  Repeat,   // Run it from the start on another target.
-  Resume,   // Ask the same target for the rest, under the same attempt.
-  Continue, // Let another target of the same weight version go on behind what was delivered.
-  GiveUp,   // Tell the caller now.
+  Repeat,   // Run the request from the start on another target.
+  Resume,   // Request the rest from the same target, under the same attempt.
+  Continue, // Continue after the delivered tokens on another target with the same weight version.
+  GiveUp,   // Return the failure to the caller.
 };
 
-// A request at the moment when an attempt of it was lost.
+// The state of a request when one of its attempts was lost.
 struct LostAttempt
 {
   ErrorKind kind = ErrorKind::Interrupted;
-  // Of the whole request (DispatchRecord::Outcome()).
+  // Outcome of the whole request (DispatchRecord::Outcome()).
   RunOutcome outcome = RunOutcome::NotRun;
-  // Tokens of the answer that are in hand.
+  // Tokens of the answer received so far.
   std::uint64_t tokens = 0;
-  // Tokens that were in hand when the lost attempt, or its resumption, began.
+  // Tokens received before the lost attempt, or its resumption, began.
   std::uint64_t tokensBefore = 0;
-  // Targets and resumptions tried so far.
+  // Attempts and resumptions so far.
   std::uint64_t tries = 0;
   // Whether the lost try was itself a resumption.
   bool resumed = false;
-  // Whether all text in hand is held, so that another target can go on behind it.
+  // Whether the text received so far is available in full, which another target needs to continue
+  // it.
   bool held = true;
-  // Whether running the prompt twice does no harm: it carries no idempotency key.
+  // Whether running the prompt twice is harmless, because it has no idempotency key.
   bool repeatable = true;
   Duration timeLeft{ 0 };
 };
 
-// Tries in all, resumptions included.
+// Limit of attempts and resumptions together.
 constexpr std::uint64_t kMaxTries = 6;
 
-// Decides the next step. A run whose answer has begun is never started over; one that may have run
-// and is not repeatable is never run again.
+// Decides the next step. A request whose answer has begun is never started over. One that may have
+// run and is not repeatable is never run again.
 RecoveryStep
 DecideRecoveryStep(const LostAttempt& aLost);
 
--- a/include/damasklink/coordination/CostRouter.h
+++ b/include/damasklink/coordination/CostRouter.h
@@ -1,4 +1,4 @@
-// Routing by the least expected cost: time to first token, work computed again, link use.
+// Routing by the least expected cost: time to first token, recomputation and use of links.
 #pragma once
 
 #include <deque>
@@ -12,7 +12,7 @@
 
 namespace damasklink {
 
-// What a host sent to one target since it last told its peers.
+// What a host has sent to one target since it last reported this to its peers.
 struct TargetSendsDelta
 {
   TargetId target;
@@ -26,17 +26,18 @@
 {
   // Rate of targets that declare none, in prompt tokens a second.
   double defaultPrefillRate = 8000;
-  // How old a report is when it arrives.
+  // The age of a load report when it arrives.
   Duration reportLag = std::chrono::milliseconds(150);
-  // First tokens seen at a target before its learnt rate replaces the declared one.
+  // Number of first tokens from a target after which its learnt rate replaces the declared one.
   std::uint64_t minRateSamples = 8;
-  // Targets whose costs differ by no more than this share of the first token's time, and as many
-  // seconds, count as equal.
+  // Targets count as equal when their costs differ by no more than this share of the time to first
+  // token plus this many seconds.
   double tieShare = 0.25;
   double tieSeconds = 0.004;
-  // Blocks believed of each target at most.
+  // Limits the blocks that are remembered for each target.
   std::uint64_t maxBlocksPerTarget = 20'000;
-  // Each switch turns one idea of the policy off, for the bench that measures what it is worth.
+  // Each switch turns off one mechanism of the policy, so that the benchmark can measure its
+  // effect.
   bool countOwnSends = true;
   bool countPeerSends = true;
   bool learnRates = true;
@@ -45,24 +46,28 @@
   bool useStores = true;
 };
 
-// Sends a prompt where its expected cost is least. For each target that may serve it:
+// Sends a prompt to the target with the least expected cost. For each eligible target:
 //
-//   first token = wait + prefill of what the target must compute, or
+//   first token = wait + prefill of the blocks that are not cached, or
 //                 max(wait, import at the link's free share) + prefill of the rest
 //   cost        = objective.time * first token [s] + objective.recompute * prefill [1,000 tokens]
 //                 + objective.link * import [MiB]
 //
-// The wait is the reported load, which lags, corrected by what was sent since by this host and its
-// peers. Rates are the declared ones until enough first tokens were seen, then learnt. Among
-// targets that cost the same the prompt's own name chooses: hosts that see the same reports send
-// different prompts to different targets, and the same prompt to the same one. A prefix in demand
-// thus spreads as soon as waiting at its holder costs more than computing it elsewhere, and one
-// that is not stays where it is.
+// The wait is computed from the reported load, which lags, corrected by what this host and its
+// peers have sent since. Prefill rates are the declared ones until enough first tokens were
+// measured, then learnt ones.
+//
+// Among targets of equal cost a hash of the prompt decides: hosts that see the same reports send
+// different prompts to different targets, and the same prompt to the same target. A prefix that is
+// used often is therefore copied to another target as soon as waiting at its holder costs more than
+// computing it there; one that is used rarely stays where it is.
 //
 //   CostRouter router(clock, CostRouterOptions());
 //   auto decision = router.Choose(request, targets);
 //   router.OnSent(request, decision.value());
-//   for (const TargetSendsDelta& sends : router.TakeSends()) ...   // For the peers, every tick.
+//   for (const TargetSendsDelta& sends : router.TakeSends()) ...   // Reported to peers every tick.
+//
+// Not thread-safe, like every Router.
 class CostRouter final : public Router
 {
 public:
@@ -77,23 +82,23 @@
                     TokenCount aReused) override;
   void OnDone(const RouteRequest& aRequest, const RouteDecision& aDecision, bool aWhole) override;
 
-  // Returns what this host sent since the last call.
+  // Returns what this host has sent since the last call.
   std::vector<TargetSendsDelta> TakeSends();
 
-  // Takes what a peer sent since it last told.
+  // Takes what a peer has sent since its previous report.
   void OnPeerSends(const std::vector<TargetSendsDelta>& aSends);
 
-  // Where cache events go.
+  // Returns the model of the targets' caches, which takes cache events.
   PrefixView& Caches() { return this->caches; }
 
-  // Returns the prefill rate that decisions use for the target, in tokens a second; 0 when the
-  // target is not known.
+  // Returns the prefill rate that decisions use for the target, in tokens a second, or 0 when the
+  // target is unknown.
   double PrefillRate(const TargetId& aTarget) const;
 
 private:
   using StateIndex = std::uint32_t;
 
-  // One batch of work sent to a target.
+  // Work that was sent to a target in one message.
   struct Send
   {
     MonotonicTime at;
@@ -101,11 +106,12 @@
     double prefill = 0;
   };
 
+  // What the policy knows about a target; rates in tokens a second.
   struct TargetState
   {
     TargetId id;
-    // Well-spread number of the id.
-    std::uint64_t spread = 0;
+    // Hash of the id, equal on all hosts.
+    std::uint64_t idHash = 0;
     PrefixView::Index cache = 0;
     Incarnation incarnation;
     Sequence sequence;
@@ -113,21 +119,21 @@
     double declaredRate = 0;
     double learntRate = 0;
     std::uint64_t learntFrom = 0;
-    // When the load was as reported, as far as can be told.
+    // Estimated time at which the load was as reported.
     MonotonicTime loadAt;
-    // Sent after that, by this host and its peers.
+    // Sent after loadAt by this host and its peers, and the sums.
     std::deque<Send> sends;
     double sentPrefill = 0;
     std::uint64_t sentRequests = 0;
-    // Sent by this host and still without a first token.
+    // Sent by this host and still without a first token, in tokens.
     double ownPrefill = 0;
-    // Sent by this host since it last told its peers.
-    TargetSendsDelta untold;
-    // Seconds between a first token and the end of the request.
+    // Sent by this host since the last TakeSends().
+    TargetSendsDelta unreported;
+    // Average time from the first token to the end of a request.
     double decodeSeconds = 0;
   };
 
-  // What sending a request to a target is expected to cost.
+  // The expected cost of sending a request to a target; times in seconds, prefill in tokens.
   struct Estimate
   {
     double cost = 0;
@@ -135,6 +141,7 @@
     double wait = 0;
     double prefill = 0;
     std::uint64_t held = 0;
+    // The prefix to import; null for none.
     const StoredPrefix* from = nullptr;
   };
 
@@ -146,7 +153,7 @@
     Estimate estimate;
   };
 
-  // A request that was sent and is not over.
+  // A request in flight.
   struct Outstanding
   {
     TargetId target;
@@ -157,10 +164,13 @@
     MonotonicTime answeredAt;
   };
 
+  // Returns the state of a target, updated from its record.
   TargetState& StateOf(std::size_t aPosition, const TargetRecord& aTarget);
   void TakeReport(TargetState& aState, const TargetRecord& aTarget);
   void DropRemoved(const std::vector<TargetRecord>& aTargets);
+  // Returns the expected seconds until the target starts the prefill of a new prompt.
   double Wait(const TargetState& aState) const;
+  // Returns the expected seconds until one of the target's slots is free.
   double SlotWait(const TargetState& aState) const;
   double RateOf(const TargetState& aState) const;
   Estimate EstimateFor(const RouteRequest& aRequest,
@@ -168,7 +178,7 @@
                        const WeightVersion& aVersion) const;
   void FindCandidates(const RouteRequest& aRequest, const std::vector<TargetRecord>& aTargets);
   const Candidate* Best(const RouteRequest& aRequest) const;
-  void Answered(Outstanding& aSent, TargetState* aState);
+  void MarkAnswered(Outstanding& aSent, TargetState* aState);
   void LearnRate(TargetState& aState, const Outstanding& aSent, Duration aElapsed) const;
   void AddSend(TargetState& aState, const Send& aSend);
   TargetState* Find(const TargetId& aTarget);
@@ -179,7 +189,7 @@
   PrefixView caches;
   std::vector<TargetState> states;
   absl::flat_hash_map<TargetId, StateIndex> indexes;
-  // The state of each position in the list of targets, which seldom changes.
+  // The index of the state for each position in the list of targets, which seldom changes.
   std::vector<StateIndex> positions;
   EligibilityCache eligibility;
   std::vector<Candidate> candidates;
--- a/include/damasklink/coordination/ExchangeRetryPolicy.h
+++ b/include/damasklink/coordination/ExchangeRetryPolicy.h
@@ -1,14 +1,14 @@
-// What is done with a call after each of its attempts. Without I/O.
+// Decides what to do with a call after each of its attempts. Performs no I/O.
 //
-//   ExchangeRetryPolicy plan(terms);
-//   plan.Begin(attempt, target);
-//   plan.Sending();                                  // Before the first byte leaves.
-//   switch (plan.After(AttemptResult::Refused, clock.MonotonicNow(), budget)) {
+//   ExchangeRetryPolicy policy(limits);
+//   policy.Begin(attempt, target);
+//   policy.Sending();                                  // Before the first byte leaves.
+//   switch (policy.After(AttemptResult::Refused, clock.MonotonicNow(), budget)) {
 //     case ExchangeStep::TryAnother: ...
 //
-// At most once: a call that may not be repeated goes to a second target only when the first said
-// that it did not run it, or when no byte can have left. A failure that says "not run" is given
-// only when the dispatch record says so.
+// At most once: a call that is not repeatable is sent to a second target only when the first one
+// stated that it did not run it, or when no byte can have left. A failure that says "not run" is
+// returned only when the dispatch record proves it. Not thread-safe.
 #pragma once
 
 #include "damasklink/coordination/DispatchRecord.h"
@@ -20,84 +20,87 @@
 // What the route and the caller allow.
 struct ExchangeLimits
 {
-  // May run more than once, or go on elsewhere where it is a stream.
+  // The call may run more than once, or, for a stream, continue on another target.
   bool repeatable = false;
-  // Targets that the call may be sent to in all.
+  // Number of targets that the call may be sent to.
   std::uint64_t mostTargets = 1;
-  // The route's timeout or the caller's patience, whichever ends first.
+  // The route's timeout or the caller's deadline, whichever is earlier.
   MonotonicTime endsAt;
 };
 
 // How an attempt ended.
 enum class AttemptResult
 {
-  Delivered,   // The caller has the whole answer.
-  Unreachable, // No connection: nothing left this host.
-  Refused,     // The target promised that it did not run the call.
-  Failed,      // The target answered that it failed; it may have run.
-  Broken,      // No whole answer came.
-  Expired,     // The time was over.
+  Delivered,   // The caller has the complete answer.
+  Unreachable, // No connection, so nothing left this host.
+  Refused,     // The target stated that it did not run the call.
+  Failed,      // The target answered with a failure; the call may have run.
+  Broken,      // No complete answer came.
+  Expired,     // The time limit was reached.
   CallerLeft,
 };
 
+// Returns the name used in logs.
 std::string_view
-AttemptResultName(AttemptResult aEnd);
+AttemptResultName(AttemptResult aResult);
 
-// What to do next.
+// The next step of the exchange.
 enum class ExchangeStep
 {
   Done,
   TryAnother,
-  PassOn, // Give the caller the target's own failure.
-  Refuse, // Not run: the caller may come again.
-  Fail,   // May have run.
-  Expire, // The time is over; may have run.
-  CutOff, // The caller has a part of the answer: close, so that it does not look whole.
+  PassOn, // Return the target's own failure to the caller.
+  Refuse, // Not run; the caller may retry.
+  Fail,   // Failed; the call may have run.
+  Expire, // The time limit was reached; the call may have run.
+  CutOff, // Close the connection: the caller has part of the answer, which must not look complete.
 };
 
+// Returns the name used in logs.
 std::string_view
 ExchangeStepName(ExchangeStep aStep);
 
 class ExchangeRetryPolicy
 {
 public:
-  // Attempts that may end without a connection before the call is refused: each costs up to the
-  // time to connect, and a fifth of the targets seldom fails together with the first four.
+  // Attempts without a connection before the call is refused. Each takes up to the connect timeout,
+  // and when a fifth of the targets is unreachable, four in a row seldom are.
   static constexpr std::uint64_t kMaxUnreachable = 4;
-  // With less time left another attempt cannot end in time.
+  // With less time left, another attempt cannot finish.
   static constexpr Duration kMinTimeLeft = std::chrono::milliseconds(30);
 
-  explicit ExchangeRetryPolicy(ExchangeLimits aTerms)
-    : terms(aTerms)
+  explicit ExchangeRetryPolicy(ExchangeLimits aLimits)
+    : limits(aLimits)
   {
   }
 
+  // Starts an attempt.
   void Begin(AttemptId aAttempt, TargetId aTarget);
 
-  // Requires to be called before the first byte of the attempt leaves.
+  // Must be called before the first byte of the attempt leaves.
   void Sending();
 
-  // Tells that a part of the answer went to the caller.
+  // Tells that part of the answer has been passed on to the caller.
   void NotePassedOn() { this->passedOn = true; }
 
-  // Ends the attempt and returns what to do. Takes a retry out of the budget when it says
-  // TryAnother and the attempt before may have arrived.
-  ExchangeStep After(AttemptResult aEnd, MonotonicTime aNow, RetryBudget& aBudget);
+  // Ends the attempt and returns the next step. TryAnother takes a retry from the budget, unless no
+  // earlier attempt can have reached a target.
+  ExchangeStep After(AttemptResult aResult, MonotonicTime aNow, RetryBudget& aBudget);
 
-  // Returns what to do when no target is left to be tried.
+  // Returns the next step when there is no target left to try.
   ExchangeStep WithoutTarget() const;
 
   bool PassedOn() const { return this->passedOn; }
   std::uint64_t Sent() const { return this->sent; }
   const DispatchRecord& Record() const { return this->record; }
-  const ExchangeLimits& Terms() const { return this->terms; }
+  const ExchangeLimits& Limits() const { return this->limits; }
 
 private:
-  bool MayTryAnother(AttemptResult aEnd, MonotonicTime aNow) const;
-  ExchangeStep GiveUp(AttemptResult aEnd) const;
+  bool MayTryAnother(AttemptResult aResult, MonotonicTime aNow) const;
+  ExchangeStep GiveUp(AttemptResult aResult) const;
   bool CertainlyNotRun() const;
 
-  ExchangeLimits terms;
+  ExchangeLimits limits;
   DispatchRecord record;
   std::uint64_t sent = 0;
   std::uint64_t unreachable = 0;
--- a/include/damasklink/coordination/Router.h
+++ b/include/damasklink/coordination/Router.h
@@ -1,4 +1,4 @@
-// The choice of a target for a prompt, as an interface that policies implement.
+// The interface of routing policies, which choose a target for each prompt.
 #pragma once
 
 #include <map>
@@ -11,21 +11,21 @@
 
 namespace damasklink {
 
-// A prefix of the prompt that a store keeps.
+// A prefix of the prompt that a store has.
 struct StoredPrefix
 {
   StoreId store;
-  // Whole blocks from the start of the prompt.
+  // Complete blocks from the start of the prompt.
   std::uint64_t blocks = 0;
   TokenCount tokens;
   ByteCount bytes;
-  // What the store's link has left over for this import.
+  // Free bandwidth of the store's link for this import.
   double freeBytesPerSecond = 0;
-  // Whether the store's owner knows the prompt as one that goes on with an earlier one.
+  // Whether the store's owner recognized the prompt as the continuation of an earlier one.
   bool returning = false;
 };
 
-// What a policy may know of a prompt.
+// The information about a prompt that a policy may use.
 struct RouteRequest
 {
   WorkspaceId workspace;
@@ -36,19 +36,21 @@
   std::vector<ModelGrant> grants;
   ObjectiveWeights objective;
   TokenCount promptTokens;
-  // Names of the prompt's whole blocks, from its start (BlockNames.h).
+  // Names of the prompt's complete blocks, from its start (BlockNames.h).
   std::vector<Digest> blocks;
-  // The version that the names are rooted in; they mean nothing to a target of another one.
+  // The version of weights that the names are derived from; targets with another version cannot use
+  // the blocks.
   WeightVersion blocksVersion;
-  // Stores that keep a prefix, as the look-up found them.
+  // Stores that have a prefix, as found by the lookup.
   std::vector<StoredPrefix> stored;
-  // Targets that this request has tried already.
+  // Targets that have been tried for this request already.
   std::vector<TargetId> excluded;
-  // Where a run goes on, it needs a target that decodes; a new one needs one that prefills.
+  // The request continues an answer that has begun, so it needs a target that decodes; a new one
+  // needs a target that prefills.
   bool continuation = false;
 };
 
-// Where a prompt goes and what is expected of it.
+// The chosen target and what is expected of it.
 struct RouteDecision
 {
   TargetId target;
@@ -59,40 +61,44 @@
   TokenCount expectedPrefill;
   // Store to import from before the prompt is sent; empty for none.
   StoreId importFrom;
-  // The import brings the blocks from the first that the target is not believed to hold up to here.
+  // The import covers the blocks from the first that the target is not expected to have up to this
+  // number.
   std::uint64_t importBlocks = 0;
-  // Leading blocks that the target is believed to hold.
+  // Leading blocks that the target is expected to have cached.
   std::uint64_t heldBlocks = 0;
-  // The policy's own mark, by which it knows the decision again.
+  // Identifies the decision to the policy that made it.
   std::uint64_t ticket = 0;
 };
 
-// Chooses targets and learns from what came of it. Not thread-safe: its owner holds the lock.
+// Chooses targets and learns from the results. Not thread-safe: the caller must synchronize.
 class Router
 {
 public:
   virtual ~Router() = default;
 
-  // Returns a target that serves the model in a granted version, or Unavailable.
+  // Returns a target that serves the model in a granted version. Fails with Unavailable when there
+  // is none.
   virtual Result<RouteDecision> Choose(const RouteRequest& aRequest,
                                        const std::vector<TargetRecord>& aTargets) = 0;
 
   // Tells that the request was sent as decided.
   virtual void OnSent(const RouteRequest& aRequest, const RouteDecision& aDecision) = 0;
 
-  // Tells that the first token came after aElapsed, with aReused prompt tokens not computed again.
+  // Tells that the first token came after aElapsed, and that aReused prompt tokens were not
+  // recomputed.
   virtual void OnFirstToken(const RouteRequest& aRequest,
                             const RouteDecision& aDecision,
                             Duration aElapsed,
                             TokenCount aReused) = 0;
 
-  // Tells that the request is over, whole or not.
+  // Tells that the request has ended; aWhole tells whether its answer was complete.
   virtual void OnDone(const RouteRequest& aRequest,
                       const RouteDecision& aDecision,
                       bool aWhole) = 0;
 };
 
-// Takes the target with the fewest requests; the baseline that other policies are measured against.
+// Chooses the target with the fewest requests of this host in flight. The baseline that other
+// policies are compared with.
 class LeastLoadedRouter final : public Router
 {
 public:
@@ -110,7 +116,7 @@
 };
 
 // Returns the version in which the target may serve the request, or an empty one when it may not:
-// wrong kind or role, model not served or not granted, excluded.
+// wrong kind or role, model not served or not granted, or target excluded.
 WeightVersion
 EligibleVersion(const RouteRequest& aRequest, const TargetRecord& aTarget);
 
--- a/include/damasklink/coordination/WeightRollout.h
+++ b/include/damasklink/coordination/WeightRollout.h
@@ -1,16 +1,20 @@
-// Brings engines to the named weights, one holder at a time. Without I/O.
+// Rolls out new weights to the engines of each model, a limited share of them at a time. Performs
+// no I/O.
 //
-// The host that leads the control group orders; a new leader first waits until no order of the
-// former one can still be taken for its own (OrderLease). Each order carries the count of orders
-// that the engine had accepted when it was last read, so that an order which is carried out late
-// changes nothing any more. An engine is read before its first order, and again until it has what
-// is named: whatever became of an order, what counts is what the engine reports.
+// The leader of the control group gives the orders. A new leader first waits until no order of the
+// former one can still be in flight (RolloutOptions::orderLease). Each order carries the number of
+// orders that the engine had accepted when it was last read; the engine refuses an order with
+// another number, so a late order has no effect. An engine is read before its first order, and
+// again until it reports the desired version: whatever the answer to an order, only the report of
+// the engine counts.
 //
 //   WeightRollout rollout(clock, options);
-//   for (const RolloutAction& action : rollout.Plan(leaseHeld, wished, engines)) ...
+//   for (const RolloutAction& action : rollout.Plan(leaseHeld, desired, engines)) ...
 //   rollout.OnReport(target, report);
-//   rollout.OnOrdered(target, outcome);
+//   rollout.OnOrdered(target);
 //   rollout.Paused();                       // Engines that should get no new work for now.
+//
+// Not thread-safe.
 #pragma once
 
 #include <map>
@@ -26,45 +30,47 @@
 
 struct RolloutOptions
 {
-  // Orders of two holders must be this far apart.
+  // Minimum time between the orders of two leaders.
   Duration orderLease = std::chrono::milliseconds(3300);
-  // Share of the engines of a model that are out of service at once, at most. The others read
-  // prompts anew meanwhile, and have the less room for the load of those that are out.
+  // Largest share of a model's engines that are out of service at the same time. The others
+  // recompute prompts meanwhile, and have the less capacity for the load of those that are out.
   double maxUnavailableShare = 0.2;
-  // How long an engine gets no new work before it is ordered. Most of its runs end in that time;
-  // the others go on under the new weights, which is worth less to their callers than whole
-  // answers, but takes the engine out for a second and not for as long as its longest run.
+  // How long an engine gets no new work before it is ordered. Most of its requests end in that
+  // time. The others continue under the new weights, which is worth less to their callers than
+  // complete answers, but takes the engine out of service for a second instead of the duration of
+  // its longest request.
   Duration drain = std::chrono::milliseconds(400);
-  // Until all engines should have been ordered. Orders are spread evenly over it: engines that load
-  // at the same moment slow each other down, and each that waits for its runs serves nobody new.
-  Duration spread = std::chrono::milliseconds(5500);
-  // An engine loads within a second or two; much later its order was lost, or will be carried out
-  // late.
+  // Time in which all engines should get their orders, evenly spread: engines that load at the same
+  // moment slow each other down, and an engine that waits for its requests to end serves no new
+  // ones.
+  Duration duration = std::chrono::milliseconds(5500);
+  // An engine loads within a second or two. If it does not report the new weights much later than
+  // that, its order was lost or will be carried out late.
   Duration orderTimeout = std::chrono::milliseconds(2500);
-  // Between two questions to an engine that is under an order.
+  // Time between two reads of an engine that has an order.
   Duration reportInterval = std::chrono::milliseconds(300);
 };
 
-// What an engine says of itself.
+// The state that an engine reports.
 struct EngineReport
 {
   bool busy = false;
-  // Orders that it has accepted since its start.
+  // Orders that the engine has accepted since it started.
   std::uint64_t ordersAccepted = 0;
   std::vector<ServedModel> models;
-  // Which start of the engine says so; zero where it does not tell.
+  // The incarnation of the engine; zero when it does not report one.
   Incarnation incarnation;
 };
 
-// Ask the engine for its report; answered with OnReport().
+// Reads the report of an engine; answered with OnReport().
 struct ReadEngine
 {
   TargetId target;
   Endpoint endpoint;
 };
 
-// Order the engine to load; answered with OnOrdered(). The sender checks the lease just before the
-// bytes leave.
+// Orders an engine to load weights; answered with OnOrdered(). The sender checks the lease
+// immediately before the bytes leave.
 struct OrderWeights
 {
   TargetId target;
@@ -81,23 +87,25 @@
 public:
   WeightRollout(const Clock& aClock, RolloutOptions aOptions);
 
-  // Returns what is to be done now. Requires to be called several times a second while weights are
-  // not in place. aEngines are those that may get work.
+  // Returns the actions to take now. Must be called several times a second while any engine has
+  // outdated weights. aDesired has the desired version of each model, aEngines the engines that may
+  // get work, ordered by id.
   std::vector<RolloutAction> Plan(bool aLeaseHeld,
-                                  const std::map<ModelName, std::uint64_t>& aWished,
+                                  const std::map<ModelName, std::uint64_t>& aDesired,
                                   const std::vector<TargetRecord>& aEngines);
 
-  // Takes what an engine reported; nothing when it did not answer. What an earlier start of the
-  // engine reported changes nothing.
+  // Takes the report of an engine, or nothing when it did not answer. The report of an earlier
+  // incarnation is ignored.
   void OnReport(const TargetId& aTarget, const std::optional<EngineReport>& aReport);
 
-  // Tells that an order was answered, or was not. Only a later report tells what became of it.
+  // Tells that the sending of an order has ended, with or without an answer. Its effect is read
+  // from a later report.
   void OnOrdered(const TargetId& aTarget);
 
-  // Returns the engines that are under an order or about to be.
+  // Returns the engines that have an order or are about to get one.
   std::set<TargetId> Paused() const;
 
-  // Returns the version that the engine reported last, 0 when it was not asked.
+  // Returns the version that the engine reported last, or 0 when it has not been read.
   std::uint64_t ReportedVersion(const TargetId& aTarget, const ModelName& aModel) const;
 
   // Returns the versions that engines reported, by engine and model.
@@ -109,20 +117,22 @@
 private:
   enum class Stage
   {
-    Reading,  // A question is out.
-    Read,     // Its report is known.
-    Ordering, // An order is out.
-    Ordered,  // It was answered, or nothing came.
+    Reading,  // Waiting for a report.
+    Read,     // A report has arrived, or the engine did not answer.
+    Ordering, // An order is being sent.
+    Ordered,  // The sending has ended, with or without an answer.
   };
 
-  struct Work
+  // The update of one engine to a version of its model's weights.
+  struct EngineUpdate
   {
     ModelName model;
     std::uint64_t version = 0;
     Stage stage = Stage::Reading;
     EngineReport report;
-    bool known = false;
-    MonotonicTime begunAt;
+    // Whether `report` is valid: of the current incarnation, and the last read succeeded.
+    bool hasReport = false;
+    MonotonicTime startedAt;
     MonotonicTime orderedAt;
     MonotonicTime nextRead;
   };
@@ -130,18 +140,18 @@
   bool MayOrder() const;
   bool AreUnchanged(const std::vector<TargetRecord>& aEngines) const;
   void UpdateEngines(const std::vector<TargetRecord>& aEngines);
-  std::optional<RolloutAction> Advance(const TargetRecord& aEngine, Work& aWork);
+  std::optional<RolloutAction> Advance(const TargetRecord& aEngine, EngineUpdate& aUpdate);
   static std::uint64_t VersionOf(const std::vector<ServedModel>& aModels, const ModelName& aModel);
 
   const Clock& clock;
   RolloutOptions options;
   bool leading = false;
-  MonotonicTime ledSince;
+  MonotonicTime leadingSince;
   MonotonicTime nextStart;
-  std::map<TargetId, Work> works;
-  // The start of each engine that works and reports are of.
-  std::map<TargetId, Incarnation> starts;
-  // By engine and model, as reported; kept until the engine is gone.
+  std::map<TargetId, EngineUpdate> updates;
+  // The incarnation of each engine that `updates` and `reported` refer to.
+  std::map<TargetId, Incarnation> incarnations;
+  // Reported versions by engine and model; kept until the engine is removed.
   std::map<std::pair<TargetId, ModelName>, std::uint64_t> reported;
 };
 
--- a/src/coordination/AttemptRecovery.cpp
+++ b/src/coordination/AttemptRecovery.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Failures that another try would only meet again.
+// Returns whether another attempt would fail in the same way.
 bool
 IsFinal(ErrorKind aKind)
 {
@@ -17,17 +17,17 @@
 RecoveryStep
 DecideRecoveryStep(const LostAttempt& aLost)
 {
-  const bool over = aLost.timeLeft <= Duration(0) || IsFinal(aLost.kind);
-  if (over || aLost.tries >= kMaxTries) {
+  const bool ended = aLost.timeLeft <= Duration(0) || IsFinal(aLost.kind);
+  if (ended || aLost.tries >= kMaxTries) {
     return RecoveryStep::GiveUp;
   }
   if (aLost.tokens == 0) {
     const bool mayRepeat = aLost.repeatable || aLost.outcome == RunOutcome::NotRun;
     return mayRepeat ? RecoveryStep::Repeat : RecoveryStep::GiveUp;
   }
-  // A target that answers resumptions without bringing the answer on is as good as gone.
-  const bool broughtOn = aLost.tokens > aLost.tokensBefore;
-  if (!aLost.resumed || broughtOn) {
+  // A target that accepts resumptions but adds no tokens is treated as lost.
+  const bool madeProgress = aLost.tokens > aLost.tokensBefore;
+  if (!aLost.resumed || madeProgress) {
     return RecoveryStep::Resume;
   }
   return aLost.held ? RecoveryStep::Continue : RecoveryStep::GiveUp;
--- a/src/coordination/CostRouter.cpp
+++ b/src/coordination/CostRouter.cpp
@@ -10,9 +10,10 @@
 namespace damasklink {
 namespace {
 
-// States of targets that went away are dropped once there are this many more than targets.
-constexpr std::size_t kSpareStates = 64;
-// Weight of one more observation in a learnt value.
+// States of removed targets are dropped when there are more states than twice the targets plus this
+// number.
+constexpr std::size_t kMaxSpareStates = 64;
+// Weight of a new observation in the exponential moving averages.
 constexpr double kLearnWeight = 0.1;
 constexpr double kTokensPerRecomputeUnit = 1000;
 
@@ -35,9 +36,9 @@
   return std::find(excluded.begin(), excluded.end(), aTarget) != excluded.end();
 }
 
-// Returns a number that is the same on every host for the same text.
+// Returns the FNV-1a hash of the text, which is the same on every host.
 std::uint64_t
-Spread(const std::string& aText)
+HashOf(const std::string& aText)
 {
   constexpr std::uint64_t kBasis = 0xCBF29CE484222325ULL;
   constexpr std::uint64_t kPrime = 0x100000001B3ULL;
@@ -48,13 +49,13 @@
   return mixed;
 }
 
-// Returns which of equal targets a prompt prefers: the highest number wins.
+// Rendezvous hashing: among equal targets, a prompt goes to the one with the highest value.
 std::uint64_t
 Affinity(std::uint64_t aPrompt, std::uint64_t aTarget)
 {
-  constexpr std::uint64_t kMix = 0x9E3779B97F4A7C15ULL;
-  const std::uint64_t mixed = (aPrompt ^ aTarget) * kMix;
-  return (mixed ^ (mixed >> 29U)) * kMix;
+  constexpr std::uint64_t kMixer = 0x9E3779B97F4A7C15ULL;
+  const std::uint64_t mixed = (aPrompt ^ aTarget) * kMixer;
+  return (mixed ^ (mixed >> 29U)) * kMixer;
 }
 
 } // namespace
@@ -123,9 +124,9 @@
   if (least == this->candidates.end() || !this->options.breakTiesByAffinity) {
     return least == this->candidates.end() ? nullptr : &*least;
   }
-  const double equal =
+  const double tolerance =
     (this->options.tieShare * least->estimate.firstToken) + this->options.tieSeconds;
-  const double limit = least->estimate.cost + (aRequest.objective.time * equal);
+  const double limit = least->estimate.cost + (aRequest.objective.time * tolerance);
   const std::uint64_t prompt = aRequest.blocks.empty() ? 0 : BlockHint(aRequest.blocks.back());
   const Candidate* best = nullptr;
   std::uint64_t bestAffinity = 0;
@@ -133,7 +134,7 @@
     if (candidate.estimate.cost > limit) {
       continue;
     }
-    const std::uint64_t affinity = Affinity(prompt, this->states[candidate.state].spread);
+    const std::uint64_t affinity = Affinity(prompt, this->states[candidate.state].idHash);
     if (best == nullptr || affinity > bestAffinity) {
       best = &candidate;
       bestAffinity = affinity;
@@ -153,11 +154,11 @@
     const auto found = this->indexes.find(aTarget.id);
     if (found == this->indexes.end()) {
       index = static_cast<StateIndex>(this->states.size());
-      TargetState& fresh = this->states.emplace_back();
-      fresh.id = aTarget.id;
-      fresh.spread = Spread(aTarget.id.Value());
-      fresh.untold.target = aTarget.id;
-      fresh.cache = this->caches.IndexOf(aTarget.id);
+      TargetState& added = this->states.emplace_back();
+      added.id = aTarget.id;
+      added.idHash = HashOf(aTarget.id.Value());
+      added.unreported.target = aTarget.id;
+      added.cache = this->caches.IndexOf(aTarget.id);
       this->indexes.emplace(aTarget.id, index);
     } else {
       index = found->second;
@@ -184,7 +185,7 @@
   aState.load = aTarget.load;
   aState.loadAt = this->now - this->options.reportLag;
   aState.declaredRate = aTarget.rates.prefillTokensPerSecond;
-  // The report contains what had been sent by then.
+  // The report includes what had been sent by then.
   while (!aState.sends.empty() && aState.sends.front().at <= aState.loadAt) {
     aState.sentPrefill -= aState.sends.front().prefill;
     aState.sentRequests -= aState.sends.front().requests;
@@ -195,7 +196,7 @@
 void
 CostRouter::DropRemoved(const std::vector<TargetRecord>& aTargets)
 {
-  if (this->states.size() <= (2 * aTargets.size()) + kSpareStates) {
+  if (this->states.size() <= (2 * aTargets.size()) + kMaxSpareStates) {
     return;
   }
   absl::flat_hash_map<TargetId, TargetState> kept;
@@ -235,7 +236,7 @@
   const auto reported = static_cast<double>(aState.load.queuedPrefill.Value());
   double waiting = std::max(0.0, reported + aState.sentPrefill - drained);
   if (this->options.countOwnSends) {
-    // What has not answered yet is surely still there, whatever the report's age.
+    // Own requests without a first token are still there, however old the report is.
     waiting = std::max(waiting, aState.ownPrefill);
   }
   return (waiting / rate) + this->SlotWait(aState);
@@ -247,12 +248,12 @@
   if (aState.load.slots == 0) {
     return 0;
   }
-  const std::uint64_t wanted =
+  const std::uint64_t needed =
     aState.load.runningRequests + aState.load.queuedRequests + aState.sentRequests + 1;
-  if (wanted <= aState.load.slots) {
+  if (needed <= aState.load.slots) {
     return 0;
   }
-  const auto ahead = static_cast<double>(wanted - aState.load.slots);
+  const auto ahead = static_cast<double>(needed - aState.load.slots);
   return ahead * aState.decodeSeconds / static_cast<double>(aState.load.slots);
 }
 
@@ -261,17 +262,17 @@
                         const TargetState& aState,
                         const WeightVersion& aVersion) const
 {
-  const bool named = aVersion == aRequest.blocksVersion;
+  const bool blocksApply = aVersion == aRequest.blocksVersion;
   const auto prompt = static_cast<double>(aRequest.promptTokens.Value());
   const std::uint64_t depth =
-    named && this->options.useCaches ? this->caches.Depth(aState.cache) : 0;
+    blocksApply && this->options.useCaches ? this->caches.Depth(aState.cache) : 0;
   const double rate = this->RateOf(aState);
   const double wait = this->Wait(aState);
   const ObjectiveWeights& weights = aRequest.objective;
   const auto work = [&](double aTokens) {
     return weights.recompute * aTokens / kTokensPerRecomputeUnit;
   };
-  const double fresh = std::max(0.0, prompt - static_cast<double>(depth * kBlockTokens));
+  const double uncached = std::max(0.0, prompt - static_cast<double>(depth * kBlockTokens));
   const auto cost = [&](double aFirstToken, double aPrefill, double aImport) {
     return (weights.time * aFirstToken) + work(aPrefill) +
            (weights.link * aImport / static_cast<double>(kMebibyte));
@@ -279,10 +280,10 @@
   Estimate best;
   best.wait = wait;
   best.held = depth;
-  best.prefill = fresh;
+  best.prefill = uncached;
   best.firstToken = wait + (best.prefill / rate);
   best.cost = cost(best.firstToken, best.prefill, 0);
-  if (!named || !this->options.useStores) {
+  if (!blocksApply || !this->options.useStores) {
     return best;
   }
   for (const StoredPrefix& stored : aRequest.stored) {
@@ -340,14 +341,14 @@
   if (this->options.countOwnSends) {
     this->AddSend(*state, { this->clock.MonotonicNow(), 1, sent.prefill });
   }
-  ++state->untold.requests;
-  state->untold.prefill =
-    TokenCount(state->untold.prefill.Value() + aDecision.expectedPrefill.Value());
+  ++state->unreported.requests;
+  state->unreported.prefill =
+    TokenCount(state->unreported.prefill.Value() + aDecision.expectedPrefill.Value());
   this->outstanding[aDecision.ticket] = std::move(sent);
 }
 
 void
-CostRouter::Answered(Outstanding& aSent, TargetState* aState)
+CostRouter::MarkAnswered(Outstanding& aSent, TargetState* aState)
 {
   if (aSent.answered) {
     return;
@@ -370,7 +371,7 @@
     return;
   }
   TargetState* state = this->Find(aDecision.target);
-  this->Answered(found->second, state);
+  this->MarkAnswered(found->second, state);
   if (state != nullptr) {
     this->LearnRate(*state, found->second, aElapsed);
   }
@@ -379,7 +380,7 @@
 void
 CostRouter::LearnRate(TargetState& aState, const Outstanding& aSent, Duration aElapsed) const
 {
-  // Short prompts and those that waited or imported tell little about the rate.
+  // Prompts that are short, waited long or were imported in part say little about the rate.
   constexpr double kLeastPrefill = 128;
   constexpr double kMostWaitShare = 0.25;
   const double elapsed = Seconds(aElapsed);
@@ -414,7 +415,7 @@
     const double decoded = Seconds(this->clock.MonotonicNow() - sent.answeredAt);
     state->decodeSeconds += kLearnWeight * (decoded - state->decodeSeconds);
   }
-  this->Answered(sent, state);
+  this->MarkAnswered(sent, state);
 }
 
 std::vector<TargetSendsDelta>
@@ -422,10 +423,10 @@
 {
   std::vector<TargetSendsDelta> sends;
   for (TargetState& state : this->states) {
-    if (state.untold.requests > 0) {
-      sends.push_back(state.untold);
-      state.untold.requests = 0;
-      state.untold.prefill = TokenCount();
+    if (state.unreported.requests > 0) {
+      sends.push_back(state.unreported);
+      state.unreported.requests = 0;
+      state.unreported.prefill = TokenCount();
     }
   }
   return sends;
--- a/src/coordination/ExchangeRetryPolicy.cpp
+++ b/src/coordination/ExchangeRetryPolicy.cpp
@@ -5,9 +5,9 @@
 namespace damasklink {
 
 std::string_view
-AttemptResultName(AttemptResult aEnd)
+AttemptResultName(AttemptResult aResult)
 {
-  switch (aEnd) {
+  switch (aResult) {
     case AttemptResult::Delivered:
       return "delivered";
     case AttemptResult::Unreachable:
@@ -62,9 +62,9 @@
 }
 
 ExchangeStep
-ExchangeRetryPolicy::After(AttemptResult aEnd, MonotonicTime aNow, RetryBudget& aBudget)
+ExchangeRetryPolicy::After(AttemptResult aResult, MonotonicTime aNow, RetryBudget& aBudget)
 {
-  switch (aEnd) {
+  switch (aResult) {
     case AttemptResult::Delivered:
       this->record.Advance(AttemptStage::Finished);
       return ExchangeStep::Done;
@@ -83,12 +83,12 @@
     case AttemptResult::Expired:
       break;
   }
-  // A send after one that cannot have arrived is no repeat.
-  const bool costs = aEnd != AttemptResult::Unreachable || this->sent > 0;
-  if (this->MayTryAnother(aEnd, aNow) && (!costs || aBudget.TryTake())) {
+  // After an attempt that cannot have reached its target, the next one is not a retry.
+  const bool isRetry = aResult != AttemptResult::Unreachable || this->sent > 0;
+  if (this->MayTryAnother(aResult, aNow) && (!isRetry || aBudget.TryTake())) {
     return ExchangeStep::TryAnother;
   }
-  return this->GiveUp(aEnd);
+  return this->GiveUp(aResult);
 }
 
 ExchangeStep
@@ -98,30 +98,30 @@
 }
 
 bool
-ExchangeRetryPolicy::MayTryAnother(AttemptResult aEnd, MonotonicTime aNow) const
+ExchangeRetryPolicy::MayTryAnother(AttemptResult aResult, MonotonicTime aNow) const
 {
-  if (aEnd == AttemptResult::Expired || aNow + kMinTimeLeft >= this->terms.endsAt) {
+  if (aResult == AttemptResult::Expired || aNow + kMinTimeLeft >= this->limits.endsAt) {
     return false;
   }
-  if (this->sent >= this->terms.mostTargets || this->unreachable >= kMaxUnreachable) {
+  if (this->sent >= this->limits.mostTargets || this->unreachable >= kMaxUnreachable) {
     return false;
   }
-  return this->terms.repeatable || this->CertainlyNotRun();
+  return this->limits.repeatable || this->CertainlyNotRun();
 }
 
 ExchangeStep
-ExchangeRetryPolicy::GiveUp(AttemptResult aEnd) const
+ExchangeRetryPolicy::GiveUp(AttemptResult aResult) const
 {
   if (this->passedOn) {
     return ExchangeStep::CutOff;
   }
-  if (aEnd == AttemptResult::Failed) {
+  if (aResult == AttemptResult::Failed) {
     return ExchangeStep::PassOn;
   }
   if (this->CertainlyNotRun()) {
     return ExchangeStep::Refuse;
   }
-  return aEnd == AttemptResult::Expired ? ExchangeStep::Expire : ExchangeStep::Fail;
+  return aResult == AttemptResult::Expired ? ExchangeStep::Expire : ExchangeStep::Fail;
 }
 
 bool
--- a/src/coordination/WeightRollout.cpp
+++ b/src/coordination/WeightRollout.cpp
@@ -13,19 +13,19 @@
 
 std::vector<RolloutAction>
 WeightRollout::Plan(bool aLeaseHeld,
-                    const std::map<ModelName, std::uint64_t>& aWished,
+                    const std::map<ModelName, std::uint64_t>& aDesired,
                     const std::vector<TargetRecord>& aEngines)
 {
   std::vector<RolloutAction> actions;
   const MonotonicTime now = this->clock.MonotonicNow();
   if (!aLeaseHeld) {
     this->leading = false;
-    this->works.clear();
+    this->updates.clear();
     return actions;
   }
   if (!this->leading) {
     this->leading = true;
-    this->ledSince = now;
+    this->leadingSince = now;
   }
   if (!this->MayOrder()) {
     return actions;
@@ -33,40 +33,40 @@
   if (!this->AreUnchanged(aEngines)) {
     this->UpdateEngines(aEngines);
   }
-  for (const auto& [model, version] : aWished) {
+  for (const auto& [model, version] : aDesired) {
     std::size_t serving = 0;
-    std::vector<const TargetRecord*> behind;
+    std::vector<const TargetRecord*> outdated;
     for (const TargetRecord& engine : aEngines) {
-      const std::uint64_t told = VersionOf(engine.models, model);
-      serving += told > 0 ? 1 : 0;
-      const bool saysOlder = told > 0 && told < version;
-      if (saysOlder && this->ReportedVersion(engine.id, model) < version) {
-        behind.push_back(&engine);
-      } else if (const auto done = this->works.find(engine.id);
-                 done != this->works.end() && done->second.model == model) {
-        this->works.erase(done);
+      const std::uint64_t announced = VersionOf(engine.models, model);
+      serving += announced > 0 ? 1 : 0;
+      const bool isOutdated = announced > 0 && announced < version;
+      if (isOutdated && this->ReportedVersion(engine.id, model) < version) {
+        outdated.push_back(&engine);
+      } else if (const auto done = this->updates.find(engine.id);
+                 done != this->updates.end() && done->second.model == model) {
+        this->updates.erase(done);
       }
     }
-    const auto atOnce = static_cast<std::size_t>(
+    const auto maxUnavailable = static_cast<std::size_t>(
       std::ceil(static_cast<double>(serving) * this->options.maxUnavailableShare));
-    for (const TargetRecord* engine : behind) {
-      const bool open = this->works.contains(engine->id);
-      if (!open && (this->works.size() >= atOnce || now < this->nextStart)) {
+    for (const TargetRecord* engine : outdated) {
+      const bool inProgress = this->updates.contains(engine->id);
+      if (!inProgress && (this->updates.size() >= maxUnavailable || now < this->nextStart)) {
         continue;
       }
-      if (!open) {
-        this->nextStart = std::max(this->nextStart + this->options.spread / serving,
-                                   now - this->options.spread / serving);
+      if (!inProgress) {
+        this->nextStart = std::max(this->nextStart + this->options.duration / serving,
+                                   now - this->options.duration / serving);
       }
-      Work& work = this->works[engine->id];
-      if (!open || work.version != version) {
-        work.model = model;
-        work.version = version;
+      EngineUpdate& update = this->updates[engine->id];
+      if (!inProgress || update.version != version) {
+        update.model = model;
+        update.version = version;
       }
-      if (!open) {
-        work.begunAt = now;
+      if (!inProgress) {
+        update.startedAt = now;
         actions.push_back(ReadEngine{ engine->id, engine->endpoint });
-      } else if (auto action = this->Advance(*engine, work)) {
+      } else if (auto action = this->Advance(*engine, update)) {
         actions.push_back(std::move(*action));
       }
     }
@@ -74,91 +74,94 @@
   return actions;
 }
 
-// Returns whether these are the engines of the last call, of the same starts; it is asked several
-// times a second among thousands, so nothing is copied.
+// Returns whether the engines and their incarnations are those of the last call. Called several
+// times a second with thousands of engines, so it copies nothing.
 bool
 WeightRollout::AreUnchanged(const std::vector<TargetRecord>& aEngines) const
 {
-  return std::equal(this->starts.begin(),
-                    this->starts.end(),
+  return std::equal(this->incarnations.begin(),
+                    this->incarnations.end(),
                     aEngines.begin(),
                     aEngines.end(),
-                    [](const auto& aStart, const TargetRecord& aEngine) {
-                      return aStart.first == aEngine.id && aStart.second == aEngine.incarnation;
+                    [](const auto& aEntry, const TargetRecord& aEngine) {
+                      return aEntry.first == aEngine.id && aEntry.second == aEngine.incarnation;
                     });
 }
 
-// An engine that has started again has taken no orders yet, and what it had reported may not hold.
-// Nothing is remembered of one that is not among these.
+// Drops the state of engines that have restarted, since their order count and reported versions may
+// no longer hold, and of engines that are not listed.
 void
 WeightRollout::UpdateEngines(const std::vector<TargetRecord>& aEngines)
 {
   std::map<TargetId, Incarnation> listed;
   for (const TargetRecord& engine : aEngines) {
     listed[engine.id] = engine.incarnation;
-    const auto known = this->starts.find(engine.id);
-    if (known == this->starts.end() || known->second == engine.incarnation) {
+    const auto known = this->incarnations.find(engine.id);
+    if (known == this->incarnations.end() || known->second == engine.incarnation) {
       continue;
     }
-    this->works.erase(engine.id);
+    this->updates.erase(engine.id);
     std::erase_if(this->reported,
                   [&](const auto& aItem) { return aItem.first.first == engine.id; });
   }
-  this->starts = std::move(listed);
-  const auto isGone = [this](const TargetId& aTarget) { return !this->starts.contains(aTarget); };
-  std::erase_if(this->works, [&](const auto& aItem) { return isGone(aItem.first); });
-  std::erase_if(this->reported, [&](const auto& aItem) { return isGone(aItem.first.first); });
+  this->incarnations = std::move(listed);
+  const auto isRemoved = [this](const TargetId& aTarget) {
+    return !this->incarnations.contains(aTarget);
+  };
+  std::erase_if(this->updates, [&](const auto& aItem) { return isRemoved(aItem.first); });
+  std::erase_if(this->reported, [&](const auto& aItem) { return isRemoved(aItem.first.first); });
 }
 
 std::optional<RolloutAction>
-WeightRollout::Advance(const TargetRecord& aEngine, Work& aWork)
+WeightRollout::Advance(const TargetRecord& aEngine, EngineUpdate& aUpdate)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  switch (aWork.stage) {
+  switch (aUpdate.stage) {
     case Stage::Reading:
     case Stage::Ordering:
       return std::nullopt;
     case Stage::Read: {
-      const bool waits = aWork.report.busy || now - aWork.orderedAt < this->options.orderTimeout ||
-                         now - aWork.begunAt < this->options.drain;
-      if (!aWork.known || waits) {
+      const bool mustWait = aUpdate.report.busy ||
+                            now - aUpdate.orderedAt < this->options.orderTimeout ||
+                            now - aUpdate.startedAt < this->options.drain;
+      if (!aUpdate.hasReport || mustWait) {
         break;
       }
-      aWork.stage = Stage::Ordering;
-      aWork.orderedAt = now;
+      aUpdate.stage = Stage::Ordering;
+      aUpdate.orderedAt = now;
       return OrderWeights{
-        aEngine.id, aEngine.endpoint, aWork.model, aWork.version, aWork.report.ordersAccepted
+        aEngine.id, aEngine.endpoint, aUpdate.model, aUpdate.version, aUpdate.report.ordersAccepted
       };
     }
     case Stage::Ordered:
       break;
   }
-  if (now < aWork.nextRead) {
+  if (now < aUpdate.nextRead) {
     return std::nullopt;
   }
-  aWork.stage = Stage::Reading;
-  aWork.nextRead = now + this->options.reportInterval;
+  aUpdate.stage = Stage::Reading;
+  aUpdate.nextRead = now + this->options.reportInterval;
   return ReadEngine{ aEngine.id, aEngine.endpoint };
 }
 
 void
 WeightRollout::OnReport(const TargetId& aTarget, const std::optional<EngineReport>& aReport)
 {
-  const auto found = this->works.find(aTarget);
-  if (found == this->works.end()) {
+  const auto found = this->updates.find(aTarget);
+  if (found == this->updates.end()) {
     return;
   }
-  Work& work = found->second;
-  work.stage = Stage::Read;
-  const bool ofEarlierStart = aReport && aReport->incarnation < this->starts[aTarget];
-  if (ofEarlierStart && aReport->incarnation > Incarnation()) {
-    work.known = false;
+  EngineUpdate& update = found->second;
+  update.stage = Stage::Read;
+  const bool ofEarlierIncarnation = aReport && aReport->incarnation < this->incarnations[aTarget];
+  if (ofEarlierIncarnation && aReport->incarnation > Incarnation()) {
+    update.hasReport = false;
     return;
   }
-  work.nextRead = this->clock.MonotonicNow() + this->options.reportInterval;
-  work.known = aReport.has_value();
+  update.nextRead = this->clock.MonotonicNow() + this->options.reportInterval;
+  update.hasReport = aReport.has_value();
   if (aReport) {
-    work.report = *aReport;
+    update.report = *aReport;
     for (const ServedModel& served : aReport->models) {
       this->reported[{ aTarget, served.model }] = VersionOf(aReport->models, served.model);
     }
@@ -168,8 +171,8 @@
 void
 WeightRollout::OnOrdered(const TargetId& aTarget)
 {
-  const auto found = this->works.find(aTarget);
-  if (found != this->works.end() && found->second.stage == Stage::Ordering) {
+  const auto found = this->updates.find(aTarget);
+  if (found != this->updates.end() && found->second.stage == Stage::Ordering) {
     found->second.stage = Stage::Ordered;
     found->second.nextRead = this->clock.MonotonicNow() + this->options.reportInterval;
   }
@@ -179,7 +182,7 @@
 WeightRollout::Paused() const
 {
   std::set<TargetId> paused;
-  for (const auto& [target, work] : this->works) {
+  for (const auto& [target, update] : this->updates) {
     paused.insert(target);
   }
   return paused;
@@ -195,7 +198,8 @@
 bool
 WeightRollout::MayOrder() const
 {
-  return this->leading && this->clock.MonotonicNow() - this->ledSince >= this->options.orderLease;
+  return this->leading &&
+         this->clock.MonotonicNow() - this->leadingSince >= this->options.orderLease;
 }
 
 std::uint64_t
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -527,7 +527,7 @@
 Duration
 Exchange::TimeLeft() const
 {
-  return this->plan->Terms().endsAt - this->context.clock.MonotonicNow();
+  return this->plan->Limits().endsAt - this->context.clock.MonotonicNow();
 }
 
 } // namespace damasklink
--- a/test/coordination/CostRouterTest.cpp
+++ b/test/coordination/CostRouterTest.cpp
@@ -100,9 +100,9 @@
     target.sequence = Sequence(2);
     target.load.queuedPrefill = TokenCount(target.id == first.target ? 6'000 : 0);
   }
-  RouteRequest thrifty = Prompt("a");
-  thrifty.objective = { 0.1, 1.0, 0.0 };
-  EXPECT_EQ(this->router.Choose(thrifty, targets).value().target, first.target);
+  RouteRequest recomputeAverse = Prompt("a");
+  recomputeAverse.objective = { 0.1, 1.0, 0.0 };
+  EXPECT_EQ(this->router.Choose(recomputeAverse, targets).value().target, first.target);
   EXPECT_NE(this->router.Choose(Prompt("a"), targets).value().target, first.target);
 }
 
@@ -112,7 +112,7 @@
   std::set<TargetId> used;
   for (int number = 0; number < 60; ++number) {
     RouteRequest prompt = Prompt("hot");
-    // Each goes on in its own way, which must be computed.
+    // Each prompt continues in its own way, which must be computed.
     prompt.promptTokens = TokenCount(prompt.promptTokens.Value() + 1500);
     used.insert(this->Send(this->router, prompt, targets).target);
   }
@@ -148,13 +148,13 @@
   auto targets = Targets(2);
   CostRouterOptions options;
   options.useCaches = false;
-  CostRouter blind(this->clock, options);
-  const TargetId busy = this->Send(blind, Prompt("a"), targets).target;
+  CostRouter withoutCaches(this->clock, options);
+  const TargetId busy = this->Send(withoutCaches, Prompt("a"), targets).target;
   this->clock.Advance(std::chrono::seconds(1));
   for (TargetRecord& target : targets) {
     target.sequence = Sequence(2);
   }
-  EXPECT_NE(blind.Choose(Prompt("a"), targets).value().target, busy);
+  EXPECT_NE(withoutCaches.Choose(Prompt("a"), targets).value().target, busy);
 }
 
 TEST_F(CostRouterTest, AnsweredSendsOccupyTheirSlotsUntilReported)
@@ -165,17 +165,17 @@
   }
   CostRouterOptions options;
   options.useCaches = false;
-  CostRouter blind(this->clock, options);
-  RouteDecision sent = this->Send(blind, Prompt("a"), targets);
-  blind.OnFirstToken(Prompt("a"), sent, milliseconds(2048), TokenCount());
+  CostRouter withoutCaches(this->clock, options);
+  RouteDecision sent = this->Send(withoutCaches, Prompt("a"), targets);
+  withoutCaches.OnFirstToken(Prompt("a"), sent, milliseconds(2048), TokenCount());
   this->clock.Advance(std::chrono::seconds(60));
-  blind.OnDone(Prompt("a"), sent, true);
+  withoutCaches.OnDone(Prompt("a"), sent, true);
   for (TargetRecord& target : targets) {
     target.sequence = Sequence(2);
   }
-  sent = this->Send(blind, Prompt("a"), targets);
-  blind.OnFirstToken(Prompt("a"), sent, milliseconds(2048), TokenCount());
-  EXPECT_NE(blind.Choose(Prompt("a"), targets).value().target, sent.target);
+  sent = this->Send(withoutCaches, Prompt("a"), targets);
+  withoutCaches.OnFirstToken(Prompt("a"), sent, milliseconds(2048), TokenCount());
+  EXPECT_NE(withoutCaches.Choose(Prompt("a"), targets).value().target, sent.target);
 }
 
 TEST_F(CostRouterTest, HostsWithTheSameReportSpreadTheirPrompts)
@@ -232,14 +232,14 @@
 
 TEST_F(CostRouterTest, ImportsWhenTheLinkIsFasterThanComputing)
 {
-  RouteRequest prompt = Prompt("kept");
-  StoredPrefix kept{
+  RouteRequest prompt = Prompt("stored");
+  StoredPrefix stored{
     StoreId("store-1"), kPromptBlocks, prompt.promptTokens, ByteCount(kMebibyte), 0
   };
-  kept.freeBytesPerSecond = 10.0 * kMebibyte;
-  prompt.stored = { kept };
+  stored.freeBytesPerSecond = 10.0 * kMebibyte;
+  prompt.stored = { stored };
   const RouteDecision fast = this->router.Choose(prompt, Targets(2)).value();
-  EXPECT_EQ(fast.importFrom, kept.store);
+  EXPECT_EQ(fast.importFrom, stored.store);
   EXPECT_EQ(fast.importBlocks, kPromptBlocks);
   prompt.stored.front().freeBytesPerSecond = 0.1 * kMebibyte;
   EXPECT_TRUE(this->router.Choose(prompt, Targets(2)).value().importFrom.Empty());
@@ -247,7 +247,7 @@
 
 TEST_F(CostRouterTest, BlocksOfAnotherVersionAreIgnored)
 {
-  RouteRequest prompt = Prompt("kept");
+  RouteRequest prompt = Prompt("stored");
   prompt.stored = { { StoreId("store-1"), kPromptBlocks, prompt.promptTokens, ByteCount(1), 1e9 } };
   auto targets = Targets(1);
   targets.front().models.front().version = WeightVersion("v2");
--- a/test/coordination/WeightRolloutTest.cpp
+++ b/test/coordination/WeightRolloutTest.cpp
@@ -10,7 +10,8 @@
 const ModelName kModel("m");
 constexpr Duration kStep = std::chrono::milliseconds(100);
 
-// Engines that load in a second and may lose the answer to an order or carry it out late.
+// An engine that loads weights in one second. With `delayOrders` its orders are kept in `late`
+// instead of being delivered.
 struct Engine
 {
   TargetRecord record;
@@ -86,7 +87,7 @@
         }
         records.push_back(engine.record);
       }
-      for (const RolloutAction& action : this->rollout.Plan(aLeading, this->wished, records)) {
+      for (const RolloutAction& action : this->rollout.Plan(aLeading, this->desired, records)) {
         this->Act(action);
       }
       this->mostPaused = std::max(this->mostPaused, this->rollout.Paused().size());
@@ -104,7 +105,7 @@
 
   ManualClock clock;
   WeightRollout rollout{ this->clock, RolloutOptions() };
-  std::map<ModelName, std::uint64_t> wished{ { kModel, 2 } };
+  std::map<ModelName, std::uint64_t> desired{ { kModel, 2 } };
   std::deque<Engine> engines;
   std::deque<OrderWeights> late;
   bool delayOrders = false;
@@ -124,7 +125,7 @@
 TEST_F(WeightRolloutTest, SecondRolloutReachesAllEngines)
 {
   this->Run(std::chrono::seconds(13));
-  this->wished[kModel] = 3;
+  this->desired[kModel] = 3;
   this->Run(std::chrono::seconds(13));
   EXPECT_EQ(this->CountAt(3), 10U);
   EXPECT_EQ(this->refused, 0);
@@ -165,7 +166,7 @@
   this->Run(std::chrono::seconds(6));
   ASSERT_FALSE(this->late.empty());
   this->delayOrders = false;
-  this->wished[kModel] = 3;
+  this->desired[kModel] = 3;
   this->Run(std::chrono::seconds(20));
   EXPECT_EQ(this->CountAt(3), 10U);
   for (const OrderWeights& order : this->late) {
@@ -211,9 +212,9 @@
     engine.record.incarnation = Incarnation(2000);
   }
   const std::vector<TargetRecord> engines{ this->engines.front().record };
-  this->rollout.Plan(true, this->wished, engines);
+  this->rollout.Plan(true, this->desired, engines);
   this->clock.Advance(RolloutOptions().orderLease);
-  ASSERT_EQ(this->rollout.Plan(true, this->wished, engines).size(), 1U);
+  ASSERT_EQ(this->rollout.Plan(true, this->desired, engines).size(), 1U);
   const ServedModel newest{ kModel, WeightVersion("2"), {} };
   this->rollout.OnReport(engines.front().id, EngineReport{ false, 4, { newest }, Incarnation(1) });
   EXPECT_EQ(this->rollout.ReportedVersion(engines.front().id, kModel), 0U);
