--- a/include/damasklink/coordination/EngineLatencyModel.h
+++ b/include/damasklink/coordination/EnginePace.h
@@ -1,13 +1,13 @@
 // Estimates how fast the engines of a model process prompts, from the first events of this host's
 // calls.
 //
-//   EngineLatencyModel model;
-//   model.RecordPrefill(TokenCount(12'800), took);  // Nothing else waited for prefill there.
-//   model.RecordShortPrompt(took);                  // Next to nothing to prefill.
-//   model.RecordRun(took);                          // A prompt held its slot for so long.
-//   model.MillisecondsPerToken();                   // Prefill time of one token.
-//   model.BaseLatency();                            // Time to the first event without prefill.
-//   model.RunTime();                                // Time for which a prompt holds a slot.
+//   EnginePace pace;
+//   pace.RecordPrefill(TokenCount(12'800), took);  // Nothing else waited for prefill there.
+//   pace.RecordShortPrompt(took);                  // Next to nothing to prefill.
+//   pace.RecordRun(took);                          // A prompt held its slot for so long.
+//   pace.MillisecondsPerToken();                   // Prefill time of one token.
+//   pace.BaseLatency();                            // Time to the first event without prefill.
+//   pace.RunTime();                                // Time for which a prompt holds a slot.
 //
 // All results are in milliseconds. Prefill time and base latency are medians of the last
 // observations, so up to one observation in three may be wrong (a prompt that was cached after all,
@@ -51,7 +51,7 @@
   double median;
 };
 
-class EngineLatencyModel
+class EnginePace
 {
 public:
   // Milliseconds a token before anything was observed: between the slowest and the fastest engines
--- a/include/damasklink/coordination/ExchangeRetryPolicy.h
+++ b/include/damasklink/coordination/ExchangePlan.h
@@ -1,9 +1,9 @@
 // Decides what to do with a call after each of its attempts. Performs no I/O.
 //
-//   ExchangeRetryPolicy policy(limits);
-//   policy.Begin(attempt, target);
-//   policy.Sending();                                  // Before the first byte leaves.
-//   switch (policy.After(AttemptResult::Refused, clock.MonotonicNow(), budget)) {
+//   ExchangePlan plan(limits);
+//   plan.Begin(attempt, target);
+//   plan.Sending();                                  // Before the first byte leaves.
+//   switch (plan.After(AttemptResult::Refused, clock.MonotonicNow(), budget)) {
 //     case ExchangeStep::TryAnother: ...
 //
 // At most once: a call that is not repeatable is sent to a second target only when the first one
@@ -60,7 +60,7 @@
 std::string_view
 ExchangeStepName(ExchangeStep aStep);
 
-class ExchangeRetryPolicy
+class ExchangePlan
 {
 public:
   // Attempts without a connection before the call is refused. Each takes up to the connect timeout,
@@ -69,7 +69,7 @@
   // With less time left, another attempt cannot finish.
   static constexpr Duration kMinTimeLeft = std::chrono::milliseconds(30);
 
-  explicit ExchangeRetryPolicy(ExchangeLimits aLimits)
+  explicit ExchangePlan(ExchangeLimits aLimits)
     : limits(aLimits)
   {
   }
--- a/include/damasklink/coordination/TargetDirectory.h
+++ b/include/damasklink/coordination/TargetBoard.h
@@ -1,9 +1,9 @@
 // The targets as one entry host knows them, merged from the updates of several control hosts.
 //
-//   TargetDirectory directory;
-//   directory.Take(controlHost, update);
-//   directory.OnLink(controlHost, false);     // Its reports count only where no other host
-//   reports. for (const TargetRecord& target : directory.Usable(service)) ...
+//   TargetBoard board;
+//   board.Take(controlHost, update);
+//   board.OnLink(controlHost, false);     // Its reports count only where no other host
+//   reports. for (const TargetRecord& target : board.Usable(service)) ...
 //
 // - A target that has left stays removed, until a later incarnation of it announces itself under
 //   the same id. Nothing is kept from the earlier incarnation then.
@@ -25,7 +25,7 @@
 
 namespace damasklink {
 
-class TargetDirectory
+class TargetBoard
 {
 public:
   // Removed targets that are remembered so that a late update does not bring them back; beyond this
--- a/include/damasklink/coordination/TargetSelector.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -1,10 +1,10 @@
 // Chooses the target of a call in a serving deployment.
 //
-//   TargetSelector selector(health, reach, seed);
-//   const TargetRecord* target = selector.Choose(request, directory.Usable(service));
-//   selector.OnSent(target->id, request, load);
-//   selector.OnFirstEvent(target->id, load);
-//   selector.OnEnd(target->id, load);
+//   TargetPicker picker(health, reach, seed);
+//   const TargetRecord* target = picker.Choose(request, board.Usable(service));
+//   picker.OnSent(target->id, request, load);
+//   picker.OnFirstEvent(target->id, load);
+//   picker.OnEnd(target->id, load);
 //
 // The cost of a target is the expected time to the first event, in milliseconds. It counts the
 // prompt tokens that all entry hosts have sent there and that wait for prefill, the tokens of this
@@ -20,7 +20,7 @@
 
 #include <absl/container/flat_hash_map.h>
 
-#include "damasklink/coordination/EngineLatencyModel.h"
+#include "damasklink/coordination/EnginePace.h"
 #include "damasklink/coordination/HeldParts.h"
 #include "damasklink/coordination/SendsSum.h"
 #include "damasklink/coordination/ServingPicture.h"
@@ -84,7 +84,7 @@
   Incarnation incarnation;
 };
 
-// Coefficients of the cost, in milliseconds unless stated otherwise. EngineLatencyModel supplies
+// Coefficients of the cost, in milliseconds unless stated otherwise. EnginePace supplies
 // the figures that are learnt.
 struct SelectionCosts
 {
@@ -121,17 +121,17 @@
   double crossZone = 4;
 };
 
-class TargetSelector
+class TargetPicker
 {
 public:
   // From this number of uncached tokens on, a send is reported to the other hosts at once;
   // otherwise short calls that they send behind it before they know of it would be late.
   static constexpr std::uint64_t kLongPrefill = 1000;
 
-  TargetSelector(const TargetHealth& aHealth,
-                 const ZoneReach& aReach,
-                 std::uint64_t aSeed,
-                 SelectionCosts aCosts = SelectionCosts());
+  TargetPicker(const TargetHealth& aHealth,
+               const ZoneReach& aReach,
+               std::uint64_t aSeed,
+               SelectionCosts aCosts = SelectionCosts());
 
   // Returns the target of least cost, or nullptr when there is none. It compares the targets that
   // have the shared parts of the prompt, a random sample, and a sample of this host's zone.
@@ -194,7 +194,7 @@
                                  const TargetRecord& aFor) const;
 
   // Returns the latency model of the engines of a model.
-  const EngineLatencyModel& LatencyModelOf(const ModelName& aModel) const;
+  const EnginePace& PaceOf(const ModelName& aModel) const;
 
   // Records the time from sending a call to its first event in the latency model. aFetched tells
   // that parts came from a store. Returns whether the call was used: calls behind which other
@@ -206,10 +206,7 @@
                         Duration aTook);
 
   // Records the time from sending a call to its end at an engine of the model.
-  void RecordRun(const ModelName& aModel, Duration aTook)
-  {
-    this->latencyModels[aModel].RecordRun(aTook);
-  }
+  void RecordRun(const ModelName& aModel, Duration aTook) { this->paces[aModel].RecordRun(aTook); }
 
   HeldParts& Held() { return this->held; }
 
@@ -227,7 +224,7 @@
   SelectionCosts costs;
   std::minstd_rand random;
   HeldParts held;
-  absl::flat_hash_map<ModelName, EngineLatencyModel> latencyModels;
+  absl::flat_hash_map<ModelName, EnginePace> paces;
   // The load of this host.
   absl::flat_hash_map<TargetId, SentLoad> ownLoads;
   // The newest incarnations of the targets that have restarted.
--- a/src/coordination/EngineLatencyModel.cpp
+++ b/src/coordination/EnginePace.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/EngineLatencyModel.h"
+#include "damasklink/coordination/EnginePace.h"
 
 #include <algorithm>
 
@@ -30,7 +30,7 @@
 }
 
 void
-EngineLatencyModel::RecordPrefill(TokenCount aTokens, Duration aTook)
+EnginePace::RecordPrefill(TokenCount aTokens, Duration aTook)
 {
   if (aTokens == TokenCount()) {
     return;
@@ -41,13 +41,13 @@
 }
 
 void
-EngineLatencyModel::RecordShortPrompt(Duration aTook)
+EnginePace::RecordShortPrompt(Duration aTook)
 {
   this->baseLatencyMedian.Observe(std::clamp(Milliseconds(aTook), 0.0, kMaxBaseLatency));
 }
 
 void
-EngineLatencyModel::RecordRun(Duration aTook)
+EnginePace::RecordRun(Duration aTook)
 {
   this->runTime += kRunTimeWeight * (Milliseconds(aTook) - this->runTime);
 }
--- a/src/coordination/ExchangeRetryPolicy.cpp
+++ b/src/coordination/ExchangePlan.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ExchangeRetryPolicy.h"
+#include "damasklink/coordination/ExchangePlan.h"
 
 #include <utility>
 
@@ -49,20 +49,20 @@
 }
 
 void
-ExchangeRetryPolicy::Begin(AttemptId aAttempt, TargetId aTarget)
+ExchangePlan::Begin(AttemptId aAttempt, TargetId aTarget)
 {
   this->record.Begin(std::move(aAttempt), std::move(aTarget));
 }
 
 void
-ExchangeRetryPolicy::Sending()
+ExchangePlan::Sending()
 {
   this->record.Advance(AttemptStage::Sending);
   ++this->sent;
 }
 
 ExchangeStep
-ExchangeRetryPolicy::After(AttemptResult aResult, MonotonicTime aNow, RetryBudget& aBudget)
+ExchangePlan::After(AttemptResult aResult, MonotonicTime aNow, RetryBudget& aBudget)
 {
   switch (aResult) {
     case AttemptResult::Delivered:
@@ -92,13 +92,13 @@
 }
 
 ExchangeStep
-ExchangeRetryPolicy::WithoutTarget() const
+ExchangePlan::WithoutTarget() const
 {
   return this->GiveUp(AttemptResult::Unreachable);
 }
 
 bool
-ExchangeRetryPolicy::MayTryAnother(AttemptResult aResult, MonotonicTime aNow) const
+ExchangePlan::MayTryAnother(AttemptResult aResult, MonotonicTime aNow) const
 {
   if (aResult == AttemptResult::Expired || aNow + kMinTimeLeft >= this->limits.endsAt) {
     return false;
@@ -110,7 +110,7 @@
 }
 
 ExchangeStep
-ExchangeRetryPolicy::GiveUp(AttemptResult aResult) const
+ExchangePlan::GiveUp(AttemptResult aResult) const
 {
   if (this->passedOn) {
     return ExchangeStep::CutOff;
@@ -125,7 +125,7 @@
 }
 
 bool
-ExchangeRetryPolicy::CertainlyNotRun() const
+ExchangePlan::CertainlyNotRun() const
 {
   return this->record.Outcome() == RunOutcome::NotRun;
 }
--- a/src/coordination/TargetDirectory.cpp
+++ b/src/coordination/TargetBoard.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetDirectory.h"
+#include "damasklink/coordination/TargetBoard.h"
 
 #include <algorithm>
 #include <utility>
@@ -25,7 +25,7 @@
 } // namespace
 
 void
-TargetDirectory::Take(const HostId& aFrom, const TargetStatement& aStatement)
+TargetBoard::Take(const HostId& aFrom, const TargetStatement& aStatement)
 {
   const auto [position, isNew] = this->entries.try_emplace(aStatement.record.id);
   Entry& entry = position->second;
@@ -54,7 +54,7 @@
 }
 
 void
-TargetDirectory::ResetForRestart(const TargetStatement& aStatement, Entry& aEntry)
+TargetBoard::ResetForRestart(const TargetStatement& aStatement, Entry& aEntry)
 {
   const TargetId& target = aStatement.record.id;
   if (aEntry.removed) {
@@ -66,7 +66,7 @@
 }
 
 void
-TargetDirectory::MarkEntryRemoved(const TargetId& aTarget, Entry& aEntry)
+TargetBoard::MarkEntryRemoved(const TargetId& aTarget, Entry& aEntry)
 {
   if (std::exchange(aEntry.removed, true)) {
     return;
@@ -79,7 +79,7 @@
 }
 
 void
-TargetDirectory::OnLink(const HostId& aHost, bool aUp)
+TargetBoard::OnLink(const HostId& aHost, bool aUp)
 {
   const bool changed =
     aUp ? this->connected.insert(aHost).second : this->connected.erase(aHost) > 0;
@@ -89,14 +89,14 @@
 }
 
 void
-TargetDirectory::SetEvacuated(std::set<ZoneId> aZones)
+TargetBoard::SetEvacuated(std::set<ZoneId> aZones)
 {
   this->evacuated = std::move(aZones);
   this->Changed();
 }
 
 std::vector<TargetRecord>
-TargetDirectory::InZone(const ZoneId& aZone) const
+TargetBoard::InZone(const ZoneId& aZone) const
 {
   std::vector<TargetRecord> found;
   for (const auto& [id, entry] : this->entries) {
@@ -108,7 +108,7 @@
 }
 
 bool
-TargetDirectory::IsMostlySilent(const ZoneId& aZone) const
+TargetBoard::IsMostlySilent(const ZoneId& aZone) const
 {
   std::size_t all = 0;
   std::size_t usable = 0;
@@ -122,7 +122,7 @@
 }
 
 void
-TargetDirectory::MarkRemoved(const TargetId& aTarget)
+TargetBoard::MarkRemoved(const TargetId& aTarget)
 {
   const auto found = this->entries.find(aTarget);
   if (found != this->entries.end() && !found->second.removed) {
@@ -132,7 +132,7 @@
 }
 
 const std::vector<TargetRecord>&
-TargetDirectory::Usable(const ServiceName& aService) const
+TargetBoard::Usable(const ServiceName& aService) const
 {
   static const std::vector<TargetRecord> kNone;
   if (this->builtVersion != this->version) {
@@ -143,14 +143,14 @@
 }
 
 const TargetRecord*
-TargetDirectory::Find(const TargetId& aTarget) const
+TargetBoard::Find(const TargetId& aTarget) const
 {
   const auto found = this->entries.find(aTarget);
   return found == this->entries.end() || found->second.removed ? nullptr : &found->second.record;
 }
 
 void
-TargetDirectory::Changed()
+TargetBoard::Changed()
 {
   ++this->version;
 }
@@ -158,7 +158,7 @@
 // Reports of connected hosts take precedence; those of other hosts count only where no connected
 // host has reported.
 bool
-TargetDirectory::IsReportedUsable(const Entry& aEntry) const
+TargetBoard::IsReportedUsable(const Entry& aEntry) const
 {
   bool reported = false;
   bool lastReportUsable = false;
@@ -176,7 +176,7 @@
 }
 
 bool
-TargetDirectory::IsPaused(const Entry& aEntry) const
+TargetBoard::IsPaused(const Entry& aEntry) const
 {
   return std::any_of(aEntry.reports.begin(), aEntry.reports.end(), [&](const auto& aItem) {
     return aItem.second.paused && this->connected.contains(aItem.first);
@@ -184,7 +184,7 @@
 }
 
 void
-TargetDirectory::Rebuild() const
+TargetBoard::Rebuild() const
 {
   this->usable.clear();
   std::map<ServiceName, std::vector<TargetRecord>> paused;
--- a/src/coordination/TargetSelector.cpp
+++ b/src/coordination/TargetPicker.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetSelector.h"
+#include "damasklink/coordination/TargetPicker.h"
 
 #include <algorithm>
 #include <utility>
@@ -39,10 +39,10 @@
   return 0;
 }
 
-TargetSelector::TargetSelector(const TargetHealth& aHealth,
-                               const ZoneReach& aReach,
-                               std::uint64_t aSeed,
-                               SelectionCosts aCosts)
+TargetPicker::TargetPicker(const TargetHealth& aHealth,
+                           const ZoneReach& aReach,
+                           std::uint64_t aSeed,
+                           SelectionCosts aCosts)
   : health(aHealth)
   , reach(aReach)
   , costs(aCosts)
@@ -51,7 +51,7 @@
 }
 
 const TargetRecord*
-TargetSelector::Choose(const SelectionRequest& aRequest, const std::vector<TargetRecord>& aTargets)
+TargetPicker::Choose(const SelectionRequest& aRequest, const std::vector<TargetRecord>& aTargets)
 {
   std::vector<const TargetRecord*> eligible;
   std::vector<const TargetRecord*> ejected;
@@ -99,8 +99,8 @@
 // Returns the targets to compare for a prompt. Among equals the first one is chosen, so each sample
 // starts at a random position.
 std::vector<const TargetRecord*>
-TargetSelector::Candidates(const SelectionRequest& aRequest,
-                           const std::vector<const TargetRecord*>& aEligible)
+TargetPicker::Candidates(const SelectionRequest& aRequest,
+                         const std::vector<const TargetRecord*>& aEligible)
 {
   std::vector<const TargetRecord*> candidates;
   const std::size_t start = this->random() % aEligible.size();
@@ -129,7 +129,7 @@
 // of each other's sends: if each host chose the least loaded target, all would choose the same one.
 // The choice is therefore random, unless the target is much more loaded than a second random one.
 const TargetRecord*
-TargetSelector::ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aEligible)
+TargetPicker::ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aEligible)
 {
   const TargetRecord* first = aEligible[this->random() % aEligible.size()];
   const TargetRecord* other = aEligible[this->random() % aEligible.size()];
@@ -144,14 +144,14 @@
 // Tests for all parts: the first parts of many prompts are the same and cached on all targets, so
 // only the last shared one distinguishes them.
 bool
-TargetSelector::HoldsAllParts(const SelectionRequest& aRequest, const TargetId& aTarget) const
+TargetPicker::HoldsAllParts(const SelectionRequest& aRequest, const TargetId& aTarget) const
 {
   const std::size_t count = aRequest.parts.size();
   return count > 0 && this->held.LeadingHeld(aTarget, aRequest.parts) == count;
 }
 
 TokenCount
-TargetSelector::UncachedTokens(const SelectionRequest& aRequest, const TargetId& aTarget) const
+TargetPicker::UncachedTokens(const SelectionRequest& aRequest, const TargetId& aTarget) const
 {
   std::size_t covered = this->held.LeadingHeld(aTarget, aRequest.parts);
   while (covered < aRequest.stored.size() && aRequest.stored[covered]) {
@@ -168,7 +168,7 @@
 // This host's own load plus that of the others: the sums of control hosts less what this host has
 // reported to them.
 SentLoad
-TargetSelector::LoadOf(const TargetId& aTarget) const
+TargetPicker::LoadOf(const TargetId& aTarget) const
 {
   SentLoad all = this->sums.Of(aTarget);
   if (const auto own = this->ownReported.find(aTarget); own != this->ownReported.end()) {
@@ -181,19 +181,19 @@
 }
 
 Duration
-TargetSelector::ExpectedFirstEvent(const SelectionRequest& aRequest,
-                                   const TargetRecord& aTarget) const
+TargetPicker::ExpectedFirstEvent(const SelectionRequest& aRequest,
+                                 const TargetRecord& aTarget) const
 {
-  const EngineLatencyModel& model = this->LatencyModelOf(aRequest.model);
+  const EnginePace& pace = this->PaceOf(aRequest.model);
   const auto uncachedTokens =
     static_cast<double>(this->UncachedTokens(aRequest, aTarget.id).Value());
-  const double own = model.BaseLatency() + model.MillisecondsPerToken() *
-                                             this->costs.prefillInterleaving * uncachedTokens;
+  const double own = pace.BaseLatency() +
+                     pace.MillisecondsPerToken() * this->costs.prefillInterleaving * uncachedTokens;
   return this->ExpectedWait(aRequest, aTarget) + Milliseconds(own);
 }
 
 Duration
-TargetSelector::ExpectedWait(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
+TargetPicker::ExpectedWait(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
 {
   double milliseconds = this->costs.prefillInterleaving * this->QueueDelay(aRequest, aTarget);
   const double used = this->MemoryShare(aRequest, aTarget.id);
@@ -205,21 +205,21 @@
 // free. Requests that wait for a slot have not been prefilled either, so the longer of the two
 // times includes the other.
 double
-TargetSelector::QueueDelay(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
+TargetPicker::QueueDelay(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
 {
-  const EngineLatencyModel& model = this->LatencyModelOf(aRequest.model);
+  const EnginePace& pace = this->PaceOf(aRequest.model);
   const SentLoad load = this->LoadOf(aTarget.id);
-  const double prefill = model.MillisecondsPerToken() * static_cast<double>(load.unread);
+  const double prefill = pace.MillisecondsPerToken() * static_cast<double>(load.unread);
   const std::uint64_t slots = aTarget.load.slots;
   if (slots == 0 || load.requests < slots) {
     return prefill;
   }
   const auto ahead = static_cast<double>(load.requests - slots + 1);
-  return std::max(prefill, model.RunTime() * ahead / static_cast<double>(slots));
+  return std::max(prefill, pace.RunTime() * ahead / static_cast<double>(slots));
 }
 
 double
-TargetSelector::MemoryShare(const SelectionRequest& aRequest, const TargetId& aTarget) const
+TargetPicker::MemoryShare(const SelectionRequest& aRequest, const TargetId& aTarget) const
 {
   if (aRequest.cacheTokens == TokenCount()) {
     return 0;
@@ -229,12 +229,12 @@
 }
 
 double
-TargetSelector::CostOf(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
+TargetPicker::CostOf(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
 {
   double cost = aTarget.zone == aRequest.zone ? 0 : this->costs.crossZone;
   const SentLoad load = this->LoadOf(aTarget.id);
   const auto requests = static_cast<double>(load.requests);
-  const double perToken = this->LatencyModelOf(aRequest.model).MillisecondsPerToken();
+  const double perToken = this->PaceOf(aRequest.model).MillisecondsPerToken();
   const double costPerUncachedToken = perToken * (1 + this->costs.prefillBlocking);
   cost += this->QueueDelay(aRequest, aTarget);
   cost += this->costs.perRunningRequest * requests * (1 + requests / this->costs.requestsToDouble);
@@ -272,9 +272,9 @@
 }
 
 void
-TargetSelector::OnSent(const TargetId& aTarget,
-                       const SelectionRequest& aRequest,
-                       const CallLoad& aLoad)
+TargetPicker::OnSent(const TargetId& aTarget,
+                     const SelectionRequest& aRequest,
+                     const CallLoad& aLoad)
 {
   SentLoad& load = this->ownLoads[aTarget];
   ++load.requests;
@@ -292,7 +292,7 @@
 }
 
 std::vector<TargetSendsNow>
-TargetSelector::TakeSends()
+TargetPicker::TakeSends()
 {
   std::vector<TargetSendsNow> sends;
   this->hasUrgent = false;
@@ -310,7 +310,7 @@
 }
 
 void
-TargetSelector::ResendAll()
+TargetPicker::ResendAll()
 {
   this->ownReported.clear();
   for (const auto& [target, load] : this->ownLoads) {
@@ -319,7 +319,7 @@
 }
 
 void
-TargetSelector::ApplySum(const SendsNews& aNews, MonotonicTime aNow)
+TargetPicker::ApplySum(const SendsNews& aNews, MonotonicTime aNow)
 {
   this->sums.Take(aNews, aNow);
   for (const TargetSendsNow& sends : aNews.sends) {
@@ -330,9 +330,9 @@
 }
 
 const TargetRecord*
-TargetSelector::FindHolder(const SizedPart& aPart,
-                           const std::vector<TargetRecord>& aTargets,
-                           const TargetRecord& aFor) const
+TargetPicker::FindHolder(const SizedPart& aPart,
+                         const std::vector<TargetRecord>& aTargets,
+                         const TargetRecord& aFor) const
 {
   const TargetRecord* found = nullptr;
   for (const TargetRecord& target : aTargets) {
@@ -346,7 +346,7 @@
 }
 
 void
-TargetSelector::OnRestart(const TargetRecord& aTarget)
+TargetPicker::OnRestart(const TargetRecord& aTarget)
 {
   this->incarnations[aTarget.id] = aTarget.incarnation;
   this->held.Forget(aTarget.id);
@@ -356,26 +356,26 @@
 }
 
 bool
-TargetSelector::IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aLoad) const
+TargetPicker::IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aLoad) const
 {
   const auto found = this->incarnations.find(aTarget);
   return found != this->incarnations.end() && aLoad.incarnation < found->second;
 }
 
-const EngineLatencyModel&
-TargetSelector::LatencyModelOf(const ModelName& aModel) const
+const EnginePace&
+TargetPicker::PaceOf(const ModelName& aModel) const
 {
-  static const EngineLatencyModel kDefault;
-  const auto found = this->latencyModels.find(aModel);
-  return found == this->latencyModels.end() ? kDefault : found->second;
+  static const EnginePace kDefault;
+  const auto found = this->paces.find(aModel);
+  return found == this->paces.end() ? kDefault : found->second;
 }
 
 bool
-TargetSelector::RecordFirstEvent(const TargetId& aTarget,
-                                 const SelectionRequest& aRequest,
-                                 const CallLoad& aLoad,
-                                 bool aFetched,
-                                 Duration aTook)
+TargetPicker::RecordFirstEvent(const TargetId& aTarget,
+                               const SelectionRequest& aRequest,
+                               const CallLoad& aLoad,
+                               bool aFetched,
+                               Duration aTook)
 {
   const std::uint64_t own = aLoad.uncachedTokens.Value();
   const std::uint64_t unread = this->LoadOf(aTarget).unread;
@@ -383,17 +383,17 @@
   if (waitedForOthers) {
     return false;
   }
-  EngineLatencyModel& model = this->latencyModels[aRequest.model];
+  EnginePace& pace = this->paces[aRequest.model];
   if (own < kLongPrefill) {
-    model.RecordShortPrompt(aTook);
+    pace.RecordShortPrompt(aTook);
   } else if (!aFetched) {
-    model.RecordPrefill(aLoad.uncachedTokens, aTook);
+    pace.RecordPrefill(aLoad.uncachedTokens, aTook);
   }
   return true;
 }
 
 void
-TargetSelector::OnFirstEvent(const TargetId& aTarget, CallLoad& aLoad)
+TargetPicker::OnFirstEvent(const TargetId& aTarget, CallLoad& aLoad)
 {
   if (!aLoad.firstEventSeen && !this->IsOfEarlierIncarnation(aTarget, aLoad)) {
     aLoad.firstEventSeen = true;
@@ -404,7 +404,7 @@
 }
 
 void
-TargetSelector::OnEnd(const TargetId& aTarget, const CallLoad& aLoad)
+TargetPicker::OnEnd(const TargetId& aTarget, const CallLoad& aLoad)
 {
   const auto found = this->ownLoads.find(aTarget);
   if (found == this->ownLoads.end() || this->IsOfEarlierIncarnation(aTarget, aLoad)) {
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -151,7 +151,7 @@
   RetryShares retries;
   TargetHealth health;
   ZoneReach reach;
-  TargetSelector picker;
+  TargetPicker picker;
   TargetChannelPool pool;
   StorePace pace;
   ComeBack comeBack;
--- a/src/program/EntryPicture.h
+++ b/src/program/EntryPicture.h
@@ -11,7 +11,7 @@
 #include "damasklink/coordination/RouteTable.h"
 #include "damasklink/coordination/ServingPicture.h"
 #include "damasklink/coordination/StoredParts.h"
-#include "damasklink/coordination/TargetDirectory.h"
+#include "damasklink/coordination/TargetBoard.h"
 #include "damasklink/protocol/ServingDialect.h"
 
 namespace damasklink {
@@ -45,7 +45,7 @@
   // Null before the first configuration came.
   const RoutesPtr& Routes() const { return this->routes; }
 
-  TargetDirectory& Targets() { return this->targets; }
+  TargetBoard& Targets() { return this->targets; }
 
   // Returns the version of weights that calls for the model should begin on; 0 when none is named.
   std::uint64_t WeightsOf(const ModelName& aModel) const;
@@ -85,7 +85,7 @@
 
   const Clock& clock;
   RoutesPtr routes;
-  TargetDirectory targets;
+  TargetBoard targets;
   std::map<ModelName, std::uint64_t> weights;
   // When each version was heard of, by model; a few a day.
   std::map<ModelName, std::map<std::uint64_t, MonotonicTime>> weightsHeardAt;
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -200,7 +200,7 @@
     TokenCount(this->call.promptTokens.Value() + this->call.mostAnswerTokens.Value());
   this->work.incarnation = aTarget.incarnation;
   this->work.queuedBehindOthers =
-    this->context.picker.LoadOf(aTarget.id).unread >= TargetSelector::kLongPrefill;
+    this->context.picker.LoadOf(aTarget.id).unread >= TargetPicker::kLongPrefill;
   this->context.picker.OnSent(aTarget.id, this->question, this->work);
   this->context.limits.OnSent(aTarget.id);
   this->context.returns.OnAdmitted();
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -13,14 +13,14 @@
 #include "damasklink/coordination/ComeBack.h"
 #include "damasklink/coordination/CrashWatch.h"
 #include "damasklink/coordination/EventFramer.h"
-#include "damasklink/coordination/ExchangeRetryPolicy.h"
+#include "damasklink/coordination/ExchangePlan.h"
 #include "damasklink/coordination/HomeRegions.h"
 #include "damasklink/coordination/RequestFingerprint.h"
 #include "damasklink/coordination/RetryShares.h"
 #include "damasklink/coordination/ReturnQueue.h"
 #include "damasklink/coordination/StorePace.h"
 #include "damasklink/coordination/TargetLimits.h"
-#include "damasklink/coordination/TargetSelector.h"
+#include "damasklink/coordination/TargetPicker.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
 #include "damasklink/transport/CallerChannel.h"
@@ -41,7 +41,7 @@
   RetryShares& retries;
   TargetHealth& health;
   ZoneReach& reach;
-  TargetSelector& picker;
+  TargetPicker& picker;
   TargetChannelPool& pool;
   StorePace& pace;
   ComeBack& comeBack;
@@ -57,7 +57,7 @@
   bool leaving = false;
 };
 
-// Relays one request. What is decided after each attempt stands in ExchangeRetryPolicy; this class
+// Relays one request. What is decided after each attempt stands in ExchangePlan; this class
 // moves the bytes.
 class Exchange
 {
@@ -159,7 +159,7 @@
   std::uint64_t weights = 0;
 
   std::optional<RequestFingerprint> fingerprint;
-  std::optional<ExchangeRetryPolicy> plan;
+  std::optional<ExchangePlan> plan;
   std::optional<Watchdog> ending;
   std::unique_ptr<TargetChannel> channel;
   CallLoad work;
--- a/src/program/ExchangeChoice.cpp
+++ b/src/program/ExchangeChoice.cpp
@@ -81,7 +81,7 @@
   this->avoided.clear();
   double reading = 0;
   for (const SizedPart& part : this->question.parts) {
-    reading += this->context.picker.LatencyModelOf(this->call.model).MillisecondsPerToken() *
+    reading += this->context.picker.PaceOf(this->call.model).MillisecondsPerToken() *
                static_cast<double>(part.tokens.Value());
   }
   for (const std::string& store : stored->Names()) {
@@ -198,7 +198,7 @@
 void
 Exchange::LogOverload(const TargetRecord& aBest) const
 {
-  const TargetSelector& picker = this->context.picker;
+  const TargetPicker& picker = this->context.picker;
   const AdmissionLimits& limits = LimitsOf(this->Priority());
   LogEvent(LogLevel::Info, "refused_as_overloaded")
     .With("request", this->call.request)
@@ -292,12 +292,11 @@
   if (this->work.firstEventSeen || this->question.promptTokens == TokenCount()) {
     return;
   }
-  TargetSelector& picker = this->context.picker;
+  TargetPicker& picker = this->context.picker;
   this->firstEventAt = this->context.clock.MonotonicNow();
   const Duration sinceSend = this->firstEventAt - this->sentAt;
   const std::chrono::duration<double, std::milli> took = sinceSend;
-  const double expected =
-    picker.LatencyModelOf(this->question.model).Expected(this->work.uncachedTokens);
+  const double expected = picker.PaceOf(this->question.model).Expected(this->work.uncachedTokens);
   if (picker.RecordFirstEvent(
         aTarget.id, this->question, this->work, !this->fetchedFrom.empty(), sinceSend)) {
     this->context.pace.Note(this->fetchedFrom, took.count() - expected);
@@ -326,9 +325,8 @@
   if (!this->work.firstEventSeen) {
     return;
   }
-  TargetSelector& picker = this->context.picker;
-  const double reading =
-    picker.LatencyModelOf(this->question.model).Expected(this->work.uncachedTokens);
+  TargetPicker& picker = this->context.picker;
+  const double reading = picker.PaceOf(this->question.model).Expected(this->work.uncachedTokens);
   const Duration answering = this->context.clock.MonotonicNow() - this->firstEventAt;
   const auto read = std::chrono::duration<double, std::milli>(reading);
   picker.RecordRun(this->question.model, answering + std::chrono::duration_cast<Duration>(read));
--- a/test/coordination/CostRouterTest.cpp
+++ b/test/coordination/CostRouterTest.cpp
@@ -232,7 +232,7 @@
 
 TEST_F(CostRouterTest, ImportsWhenTheLinkIsFasterThanComputing)
 {
-  RouteRequest prompt = Prompt("stored");
+  RouteRequest prompt = Prompt("kept");
   StoredPrefix stored{
     StoreId("store-1"), kPromptBlocks, prompt.promptTokens, ByteCount(kMebibyte), 0
   };
@@ -247,7 +247,7 @@
 
 TEST_F(CostRouterTest, BlocksOfAnotherVersionAreIgnored)
 {
-  RouteRequest prompt = Prompt("stored");
+  RouteRequest prompt = Prompt("kept");
   prompt.stored = { { StoreId("store-1"), kPromptBlocks, prompt.promptTokens, ByteCount(1), 1e9 } };
   auto targets = Targets(1);
   targets.front().models.front().version = WeightVersion("v2");
--- /dev/null
+++ b/test/coordination/ExchangePlanTest.cpp
@@ -0,0 +1,142 @@
+#include "damasklink/coordination/ExchangePlan.h"
+
+#include <gtest/gtest.h>
+#include <rapidcheck/gtest.h>
+
+namespace damasklink {
+namespace {
+
+const MonotonicTime kNow = MonotonicTime(std::chrono::hours(1));
+
+ExchangeLimits
+MakeLimits(bool aRepeatable, std::uint64_t aMostTargets)
+{
+  return ExchangeLimits{ aRepeatable, aMostTargets, kNow + std::chrono::seconds(2) };
+}
+
+class ExchangePlanTest : public ::testing::Test
+{
+protected:
+  ExchangeStep Send(ExchangePlan& aPlan, AttemptResult aResult)
+  {
+    aPlan.Begin(AttemptId("a"), TargetId("t"));
+    if (aResult != AttemptResult::Unreachable) {
+      aPlan.Sending();
+    }
+    return aPlan.After(aResult, kNow, this->budget);
+  }
+
+  RetryBudget budget{ 0, 100 };
+};
+
+TEST_F(ExchangePlanTest, BrokenNonRepeatableCallFails)
+{
+  ExchangePlan plan(MakeLimits(false, 3));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::Fail);
+}
+
+TEST_F(ExchangePlanTest, BrokenRepeatableCallIsRetried)
+{
+  ExchangePlan plan(MakeLimits(true, 2));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::TryAnother);
+  EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::Fail);
+}
+
+TEST_F(ExchangePlanTest, RefusedNonRepeatableCallIsRetried)
+{
+  ExchangePlan plan(MakeLimits(false, 2));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Refused), ExchangeStep::TryAnother);
+  EXPECT_EQ(this->Send(plan, AttemptResult::Refused), ExchangeStep::Refuse);
+}
+
+TEST_F(ExchangePlanTest, CallThatMayHaveRunIsNeverRefused)
+{
+  ExchangePlan plan(MakeLimits(true, 2));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::TryAnother);
+  EXPECT_EQ(this->Send(plan, AttemptResult::Refused), ExchangeStep::Fail);
+}
+
+TEST_F(ExchangePlanTest, UnreachableTargetsTakeNothingFromTheBudget)
+{
+  this->budget = RetryBudget(0, 0);
+  ExchangePlan plan(MakeLimits(false, 1));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Unreachable), ExchangeStep::TryAnother);
+  EXPECT_EQ(this->Send(plan, AttemptResult::Delivered), ExchangeStep::Done);
+}
+
+TEST_F(ExchangePlanTest, UnreachableTargetsAreLimited)
+{
+  ExchangePlan plan(MakeLimits(false, 1));
+  for (std::uint64_t tried = 1; tried < ExchangePlan::kMaxUnreachable; ++tried) {
+    EXPECT_EQ(this->Send(plan, AttemptResult::Unreachable), ExchangeStep::TryAnother);
+  }
+  EXPECT_EQ(this->Send(plan, AttemptResult::Unreachable), ExchangeStep::Refuse);
+}
+
+TEST_F(ExchangePlanTest, EmptyBudgetEndsTheCall)
+{
+  this->budget = RetryBudget(0, 0);
+  ExchangePlan plan(MakeLimits(true, 3));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Failed), ExchangeStep::PassOn);
+}
+
+TEST_F(ExchangePlanTest, ExpiredCallIsNotRetried)
+{
+  ExchangePlan sent(MakeLimits(true, 3));
+  EXPECT_EQ(this->Send(sent, AttemptResult::Expired), ExchangeStep::Expire);
+  ExchangePlan unsent(MakeLimits(true, 3));
+  unsent.Begin(AttemptId("a"), TargetId("t"));
+  EXPECT_EQ(unsent.After(AttemptResult::Expired, kNow, this->budget), ExchangeStep::Refuse);
+}
+
+TEST_F(ExchangePlanTest, PartlyDeliveredAnswerIsCutOff)
+{
+  ExchangePlan plan(MakeLimits(false, 3));
+  plan.Begin(AttemptId("a"), TargetId("t"));
+  plan.Sending();
+  plan.NotePassedOn();
+  EXPECT_EQ(plan.After(AttemptResult::Broken, kNow, this->budget), ExchangeStep::CutOff);
+}
+
+TEST_F(ExchangePlanTest, TooLittleTimeLeftEndsTheCall)
+{
+  ExchangePlan plan(MakeLimits(true, 3));
+  plan.Begin(AttemptId("a"), TargetId("t"));
+  plan.Sending();
+  const MonotonicTime late = plan.Limits().endsAt - std::chrono::milliseconds(10);
+  EXPECT_EQ(plan.After(AttemptResult::Broken, late, this->budget), ExchangeStep::Fail);
+}
+
+// For any sequence of results: a call that is not repeatable is sent again only after targets
+// stated that they did not run it, no call is sent to more targets than its route allows, and it is
+// refused as "not run" only when that is true.
+RC_GTEST_PROP(ExchangePlanProperties, NonRepeatableCallsRunAtMostOnceAndRefusalsAreTrue, ())
+{
+  const bool repeatable = *rc::gen::arbitrary<bool>();
+  const auto most = *rc::gen::inRange<std::uint64_t>(1, 4);
+  RetryBudget budget(0, *rc::gen::inRange(0, 4));
+  ExchangePlan plan(MakeLimits(repeatable, most));
+  bool mayHaveRun = false;
+  std::uint64_t sends = 0;
+  ExchangeStep step = ExchangeStep::TryAnother;
+  while (step == ExchangeStep::TryAnother) {
+    RC_ASSERT(repeatable || !mayHaveRun);
+    plan.Begin(AttemptId("a"), TargetId("t"));
+    const auto end = *rc::gen::element(AttemptResult::Unreachable,
+                                       AttemptResult::Refused,
+                                       AttemptResult::Failed,
+                                       AttemptResult::Broken,
+                                       AttemptResult::Expired);
+    if (end != AttemptResult::Unreachable) {
+      plan.Sending();
+      ++sends;
+    }
+    mayHaveRun = mayHaveRun || (end != AttemptResult::Unreachable && end != AttemptResult::Refused);
+    step = plan.After(end, kNow, budget);
+  }
+  RC_ASSERT(sends <= most);
+  RC_ASSERT(step != ExchangeStep::Refuse || !mayHaveRun);
+}
+
+} // namespace
+} // namespace damasklink
--- /dev/null
+++ b/test/coordination/TargetBoardTest.cpp
@@ -0,0 +1,235 @@
+#include "damasklink/coordination/TargetBoard.h"
+
+#include <algorithm>
+
+#include <gtest/gtest.h>
+#include <rapidcheck/gtest.h>
+
+namespace damasklink {
+namespace {
+
+const HostId kFirst("control-1");
+const HostId kSecond("control-2");
+const ServiceName kService("s");
+
+TargetStatement
+MakeUpdate(const std::string& aTarget, std::uint64_t aSequence, TargetStanding aStanding)
+{
+  TargetStatement update;
+  update.record.id = TargetId(aTarget);
+  update.record.service = kService;
+  update.record.sequence = Sequence(aSequence);
+  update.standing = aStanding;
+  return update;
+}
+
+class TargetBoardTest : public ::testing::Test
+{
+protected:
+  TargetBoardTest()
+  {
+    this->board.OnLink(kFirst, true);
+    this->board.OnLink(kSecond, true);
+  }
+
+  std::size_t Usable() const { return this->board.Usable(kService).size(); }
+
+  TargetBoard board;
+};
+
+TEST_F(TargetBoardTest, ReportedTargetIsUsable)
+{
+  this->board.Take(kFirst, MakeUpdate("t", 1, TargetStanding::Usable));
+  EXPECT_EQ(this->Usable(), 1U);
+  EXPECT_TRUE(this->board.Usable(ServiceName("other")).empty());
+}
+
+TEST_F(TargetBoardTest, LeavingTargetStaysRemoved)
+{
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Leaving));
+  this->board.Take(kSecond, MakeUpdate("t", 6, TargetStanding::Usable));
+  EXPECT_EQ(this->Usable(), 0U);
+}
+
+TEST_F(TargetBoardTest, TargetIsUsableWhileAnyConnectedHostReportsIt)
+{
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Silent));
+  this->board.Take(kSecond, MakeUpdate("t", 5, TargetStanding::Usable));
+  this->board.Take(kFirst, MakeUpdate("u", 5, TargetStanding::Usable));
+  EXPECT_EQ(this->Usable(), 2U);
+}
+
+TEST_F(TargetBoardTest, ConnectedHostOverridesDisconnectedOne)
+{
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Silent));
+  this->board.Take(kFirst, MakeUpdate("u", 5, TargetStanding::Usable));
+  this->board.Take(kSecond, MakeUpdate("t", 4, TargetStanding::Usable));
+  this->board.OnLink(kSecond, false);
+  EXPECT_EQ(this->Usable(), 1U);
+}
+
+TEST_F(TargetBoardTest, LastReportsCountWithoutConnectedHosts)
+{
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Usable));
+  this->board.OnLink(kFirst, false);
+  this->board.OnLink(kSecond, false);
+  EXPECT_EQ(this->Usable(), 1U);
+}
+
+TEST_F(TargetBoardTest, SilentTargetsAreUsedWithoutAlternatives)
+{
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Silent));
+  EXPECT_EQ(this->Usable(), 1U);
+}
+
+TEST_F(TargetBoardTest, PausedTargetIsUnusedWhileAnotherIsUsable)
+{
+  TargetStatement paused = MakeUpdate("t", 5, TargetStanding::Usable);
+  paused.paused = true;
+  this->board.Take(kFirst, paused);
+  this->board.Take(kFirst, MakeUpdate("u", 5, TargetStanding::Usable));
+  ASSERT_EQ(this->Usable(), 1U);
+  EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("u"));
+}
+
+TEST_F(TargetBoardTest, MarkRemovedHidesTheTarget)
+{
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetStanding::Usable));
+  this->board.MarkRemoved(TargetId("t"));
+  EXPECT_EQ(this->Usable(), 0U);
+  EXPECT_EQ(this->board.Find(TargetId("t")), nullptr);
+}
+
+TEST_F(TargetBoardTest, OldestRemovedTargetsAreForgotten)
+{
+  for (std::size_t number = 0; number <= TargetBoard::kMaxRemoved; ++number) {
+    const std::string id = "t" + std::to_string(number);
+    this->board.Take(kFirst, MakeUpdate(id, 1, TargetStanding::Usable));
+    this->board.MarkRemoved(TargetId(id));
+  }
+  // Only the oldest removed target, t0, is forgotten and may return.
+  this->board.Take(kFirst, MakeUpdate("t0", 2, TargetStanding::Usable));
+  this->board.Take(kFirst, MakeUpdate("t1", 2, TargetStanding::Usable));
+  ASSERT_EQ(this->Usable(), 1U);
+  EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("t0"));
+}
+
+TEST_F(TargetBoardTest, OlderRecordDoesNotReplaceTheNewerOne)
+{
+  TargetStatement newer = MakeUpdate("t", 5, TargetStanding::Usable);
+  newer.record.load.slots = 7;
+  this->board.Take(kFirst, newer);
+  this->board.Take(kSecond, MakeUpdate("t", 4, TargetStanding::Usable));
+  EXPECT_EQ(this->board.Find(TargetId("t"))->load.slots, 7U);
+}
+
+TargetStatement
+MakeUpdateOf(std::uint64_t aIncarnation, std::uint64_t aSequence, TargetStanding aStanding)
+{
+  TargetStatement update = MakeUpdate("t", aSequence, aStanding);
+  update.record.incarnation = Incarnation(aIncarnation);
+  return update;
+}
+
+TEST_F(TargetBoardTest, RestartedTargetIsUsableAfterLeaving)
+{
+  this->board.Take(kFirst, MakeUpdateOf(1000, 50, TargetStanding::Leaving));
+  this->board.Take(kSecond, MakeUpdateOf(2000, 1, TargetStanding::Usable));
+  EXPECT_EQ(this->Usable(), 1U);
+  ASSERT_EQ(this->board.TakeRestarted().size(), 1U);
+  EXPECT_TRUE(this->board.TakeRestarted().empty());
+}
+
+TEST_F(TargetBoardTest, UpdatesOfAnEarlierIncarnationAreIgnored)
+{
+  this->board.Take(kFirst, MakeUpdateOf(2000, 1, TargetStanding::Usable));
+  this->board.Take(kSecond, MakeUpdateOf(1000, 50, TargetStanding::Leaving));
+  EXPECT_EQ(this->Usable(), 1U);
+  EXPECT_EQ(this->board.Find(TargetId("t"))->sequence, Sequence(1));
+  EXPECT_TRUE(this->board.TakeRestarted().empty());
+}
+
+TEST_F(TargetBoardTest, RemovedTargetReturnsWithItsNextIncarnation)
+{
+  this->board.Take(kFirst, MakeUpdateOf(1000, 5, TargetStanding::Usable));
+  this->board.MarkRemoved(TargetId("t"));
+  this->board.Take(kFirst, MakeUpdateOf(1000, 6, TargetStanding::Usable));
+  EXPECT_EQ(this->Usable(), 0U);
+  this->board.Take(kFirst, MakeUpdateOf(2000, 1, TargetStanding::Usable));
+  EXPECT_EQ(this->Usable(), 1U);
+}
+
+TEST_F(TargetBoardTest, DiscoveredTargetsAreReturnedOnce)
+{
+  this->board.Take(kFirst, MakeUpdate("t", 1, TargetStanding::Usable));
+  this->board.Take(kSecond, MakeUpdate("t", 2, TargetStanding::Usable));
+  this->board.Take(kFirst, MakeUpdate("old", 1, TargetStanding::Silent));
+  const std::vector<TargetRecord> discovered = this->board.TakeDiscovered();
+  ASSERT_EQ(discovered.size(), 1U);
+  EXPECT_EQ(discovered[0].id, TargetId("t"));
+  EXPECT_TRUE(this->board.TakeDiscovered().empty());
+}
+
+TEST_F(TargetBoardTest, ZoneIsMostlySilentAboveHalf)
+{
+  this->board.Take(kFirst, MakeUpdate("a", 1, TargetStanding::Usable));
+  this->board.Take(kFirst, MakeUpdate("b", 1, TargetStanding::Silent));
+  EXPECT_FALSE(this->board.IsMostlySilent(ZoneId()));
+  this->board.Take(kFirst, MakeUpdate("c", 1, TargetStanding::Silent));
+  EXPECT_TRUE(this->board.IsMostlySilent(ZoneId()));
+}
+
+// Updates may arrive late and in any order: the board must depend only on those about the
+// newest incarnation of a target.
+RC_GTEST_PROP(TargetBoardProperty, EarlierIncarnationsLeaveNoTrace, ())
+{
+  struct Report
+  {
+    unsigned incarnation;
+    unsigned sequence;
+    unsigned standing;
+    bool second;
+  };
+  const auto anyReport = rc::gen::construct<Report>(rc::gen::inRange(1U, 4U),
+                                                    rc::gen::inRange(1U, 6U),
+                                                    rc::gen::inRange(1U, 4U),
+                                                    rc::gen::arbitrary<bool>());
+  const auto reports = *rc::gen::nonEmpty(rc::gen::container<std::vector<Report>>(anyReport));
+  unsigned newest = 0;
+  for (const Report& report : reports) {
+    newest = std::max(newest, report.incarnation);
+  }
+  TargetBoard all;
+  TargetBoard newestOnly;
+  for (TargetBoard* board : { &all, &newestOnly }) {
+    board->OnLink(kFirst, true);
+    board->OnLink(kSecond, true);
+  }
+  for (const Report& report : reports) {
+    const HostId& host = report.second ? kSecond : kFirst;
+    const auto standing = static_cast<TargetStanding>(report.standing);
+    all.Take(host, MakeUpdateOf(report.incarnation, report.sequence, standing));
+    if (report.incarnation == newest) {
+      newestOnly.Take(host, MakeUpdateOf(report.incarnation, report.sequence, standing));
+    }
+  }
+  RC_ASSERT(all.Usable(kService) == newestOnly.Usable(kService));
+}
+
+TEST_F(TargetBoardTest, EvacuatedZoneIsUnusableEvenWithoutAlternatives)
+{
+  const ZoneId zone("hall");
+  TargetStatement update = MakeUpdate("t", 1, TargetStanding::Usable);
+  update.record.zone = zone;
+  this->board.Take(kFirst, update);
+  this->board.SetEvacuated({ zone });
+  EXPECT_EQ(this->Usable(), 0U);
+  EXPECT_EQ(this->board.InZone(zone).size(), 1U);
+  this->board.Take(kFirst, MakeUpdate("u", 1, TargetStanding::Usable));
+  EXPECT_EQ(this->Usable(), 1U);
+  this->board.SetEvacuated({});
+  EXPECT_EQ(this->Usable(), 2U);
+}
+
+} // namespace
+} // namespace damasklink
--- a/test/coordination/TargetSelectorTest.cpp
+++ b/test/coordination/TargetPickerTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetSelector.h"
+#include "damasklink/coordination/TargetPicker.h"
 
 #include <map>
 #include <string>
@@ -17,41 +17,41 @@
   return record;
 }
 
-class TargetSelectorTest : public ::testing::Test
+class TargetPickerTest : public ::testing::Test
 {
 protected:
   // The tests use calls with a prompt unless they set promptTokens to zero.
-  TargetSelectorTest() { this->request.promptTokens = TokenCount(1); }
+  TargetPickerTest() { this->request.promptTokens = TokenCount(1); }
 
   std::string Choose()
   {
-    const TargetRecord* chosen = this->selector.Choose(this->request, this->targets);
+    const TargetRecord* chosen = this->picker.Choose(this->request, this->targets);
     return chosen == nullptr ? "" : chosen->id.Value();
   }
 
   void AddRequests(const std::string& aId, int aRequests)
   {
     for (int index = 0; index < aRequests; ++index) {
-      this->selector.OnSent(TargetId(aId), SelectionRequest{}, CallLoad{});
+      this->picker.OnSent(TargetId(aId), SelectionRequest{}, CallLoad{});
     }
   }
 
   ManualClock clock;
   TargetHealth health{ this->clock, 1 };
   ZoneReach reach{ this->clock, 1 };
-  TargetSelector selector{ this->health, this->reach, 1 };
+  TargetPicker picker{ this->health, this->reach, 1 };
   SelectionRequest request;
   std::vector<TargetRecord> targets{ Target("a", "z"), Target("b", "z"), Target("c", "z") };
 };
 
-TEST_F(TargetSelectorTest, LeastLoadedTargetIsChosen)
+TEST_F(TargetPickerTest, LeastLoadedTargetIsChosen)
 {
   this->AddRequests("a", 3);
   this->AddRequests("c", 2);
   EXPECT_EQ(this->Choose(), "b");
 }
 
-TEST_F(TargetSelectorTest, CallsWithoutPromptSpreadOverSimilarlyLoadedTargets)
+TEST_F(TargetPickerTest, CallsWithoutPromptSpreadOverSimilarlyLoadedTargets)
 {
   this->request.promptTokens = TokenCount();
   this->AddRequests("a", 2);
@@ -65,7 +65,7 @@
   EXPECT_GT(chosen["c"], 70);
 }
 
-TEST_F(TargetSelectorTest, CallsWithoutPromptMostlyAvoidAnOverloadedTarget)
+TEST_F(TargetPickerTest, CallsWithoutPromptMostlyAvoidAnOverloadedTarget)
 {
   this->request.promptTokens = TokenCount();
   this->AddRequests("a", 40);
@@ -79,18 +79,18 @@
   EXPECT_LT(chosen, 60);
 }
 
-TEST_F(TargetSelectorTest, EndedRequestsNoLongerCount)
+TEST_F(TargetPickerTest, EndedRequestsNoLongerCount)
 {
   this->AddRequests("a", 3);
   this->AddRequests("b", 1);
   this->AddRequests("c", 3);
-  this->selector.OnEnd(TargetId("a"), CallLoad{});
-  this->selector.OnEnd(TargetId("a"), CallLoad{});
-  this->selector.OnEnd(TargetId("a"), CallLoad{});
+  this->picker.OnEnd(TargetId("a"), CallLoad{});
+  this->picker.OnEnd(TargetId("a"), CallLoad{});
+  this->picker.OnEnd(TargetId("a"), CallLoad{});
   EXPECT_EQ(this->Choose(), "a");
 }
 
-TEST_F(TargetSelectorTest, ExcludedTargetsAreNotChosen)
+TEST_F(TargetPickerTest, ExcludedTargetsAreNotChosen)
 {
   this->request.excluded = { TargetId("a"), TargetId("b") };
   EXPECT_EQ(this->Choose(), "c");
@@ -98,36 +98,36 @@
   EXPECT_EQ(this->Choose(), "");
 }
 
-TEST_F(TargetSelectorTest, OwnZoneIsPreferredAtEqualLoad)
+TEST_F(TargetPickerTest, OwnZoneIsPreferredAtEqualLoad)
 {
   this->targets = { Target("a", "other"), Target("b", "z"), Target("c", "other") };
   this->request.zone = ZoneId("z");
   EXPECT_EQ(this->Choose(), "b");
 }
 
-TEST_F(TargetSelectorTest, TargetWithTheCachedPartIsChosen)
+TEST_F(TargetPickerTest, TargetWithTheCachedPartIsChosen)
 {
   this->request.promptTokens = TokenCount(9000);
   this->request.parts = { SizedPart{ PartKey(1), TokenCount(8000) } };
-  this->selector.Held().OnRead(TargetId("c"), this->request.parts);
+  this->picker.Held().OnRead(TargetId("c"), this->request.parts);
   EXPECT_EQ(this->Choose(), "c");
-  EXPECT_EQ(this->selector.UncachedTokens(this->request, TargetId("c")), TokenCount(1000));
-  EXPECT_EQ(this->selector.UncachedTokens(this->request, TargetId("a")), TokenCount(9000));
+  EXPECT_EQ(this->picker.UncachedTokens(this->request, TargetId("c")), TokenCount(1000));
+  EXPECT_EQ(this->picker.UncachedTokens(this->request, TargetId("a")), TokenCount(9000));
 }
 
-TEST_F(TargetSelectorTest, QueuedPrefillCounts)
+TEST_F(TargetPickerTest, QueuedPrefillCounts)
 {
   SelectionRequest longRequest;
   longRequest.promptTokens = TokenCount(9000);
   CallLoad work;
   work.uncachedTokens = TokenCount(9000);
-  this->selector.OnSent(TargetId("a"), longRequest, work);
+  this->picker.OnSent(TargetId("a"), longRequest, work);
   this->AddRequests("b", 2);
   this->AddRequests("c", 2);
   EXPECT_NE(this->Choose(), "a");
 }
 
-TEST_F(TargetSelectorTest, WeightsBelowTheMinimumAreUsedOnlyWithoutAlternatives)
+TEST_F(TargetPickerTest, WeightsBelowTheMinimumAreUsedOnlyWithoutAlternatives)
 {
   this->targets[0].models = { ServedModel{ ModelName("m"), WeightVersion("1"), {} } };
   this->targets[1].models = { ServedModel{ ModelName("m"), WeightVersion("2"), {} } };
@@ -143,94 +143,94 @@
   EXPECT_NE(this->Choose(), "");
 }
 
-TEST_F(TargetSelectorTest, LoadFromOtherHostsCounts)
+TEST_F(TargetPickerTest, LoadFromOtherHostsCounts)
 {
   const TargetSendsNow many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
   const TargetSendsNow some{ TargetId("b"), 5, TokenCount(), TokenCount(), {} };
-  this->selector.ApplySum(SendsNews{ HostId("other"), { many, some }, {}, {}, false },
-                          this->clock.MonotonicNow());
+  this->picker.ApplySum(SendsNews{ HostId("other"), { many, some }, {}, {}, false },
+                        this->clock.MonotonicNow());
   EXPECT_EQ(this->Choose(), "c");
   const TargetSendsNow none{ TargetId("a"), 0, TokenCount(), TokenCount(), {} };
-  this->selector.ApplySum(SendsNews{ HostId("other"), { none }, {}, {}, false },
-                          this->clock.MonotonicNow());
+  this->picker.ApplySum(SendsNews{ HostId("other"), { none }, {}, {}, false },
+                        this->clock.MonotonicNow());
   this->AddRequests("c", 3);
   EXPECT_EQ(this->Choose(), "a");
 }
 
-TEST_F(TargetSelectorTest, SumsOfSilentControlHostsAreForgotten)
+TEST_F(TargetPickerTest, SumsOfSilentControlHostsAreForgotten)
 {
   const TargetSendsNow many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
-  this->selector.ApplySum(SendsNews{ HostId("gone"), { many }, {}, {}, false },
-                          this->clock.MonotonicNow());
+  this->picker.ApplySum(SendsNews{ HostId("gone"), { many }, {}, {}, false },
+                        this->clock.MonotonicNow());
   this->AddRequests("b", 1);
   this->AddRequests("c", 1);
   EXPECT_NE(this->Choose(), "a");
   this->clock.Advance(std::chrono::seconds(3));
-  this->selector.RemoveSumsBefore(this->clock.MonotonicNow() - std::chrono::seconds(2));
+  this->picker.RemoveSumsBefore(this->clock.MonotonicNow() - std::chrono::seconds(2));
   EXPECT_EQ(this->Choose(), "a");
 }
 
-TEST_F(TargetSelectorTest, OwnLoadInASumIsNotCountedTwice)
+TEST_F(TargetPickerTest, OwnLoadInASumIsNotCountedTwice)
 {
   this->AddRequests("a", 2);
   this->AddRequests("b", 3);
   this->AddRequests("c", 3);
-  this->selector.TakeSends();
+  this->picker.TakeSends();
   const TargetSendsNow sum{ TargetId("a"), 2, TokenCount(), TokenCount(), {} };
-  this->selector.ApplySum(SendsNews{ HostId("hub"), { sum }, {}, {}, false },
-                          this->clock.MonotonicNow());
+  this->picker.ApplySum(SendsNews{ HostId("hub"), { sum }, {}, {}, false },
+                        this->clock.MonotonicNow());
   EXPECT_EQ(this->Choose(), "a") << "the load is 2, not 4";
 }
 
-TEST_F(TargetSelectorTest, FullReportFollowsAChangeOfControlHost)
+TEST_F(TargetPickerTest, FullReportFollowsAChangeOfControlHost)
 {
   this->AddRequests("a", 2);
-  this->selector.TakeSends();
-  this->selector.ResendAll();
-  const auto sends = this->selector.TakeSends();
+  this->picker.TakeSends();
+  this->picker.ResendAll();
+  const auto sends = this->picker.TakeSends();
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends.front().requests, 2U);
 }
 
-TEST_F(TargetSelectorTest, SendsAreReportedOnceWithTheirParts)
+TEST_F(TargetPickerTest, SendsAreReportedOnceWithTheirParts)
 {
   this->request.parts = { SizedPart{ PartKey(1), TokenCount(800) } };
-  this->selector.OnSent(TargetId("a"), this->request, CallLoad{});
-  const auto sends = this->selector.TakeSends();
+  this->picker.OnSent(TargetId("a"), this->request, CallLoad{});
+  const auto sends = this->picker.TakeSends();
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends.front().requests, 1U);
   EXPECT_EQ(sends.front().parts, this->request.parts);
-  EXPECT_TRUE(this->selector.TakeSends().empty());
-  this->selector.OnEnd(TargetId("a"), CallLoad{});
-  ASSERT_EQ(this->selector.TakeSends().size(), 1U);
+  EXPECT_TRUE(this->picker.TakeSends().empty());
+  this->picker.OnEnd(TargetId("a"), CallLoad{});
+  ASSERT_EQ(this->picker.TakeSends().size(), 1U);
 }
 
-TEST_F(TargetSelectorTest, TargetWithFullMemoryIsAvoided)
+TEST_F(TargetPickerTest, TargetWithFullMemoryIsAvoided)
 {
   this->request.promptTokens = TokenCount(10'000);
   this->request.cacheTokens = TokenCount(100'000);
   this->request.parts = { SizedPart{ PartKey(1), TokenCount(8000) } };
-  this->selector.Held().OnRead(TargetId("a"), this->request.parts);
+  this->picker.Held().OnRead(TargetId("a"), this->request.parts);
   EXPECT_EQ(this->Choose(), "a");
   CallLoad longRequest;
   longRequest.memory = TokenCount(95'000);
-  this->selector.OnSent(TargetId("a"), SelectionRequest{}, longRequest);
+  this->picker.OnSent(TargetId("a"), SelectionRequest{}, longRequest);
   EXPECT_NE(this->Choose(), "a");
 }
 
-TEST_F(TargetSelectorTest, HolderInTheSameZoneIsPreferred)
+TEST_F(TargetPickerTest, HolderInTheSameZoneIsPreferred)
 {
   this->targets = { Target("a", "far"), Target("b", "near"), Target("c", "near") };
   const SizedPart part{ PartKey(1), TokenCount(800) };
-  EXPECT_EQ(this->selector.FindHolder(part, this->targets, this->targets[2]), nullptr);
-  this->selector.Held().OnRead(TargetId("a"), { part });
-  this->selector.Held().OnRead(TargetId("c"), { part });
-  EXPECT_EQ(this->selector.FindHolder(part, this->targets, this->targets[2])->id, TargetId("a"));
-  this->selector.Held().OnRead(TargetId("b"), { part });
-  EXPECT_EQ(this->selector.FindHolder(part, this->targets, this->targets[2])->id, TargetId("b"));
+  EXPECT_EQ(this->picker.FindHolder(part, this->targets, this->targets[2]), nullptr);
+  this->picker.Held().OnRead(TargetId("a"), { part });
+  this->picker.Held().OnRead(TargetId("c"), { part });
+  EXPECT_EQ(this->picker.FindHolder(part, this->targets, this->targets[2])->id, TargetId("a"));
+  this->picker.Held().OnRead(TargetId("b"), { part });
+  EXPECT_EQ(this->picker.FindHolder(part, this->targets, this->targets[2])->id, TargetId("b"));
 }
 
-TEST_F(TargetSelectorTest, EjectedTargetIsNotChosen)
+TEST_F(TargetPickerTest, EjectedTargetIsNotChosen)
 {
   for (int failure = 0; failure < TargetHealth::kConsecutiveFailures; ++failure) {
     this->health.OnEnd(TargetId("a"), HealthSignal::Bad);
@@ -240,7 +240,7 @@
   EXPECT_NE(this->Choose(), "a");
 }
 
-TEST_F(TargetSelectorTest, TargetsOfAnUnreachableZoneAreTheLastChoice)
+TEST_F(TargetPickerTest, TargetsOfAnUnreachableZoneAreTheLastChoice)
 {
   this->targets = { Target("a", "near"), Target("b", "far"), Target("c", "far") };
   for (const char* gone : { "b", "c", "d" }) {
@@ -252,7 +252,7 @@
   EXPECT_NE(this->Choose(), "");
 }
 
-TEST_F(TargetSelectorTest, EjectedTargetsAreUsedWhenMostAreEjected)
+TEST_F(TargetPickerTest, EjectedTargetsAreUsedWhenMostAreEjected)
 {
   for (const char* id : { "a", "b" }) {
     for (int failure = 0; failure < TargetHealth::kConsecutiveFailures; ++failure) {
@@ -263,46 +263,46 @@
   EXPECT_NE(this->Choose(), "c");
 }
 
-TEST_F(TargetSelectorTest, RestartClearsCachedPartsAndLoad)
+TEST_F(TargetPickerTest, RestartClearsCachedPartsAndLoad)
 {
   this->request.parts = { SizedPart{ PartKey(1), TokenCount(9000) } };
   this->request.promptTokens = TokenCount(12'000);
   CallLoad lost;
   lost.uncachedTokens = TokenCount(12'000);
   lost.incarnation = Incarnation(1);
-  this->selector.OnSent(TargetId("a"), this->request, lost);
+  this->picker.OnSent(TargetId("a"), this->request, lost);
   TargetRecord restarted = Target("a", "z");
   restarted.incarnation = Incarnation(2);
-  this->selector.OnRestart(restarted);
-  EXPECT_EQ(this->selector.UncachedTokens(this->request, TargetId("a")), TokenCount(12'000));
+  this->picker.OnRestart(restarted);
+  EXPECT_EQ(this->picker.UncachedTokens(this->request, TargetId("a")), TokenCount(12'000));
   CallLoad running;
   running.uncachedTokens = TokenCount(5000);
   running.incarnation = Incarnation(2);
-  this->selector.OnSent(TargetId("a"), SelectionRequest{}, running);
+  this->picker.OnSent(TargetId("a"), SelectionRequest{}, running);
   // The call to the earlier incarnation ends late and must not affect the running one.
-  this->selector.OnFirstEvent(TargetId("a"), lost);
-  this->selector.OnEnd(TargetId("a"), lost);
-  const std::vector<TargetSendsNow> sends = this->selector.TakeSends();
+  this->picker.OnFirstEvent(TargetId("a"), lost);
+  this->picker.OnEnd(TargetId("a"), lost);
+  const std::vector<TargetSendsNow> sends = this->picker.TakeSends();
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_EQ(sends.front().requests, 1U);
   EXPECT_EQ(sends.front().unread, TokenCount(5000));
 }
 
 // A long prompt that the other hosts learn of within a millisecond gets no calls sent behind it.
-TEST_F(TargetSelectorTest, LongPrefillIsReportedAtOnce)
+TEST_F(TargetPickerTest, LongPrefillIsReportedAtOnce)
 {
   CallLoad work;
-  work.uncachedTokens = TokenCount(TargetSelector::kLongPrefill - 1);
-  this->selector.OnSent(TargetId("a"), this->request, work);
-  EXPECT_FALSE(this->selector.HasUrgentSends());
-  work.uncachedTokens = TokenCount(TargetSelector::kLongPrefill);
-  this->selector.OnSent(TargetId("a"), this->request, work);
-  EXPECT_TRUE(this->selector.HasUrgentSends());
-  this->selector.TakeSends();
-  EXPECT_FALSE(this->selector.HasUrgentSends());
+  work.uncachedTokens = TokenCount(TargetPicker::kLongPrefill - 1);
+  this->picker.OnSent(TargetId("a"), this->request, work);
+  EXPECT_FALSE(this->picker.HasUrgentSends());
+  work.uncachedTokens = TokenCount(TargetPicker::kLongPrefill);
+  this->picker.OnSent(TargetId("a"), this->request, work);
+  EXPECT_TRUE(this->picker.HasUrgentSends());
+  this->picker.TakeSends();
+  EXPECT_FALSE(this->picker.HasUrgentSends());
 }
 
-TEST_F(TargetSelectorTest, FirstEventsBehindOtherPrefillsAreNotMeasured)
+TEST_F(TargetPickerTest, FirstEventsBehindOtherPrefillsAreNotMeasured)
 {
   this->request.model = ModelName("m");
   CallLoad work;
@@ -310,21 +310,20 @@
   work.queuedBehindOthers = true;
   const Duration took = std::chrono::milliseconds(900);
   for (int observation = 0; observation < 20; ++observation) {
-    EXPECT_FALSE(this->selector.RecordFirstEvent(TargetId("a"), this->request, work, false, took));
+    EXPECT_FALSE(this->picker.RecordFirstEvent(TargetId("a"), this->request, work, false, took));
   }
-  EXPECT_EQ(this->selector.LatencyModelOf(this->request.model).MillisecondsPerToken(),
-            EngineLatencyModel::kDefaultPerToken);
+  EXPECT_EQ(this->picker.PaceOf(this->request.model).MillisecondsPerToken(),
+            EnginePace::kDefaultPerToken);
   work.queuedBehindOthers = false;
   for (int observation = 0; observation < 20; ++observation) {
-    EXPECT_TRUE(this->selector.RecordFirstEvent(TargetId("a"), this->request, work, false, took));
+    EXPECT_TRUE(this->picker.RecordFirstEvent(TargetId("a"), this->request, work, false, took));
   }
-  EXPECT_NEAR(
-    this->selector.LatencyModelOf(this->request.model).MillisecondsPerToken(), 0.084, 0.001);
+  EXPECT_NEAR(this->picker.PaceOf(this->request.model).MillisecondsPerToken(), 0.084, 0.001);
 }
 
 // Transferring a part of 12,800 tokens takes 67 ms within the zone of its store and twice as long
 // to another zone: more than a few more requests at the target cost.
-TEST_F(TargetSelectorTest, LongStoredPartDrawsTheCallToTheZoneOfItsStore)
+TEST_F(TargetPickerTest, LongStoredPartDrawsTheCallToTheZoneOfItsStore)
 {
   this->targets = { Target("far", "z"), Target("near", "store") };
   this->request.zone = ZoneId("z");
@@ -341,62 +340,61 @@
 // Guards against refusing prompts because they are long: engines that prefill 38 tokens a
 // millisecond get prompts of up to 46,000 tokens among many short ones, and all of them wait
 // equally long.
-TEST_F(TargetSelectorTest, ExpectedWaitIsIndependentOfPromptLength)
+TEST_F(TargetPickerTest, ExpectedWaitIsIndependentOfPromptLength)
 {
   this->request.model = ModelName("m");
   for (int observation = 0; observation < 20; ++observation) {
     CallLoad read;
     read.uncachedTokens = TokenCount(10'000);
-    this->selector.RecordFirstEvent(
+    this->picker.RecordFirstEvent(
       TargetId("a"), this->request, read, false, std::chrono::milliseconds(323));
   }
   CallLoad waiting;
   waiting.uncachedTokens = TokenCount(10'000);
-  this->selector.OnSent(TargetId("a"), SelectionRequest{}, waiting);
+  this->picker.OnSent(TargetId("a"), SelectionRequest{}, waiting);
   this->request.promptTokens = TokenCount(300);
-  const Duration wait = this->selector.ExpectedWait(this->request, this->targets.front());
-  const Duration firstEvent =
-    this->selector.ExpectedFirstEvent(this->request, this->targets.front());
+  const Duration wait = this->picker.ExpectedWait(this->request, this->targets.front());
+  const Duration firstEvent = this->picker.ExpectedFirstEvent(this->request, this->targets.front());
   this->request.promptTokens = TokenCount(46'000);
-  EXPECT_EQ(this->selector.ExpectedWait(this->request, this->targets.front()), wait);
-  EXPECT_GT(this->selector.ExpectedFirstEvent(this->request, this->targets.front()), firstEvent);
+  EXPECT_EQ(this->picker.ExpectedWait(this->request, this->targets.front()), wait);
+  EXPECT_GT(this->picker.ExpectedFirstEvent(this->request, this->targets.front()), firstEvent);
   // 10,000 tokens at the learnt rate, a little longer because tokens of others are generated
   // meanwhile.
   EXPECT_NEAR(std::chrono::duration<double>(wait).count(), 0.368, 0.02);
 }
 
 // With few slots and short prompts, the slots of an engine are full long before its memory is.
-TEST_F(TargetSelectorTest, ExpectedWaitCountsFullSlots)
+TEST_F(TargetPickerTest, ExpectedWaitCountsFullSlots)
 {
   constexpr int kSlots = 16;
   for (TargetRecord& target : this->targets) {
     target.load.slots = kSlots;
   }
   for (int run = 0; run < 2'000; ++run) {
-    this->selector.RecordRun(this->request.model, std::chrono::milliseconds(320));
+    this->picker.RecordRun(this->request.model, std::chrono::milliseconds(320));
   }
   this->AddRequests("a", kSlots - 1);
   const TargetRecord& target = this->targets.front();
-  EXPECT_EQ(this->selector.ExpectedWait(this->request, target), Duration(0));
+  EXPECT_EQ(this->picker.ExpectedWait(this->request, target), Duration(0));
   // Of 16 requests of 320 ms each, one ends every 20 ms; 17 must end before this one begins.
   this->AddRequests("a", kSlots + 1);
-  EXPECT_GE(this->selector.ExpectedWait(this->request, target), std::chrono::milliseconds(340));
+  EXPECT_GE(this->picker.ExpectedWait(this->request, target), std::chrono::milliseconds(340));
   // A target with fewer requests is chosen instead, though a prompt waits for prefill there.
   CallLoad reading;
   reading.uncachedTokens = TokenCount(12'000);
-  this->selector.OnSent(TargetId("b"), SelectionRequest{}, reading);
+  this->picker.OnSent(TargetId("b"), SelectionRequest{}, reading);
   this->targets.pop_back();
   EXPECT_EQ(this->Choose(), "b");
 }
 
-TEST_F(TargetSelectorTest, UnknownSlotsAddNoWait)
+TEST_F(TargetPickerTest, UnknownSlotsAddNoWait)
 {
   this->AddRequests("a", 500);
-  EXPECT_EQ(this->selector.ExpectedWait(this->request, this->targets.front()), Duration(0));
+  EXPECT_EQ(this->picker.ExpectedWait(this->request, this->targets.front()), Duration(0));
 }
 
 // A hundred equally loaded targets in five zones, a fifth of them in the host's own zone.
-TEST_F(TargetSelectorTest, MostPromptsStayInTheirZoneAmongManyTargets)
+TEST_F(TargetPickerTest, MostPromptsStayInTheirZoneAmongManyTargets)
 {
   this->targets.clear();
   for (int number = 0; number < 100; ++number) {
@@ -405,7 +403,7 @@
   this->request.zone = ZoneId("z0");
   int sameZone = 0;
   for (int call = 0; call < 200; ++call) {
-    sameZone += this->selector.Choose(this->request, this->targets)->zone == ZoneId("z0") ? 1 : 0;
+    sameZone += this->picker.Choose(this->request, this->targets)->zone == ZoneId("z0") ? 1 : 0;
   }
   EXPECT_GT(sameZone, 180);
   // Calls leave the own zone when its targets are loaded.
@@ -414,12 +412,12 @@
       this->AddRequests(target.id.Value(), 20);
     }
   }
-  EXPECT_NE(this->selector.Choose(this->request, this->targets)->zone, ZoneId("z0"));
+  EXPECT_NE(this->picker.Choose(this->request, this->targets)->zone, ZoneId("z0"));
 }
 
 // Guards against refusing calls when nearly all targets are full, as after restarts when targets
 // take little load: a sample would miss the only one with free memory.
-TEST_F(TargetSelectorTest, CompareAllFindsTheOnlyTargetWithFreeMemory)
+TEST_F(TargetPickerTest, CompareAllFindsTheOnlyTargetWithFreeMemory)
 {
   this->request.cacheTokens = TokenCount(1000);
   this->targets.clear();
@@ -428,7 +426,7 @@
   for (int index = 0; index < 60; ++index) {
     this->targets.push_back(Target("t" + std::to_string(index), "z"));
     if (index != 37) {
-      this->selector.OnSent(this->targets.back().id, SelectionRequest{}, full);
+      this->picker.OnSent(this->targets.back().id, SelectionRequest{}, full);
     }
   }
   this->request.compareAll = true;
--- a/test/program/ExchangeFixture.h
+++ b/test/program/ExchangeFixture.h
@@ -216,7 +216,7 @@
   RetryShares retries{ RetryAllowance{} };
   TargetHealth health{ this->clock, 1 };
   ZoneReach reach{ this->clock, 1 };
-  TargetSelector picker{ this->health, this->reach, 1 };
+  TargetPicker picker{ this->health, this->reach, 1 };
   TargetChannelPool pool{ this->clock };
   StorePace pace{ 1 };
   ComeBack comeBack{ 1 };
