--- a/include/damasklink/coordination/TargetBoard.h
+++ b/include/damasklink/coordination/TargetBoard.h
@@ -35,7 +35,7 @@
 
   // Applies the update of a control host. An earlier update of the same host is replaced; one about
   // an earlier incarnation of the target is ignored.
-  void Take(const HostId& aFrom, const TargetStatement& aStatement);
+  void Take(const HostId& aFrom, const TargetStatement& aUpdate);
 
   // Records whether the control host is connected.
   void OnLink(const HostId& aHost, bool aUp);
@@ -78,7 +78,7 @@
   struct HostReport
   {
     Sequence sequence;
-    TargetStanding standing = TargetStanding::Usable;
+    TargetStanding availability = TargetStanding::Usable;
     bool paused = false;
   };
 
@@ -89,7 +89,7 @@
     bool removed = false;
   };
 
-  void ResetForRestart(const TargetStatement& aStatement, Entry& aEntry);
+  void ResetForRestart(const TargetStatement& aUpdate, Entry& aEntry);
   void MarkEntryRemoved(const TargetId& aTarget, Entry& aEntry);
   bool IsReportedUsable(const Entry& aEntry) const;
   bool IsPaused(const Entry& aEntry) const;
--- a/include/damasklink/coordination/TargetHealth.h
+++ b/include/damasklink/coordination/TargetHealth.h
@@ -50,8 +50,9 @@
   // Ejections because of reports end at random times within this period. It is long compared with
   // the 0.3 s that the report of a failed probe takes to arrive at the other hosts.
   static constexpr Duration kProbeSpread = std::chrono::seconds(5);
-  // Findings that are kept until TakeFindings() is called; it may never be called on some hosts.
-  static constexpr std::size_t kMaxPendingFindings = 1000;
+  // Limits the reports that are kept until TakeReachabilityReports() is called; it may never be
+  // called on some hosts.
+  static constexpr std::size_t kMaxPendingReports = 1000;
 
   TargetHealth(const Clock& aClock, std::uint64_t aSeed)
     : clock(aClock)
@@ -68,12 +69,12 @@
   // count.
   void OnRestart(const TargetId& aTarget);
 
-  // Returns the targets that this host found unreachable, or back, since the last call, to be
-  // reported to the other hosts.
-  std::vector<TargetFindings> TakeFindings();
+  // Returns the targets that this host found unreachable, or reachable again, since the last call,
+  // to be reported to the other hosts.
+  std::vector<TargetFindings> TakeReachabilityReports();
 
-  // Applies the findings of other hosts, which may include those of this host.
-  void Take(const std::vector<TargetFindings>& aFindings);
+  // Applies the reports of other hosts, which may include those of this host.
+  void Take(const std::vector<TargetFindings>& aReports);
 
   // Returns the targets that may be sent a request now: those that are not ejected, and ejected
   // ones as far as they are needed to make up half of the list.
@@ -98,14 +99,14 @@
   };
 
   void Eject(Entry& aEntry);
-  void TakeUnreachable(const TargetFindings& aFindings);
+  void TakeUnreachable(const TargetFindings& aReport);
 
   const Clock& clock;
   std::minstd_rand random;
   // Targets with a failure, or an unreachable report, since their last success.
   std::map<TargetId, Entry> entries;
-  // Findings of this host that TakeFindings() has not returned yet.
-  std::map<TargetId, TargetFindings> pendingFindings;
+  // Reports of this host that TakeReachabilityReports() has not returned yet.
+  std::map<TargetId, TargetFindings> pendingReports;
 };
 
 } // namespace damasklink
--- a/src/coordination/TargetBoard.cpp
+++ b/src/coordination/TargetBoard.cpp
@@ -25,44 +25,43 @@
 } // namespace
 
 void
-TargetBoard::Take(const HostId& aFrom, const TargetStatement& aStatement)
+TargetBoard::Take(const HostId& aFrom, const TargetStatement& aUpdate)
 {
-  const auto [position, isNew] = this->entries.try_emplace(aStatement.record.id);
+  const auto [position, isNew] = this->entries.try_emplace(aUpdate.record.id);
   Entry& entry = position->second;
-  if (!isNew && aStatement.record.incarnation < entry.record.incarnation) {
+  if (!isNew && aUpdate.record.incarnation < entry.record.incarnation) {
     return;
   }
-  if (!isNew && aStatement.record.incarnation > entry.record.incarnation) {
-    this->ResetForRestart(aStatement, entry);
+  if (!isNew && aUpdate.record.incarnation > entry.record.incarnation) {
+    this->ResetForRestart(aUpdate, entry);
   }
-  if (isNew && aStatement.standing == TargetStanding::Usable) {
-    this->discovered.push_back(aStatement.record);
+  if (isNew && aUpdate.standing == TargetStanding::Usable) {
+    this->discovered.push_back(aUpdate.record);
   }
-  if (aStatement.record.sequence >= entry.record.sequence) {
+  if (aUpdate.record.sequence >= entry.record.sequence) {
     const std::vector<ServedModel> before = std::move(entry.record.models);
-    entry.record = aStatement.record;
+    entry.record = aUpdate.record;
     KeepNewerWeights(before, entry.record.models);
   } else {
-    KeepNewerWeights(aStatement.record.models, entry.record.models);
+    KeepNewerWeights(aUpdate.record.models, entry.record.models);
   }
-  entry.reports[aFrom] =
-    HostReport{ aStatement.record.sequence, aStatement.standing, aStatement.paused };
-  if (aStatement.standing == TargetStanding::Leaving) {
-    this->MarkEntryRemoved(aStatement.record.id, entry);
+  entry.reports[aFrom] = HostReport{ aUpdate.record.sequence, aUpdate.standing, aUpdate.paused };
+  if (aUpdate.standing == TargetStanding::Leaving) {
+    this->MarkEntryRemoved(aUpdate.record.id, entry);
   }
   this->Changed();
 }
 
 void
-TargetBoard::ResetForRestart(const TargetStatement& aStatement, Entry& aEntry)
+TargetBoard::ResetForRestart(const TargetStatement& aUpdate, Entry& aEntry)
 {
-  const TargetId& target = aStatement.record.id;
+  const TargetId& target = aUpdate.record.id;
   if (aEntry.removed) {
     this->removed.erase(std::find(this->removed.begin(), this->removed.end(), target));
   }
   aEntry = Entry{};
-  aEntry.record = aStatement.record;
-  this->restarted.push_back(aStatement.record);
+  aEntry.record = aUpdate.record;
+  this->restarted.push_back(aUpdate.record);
 }
 
 void
@@ -163,7 +162,7 @@
   bool reported = false;
   bool lastReportUsable = false;
   for (const auto& [host, report] : aEntry.reports) {
-    const bool usable = report.standing == TargetStanding::Usable;
+    const bool usable = report.availability == TargetStanding::Usable;
     if (this->connected.contains(host)) {
       if (usable) {
         return true;
--- a/src/coordination/TargetHealth.cpp
+++ b/src/coordination/TargetHealth.cpp
@@ -21,9 +21,9 @@
     const auto found = this->entries.find(aTarget);
     if (found != this->entries.end()) {
       if (found->second.reportedUnreachable) {
-        TargetFindings& findings = this->pendingFindings[aTarget];
-        findings.target = aTarget;
-        findings.back = 1;
+        TargetFindings& report = this->pendingReports[aTarget];
+        report.target = aTarget;
+        report.back = 1;
       }
       this->entries.erase(found);
     }
@@ -41,10 +41,10 @@
   entry.probing = false;
   const bool alreadyEjected = this->clock.MonotonicNow() < entry.ejectedUntil;
   if (aSign == HealthSignal::NotReached && !alreadyEjected &&
-      this->pendingFindings.size() < kMaxPendingFindings) {
-    TargetFindings& findings = this->pendingFindings[aTarget];
-    findings.target = aTarget;
-    findings.gone = 1;
+      this->pendingReports.size() < kMaxPendingReports) {
+    TargetFindings& report = this->pendingReports[aTarget];
+    report.target = aTarget;
+    report.gone = 1;
   }
   const bool failed = entry.failures >= kConsecutiveFailures || aSign == HealthSignal::NotReached;
   if (!alreadyEjected && (probeFailed || failed)) {
@@ -56,7 +56,7 @@
 TargetHealth::OnRestart(const TargetId& aTarget)
 {
   this->entries.erase(aTarget);
-  this->pendingFindings.erase(aTarget);
+  this->pendingReports.erase(aTarget);
 }
 
 void
@@ -74,39 +74,39 @@
 }
 
 std::vector<TargetFindings>
-TargetHealth::TakeFindings()
+TargetHealth::TakeReachabilityReports()
 {
-  std::vector<TargetFindings> findings;
-  for (const auto& [target, found] : std::exchange(this->pendingFindings, {})) {
-    findings.push_back(found);
+  std::vector<TargetFindings> reports;
+  for (const auto& [target, report] : std::exchange(this->pendingReports, {})) {
+    reports.push_back(report);
   }
-  return findings;
+  return reports;
 }
 
 void
-TargetHealth::Take(const std::vector<TargetFindings>& aFindings)
+TargetHealth::Take(const std::vector<TargetFindings>& aReports)
 {
-  for (const TargetFindings& findings : aFindings) {
-    if (findings.back > 0) {
+  for (const TargetFindings& report : aReports) {
+    if (report.back > 0) {
       std::erase_if(this->entries, [&](const auto& aItem) {
-        return aItem.first == findings.target && aItem.second.reportedUnreachable;
+        return aItem.first == report.target && aItem.second.reportedUnreachable;
       });
-    } else if (findings.gone > 0) {
-      this->TakeUnreachable(findings);
+    } else if (report.gone > 0) {
+      this->TakeUnreachable(report);
     }
   }
 }
 
 void
-TargetHealth::TakeUnreachable(const TargetFindings& aFindings)
+TargetHealth::TakeUnreachable(const TargetFindings& aReport)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  Entry& entry = this->entries[aFindings.target];
+  Entry& entry = this->entries[aReport.target];
   if (entry.reports == 0 || now - entry.reportsSince > kReportWindow) {
     entry.reports = 0;
     entry.reportsSince = now;
   }
-  entry.reports += aFindings.gone;
+  entry.reports += aReport.gone;
   // A target that has already been ejected because of reports needs only one more, of a failed
   // probe.
   if (!entry.reportedUnreachable && entry.reports < kReportsToEject) {
--- a/src/coordination/TargetRegistry.cpp
+++ b/src/coordination/TargetRegistry.cpp
@@ -50,7 +50,6 @@
   if (!entry.record.leaving) {
     this->MarkOthersSilentAt(entry.record);
   }
-  // A repeated sequence shows that the host which forwards it is alive, not the target.
   return true;
 }
 
@@ -99,7 +98,7 @@
   }
   Entry& entry = found->second;
   if (aSequence <= entry.record.sequence) {
-    // The same word again is no sign of life of the target, only of the host that passes it on.
+    // A repeated sequence shows that the host which forwards it is alive, not the target.
     return true;
   }
   entry.record.sequence = aSequence;
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -395,7 +395,7 @@
   news.urgent = this->picker.HasUrgentSends();
   news.sends = this->picker.TakeSends();
   news.excesses = this->pace.TakeNotes();
-  news.findings = this->health.TakeFindings();
+  news.findings = this->health.TakeReachabilityReports();
   news.crashes = this->crashes.TakeReports();
   news.sound = this->crashes.TakeSound();
   news.limitReports = this->limits.TakeReports();
--- a/test/coordination/TargetHealthTest.cpp
+++ b/test/coordination/TargetHealthTest.cpp
@@ -139,8 +139,8 @@
   this->health.OnEnd(target, HealthSignal::NotReached);
   this->health.OnEnd(target, HealthSignal::NotReached);
   const std::vector<TargetFindings> expected{ TargetFindings{ target, 1, 0 } };
-  EXPECT_EQ(this->health.TakeFindings(), expected);
-  EXPECT_TRUE(this->health.TakeFindings().empty());
+  EXPECT_EQ(this->health.TakeReachabilityReports(), expected);
+  EXPECT_TRUE(this->health.TakeReachabilityReports().empty());
 }
 
 TEST_F(TargetHealthTest, RecoveryOfAReportedTargetIsReportedOnce)
@@ -149,9 +149,9 @@
   this->health.Take({ TargetFindings{ target, TargetHealth::kReportsToEject, 0 } });
   this->health.OnEnd(target, HealthSignal::Good);
   const std::vector<TargetFindings> expected{ TargetFindings{ target, 0, 1 } };
-  EXPECT_EQ(this->health.TakeFindings(), expected);
+  EXPECT_EQ(this->health.TakeReachabilityReports(), expected);
   this->health.OnEnd(target, HealthSignal::Good);
-  EXPECT_TRUE(this->health.TakeFindings().empty());
+  EXPECT_TRUE(this->health.TakeReachabilityReports().empty());
 }
 
 } // namespace
--- a/test/coordination/TargetPickerTest.cpp
+++ b/test/coordination/TargetPickerTest.cpp
@@ -243,8 +243,8 @@
 TEST_F(TargetPickerTest, TargetsOfAnUnreachableZoneAreTheLastChoice)
 {
   this->targets = { Target("a", "near"), Target("b", "far"), Target("c", "far") };
-  for (const char* gone : { "b", "c", "d" }) {
-    this->reach.OnEnd(ZoneId("far"), TargetId(gone), HealthSignal::NotReached);
+  for (const char* unreachable : { "b", "c", "d" }) {
+    this->reach.OnEnd(ZoneId("far"), TargetId(unreachable), HealthSignal::NotReached);
   }
   this->AddRequests("a", 50);
   EXPECT_EQ(this->Choose(), "a");
@@ -380,9 +380,9 @@
   this->AddRequests("a", kSlots + 1);
   EXPECT_GE(this->picker.ExpectedWait(this->request, target), std::chrono::milliseconds(340));
   // A target with fewer requests is chosen instead, though a prompt waits for prefill there.
-  CallLoad reading;
-  reading.uncachedTokens = TokenCount(12'000);
-  this->picker.OnSent(TargetId("b"), SelectionRequest{}, reading);
+  CallLoad prefill;
+  prefill.uncachedTokens = TokenCount(12'000);
+  this->picker.OnSent(TargetId("b"), SelectionRequest{}, prefill);
   this->targets.pop_back();
   EXPECT_EQ(this->Choose(), "b");
 }
