--- a/include/damasklink/coordination/CostRouter.h
+++ b/include/damasklink/coordination/CostRouter.h
@@ -59,8 +59,8 @@
 //
 // Among targets of equal cost a hash of the prompt decides: hosts that see the same reports send
 // different prompts to different targets, and the same prompt to the same target. A prefix that is
-// used often is therefore copied to another target as soon as waiting at its holder costs more than
-// computing it there; one that is used rarely stays where it is.
+// used often is therefore computed on another target as soon as waiting at its holder costs more
+// than that; one that is used rarely stays where it is.
 //
 //   CostRouter router(clock, CostRouterOptions());
 //   auto decision = router.Choose(request, targets);
--- a/include/damasklink/coordination/ExchangePlan.h
+++ b/include/damasklink/coordination/ExchangePlan.h
@@ -81,7 +81,7 @@
   void Sending();
 
   // Tells that part of the answer has been passed on to the caller.
-  void NotePassedOn() { this->passedOn = true; }
+  void MarkPassedOn() { this->passedOn = true; }
 
   // Ends the attempt and returns the next step. TryAnother takes a retry from the budget, unless no
   // earlier attempt can have reached a target.
--- a/include/damasklink/coordination/Router.h
+++ b/include/damasklink/coordination/Router.h
@@ -61,7 +61,7 @@
   TokenCount expectedPrefill;
   // Store to import from before the prompt is sent; empty for none.
   StoreId importFrom;
-  // The import covers the blocks from the first that the target is not expected to have up to this
+  // The import covers the blocks from the first that the target is not expected to have, up to this
   // number.
   std::uint64_t importBlocks = 0;
   // Leading blocks that the target is expected to have cached.
--- a/include/damasklink/coordination/TargetBoard.h
+++ b/include/damasklink/coordination/TargetBoard.h
@@ -2,8 +2,8 @@
 //
 //   TargetBoard board;
 //   board.Take(controlHost, update);
-//   board.OnLink(controlHost, false);     // Its reports count only where no other host
-//   reports. for (const TargetRecord& target : board.Usable(service)) ...
+//   board.OnLink(controlHost, false);     // Disconnected: its reports lose precedence.
+//   for (const TargetRecord& target : board.Usable(service)) ...
 //
 // - A target that has left stays removed, until a later incarnation of it announces itself under
 //   the same id. Nothing is kept from the earlier incarnation then.
--- a/include/damasklink/coordination/TargetOrders.h
+++ b/include/damasklink/coordination/TargetOrders.h
@@ -98,7 +98,7 @@
 class TargetOrders
 {
 public:
-  TargetOrders(const Clock& aClock, OrderTimings aLimits, const OrderStateMachine& aMachine);
+  TargetOrders(const Clock& aClock, OrderTimings aTimings, const OrderStateMachine& aMachine);
 
   // Returns the actions to take now. Must be called periodically; aLeaseHeld tells whether this
   // host holds the leader's lease.
@@ -163,7 +163,7 @@
   std::size_t CountServing(const Deployment& aDeployment, const TargetRegistry& aTargets) const;
 
   const Clock& clock;
-  OrderTimings limits;
+  OrderTimings timings;
   const OrderStateMachine& machine;
   bool leading = false;
   MonotonicTime leadingSince;
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetPicker.h
@@ -84,8 +84,8 @@
   Incarnation incarnation;
 };
 
-// Coefficients of the cost, in milliseconds unless stated otherwise. EnginePace supplies
-// the figures that are learnt.
+// Coefficients of the cost, in milliseconds unless stated otherwise. EnginePace supplies the
+// figures that are learnt.
 struct SelectionCosts
 {
   // Extra cost of prefill, as a multiple of its duration: an engine prefills one prompt after the
@@ -99,7 +99,8 @@
   // Factor by which prefill takes longer while the engine generates tokens of other requests in
   // between.
   double prefillInterleaving = 1.4;
-  // Lack of memory as large as the target's whole memory: about as long as a request holds its own.
+  // Cost when the memory is exceeded by its whole size: about as long as a request holds its own
+  // memory.
   double memoryOverflow = 1000;
   // Share of a target's memory that running requests may fill at no cost; the rest is left for
   // cached parts.
--- a/include/damasklink/coordination/WeightRollout.h
+++ b/include/damasklink/coordination/WeightRollout.h
@@ -28,6 +28,7 @@
 
 namespace damasklink {
 
+// Time limits and shares of a rollout.
 struct RolloutOptions
 {
   // Minimum time between the orders of two leaders.
@@ -43,7 +44,7 @@
   // Time in which all engines should get their orders, evenly spread: engines that load at the same
   // moment slow each other down, and an engine that waits for its requests to end serves no new
   // ones.
-  Duration duration = std::chrono::milliseconds(5500);
+  Duration rolloutDuration = std::chrono::milliseconds(5500);
   // An engine loads within a second or two. If it does not report the new weights much later than
   // that, its order was lost or will be carried out late.
   Duration orderTimeout = std::chrono::milliseconds(2500);
--- a/src/coordination/TargetOrders.cpp
+++ b/src/coordination/TargetOrders.cpp
@@ -60,10 +60,10 @@
 }
 
 TargetOrders::TargetOrders(const Clock& aClock,
-                           OrderTimings aLimits,
+                           OrderTimings aTimings,
                            const OrderStateMachine& aMachine)
   : clock(aClock)
-  , limits(aLimits)
+  , timings(aTimings)
   , machine(aMachine)
 {
 }
@@ -205,7 +205,7 @@
 TargetOrders::MayOrder(const TargetRecord& aRecord) const
 {
   const Duration leadingFor = this->clock.MonotonicNow() - this->leadingSince;
-  return aRecord.checksFencing || leadingFor >= this->limits.lease + this->limits.orderInFlight;
+  return aRecord.checksFencing || leadingFor >= this->timings.lease + this->timings.orderInFlight;
 }
 
 std::string
--- a/src/coordination/WeightRollout.cpp
+++ b/src/coordination/WeightRollout.cpp
@@ -55,8 +55,8 @@
         continue;
       }
       if (!inProgress) {
-        this->nextStart = std::max(this->nextStart + this->options.duration / serving,
-                                   now - this->options.duration / serving);
+        this->nextStart = std::max(this->nextStart + this->options.rolloutDuration / serving,
+                                   now - this->options.rolloutDuration / serving);
       }
       EngineUpdate& update = this->updates[engine->id];
       if (!inProgress || update.version != version) {
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -423,7 +423,7 @@
   if (this->plan->PassedOn()) {
     co_return co_await this->caller.WritePiece(aEvents);
   }
-  this->plan->NotePassedOn();
+  this->plan->MarkPassedOn();
   this->context.metrics.Observe(Sample::FirstToken,
                                 MetricKey{ WorkspaceId(), this->route->name },
                                 this->context.clock.MonotonicNow() - this->arrived);
--- a/test/coordination/ExchangePlanTest.cpp
+++ b/test/coordination/ExchangePlanTest.cpp
@@ -94,7 +94,7 @@
   ExchangePlan plan(MakeLimits(false, 3));
   plan.Begin(AttemptId("a"), TargetId("t"));
   plan.Sending();
-  plan.NotePassedOn();
+  plan.MarkPassedOn();
   EXPECT_EQ(plan.After(AttemptResult::Broken, kNow, this->budget), ExchangeStep::CutOff);
 }
 
--- a/test/coordination/TargetOrdersTest.cpp
+++ b/test/coordination/TargetOrdersTest.cpp
@@ -67,7 +67,7 @@
   // The new leader has only the replicated state.
   void NewLeader()
   {
-    this->orders = std::make_unique<TargetOrders>(this->clock, this->limits, this->machine);
+    this->orders = std::make_unique<TargetOrders>(this->clock, this->timings, this->machine);
   }
 
   void Step()
@@ -149,7 +149,7 @@
   }
 
   ManualClock clock;
-  OrderTimings limits;
+  OrderTimings timings;
   OrderStateMachine machine;
   TargetRegistry registry{ this->clock, std::chrono::seconds(2) };
   DeploymentSet deployments;
@@ -260,7 +260,7 @@
 TEST(TargetOrdersTest, NewLeaderWaitsBeforeOrderingTargetsWithoutFencing)
 {
   Fixture system(2, false);
-  const Duration wait = system.limits.lease + system.limits.orderInFlight;
+  const Duration wait = system.timings.lease + system.timings.orderInFlight;
   system.Run(wait);
   EXPECT_TRUE(system.issuedAt.empty());
   system.Run(kStep * 2);
