--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -165,7 +165,7 @@
 {
   RolloutOptions options;
   options.orderLease = this->settings.orderLease + kOrderMargin;
-  options.spread =
+  options.rolloutDuration =
     std::chrono::duration_cast<Duration>(this->settings.weightsWithin * kRolloutShare);
   return options;
 }
