--- a/bench/ConfigurationBench.cpp
+++ b/bench/ConfigurationBench.cpp
@@ -196,7 +196,7 @@
     HostMembership membership;
     CallerIndex index;
     ConfigDistributor spread;
-    TargetSpread targets;
+    TargetBroadcaster targets;
   };
 
   struct Counts
--- a/include/damasklink/coordination/ZoneReach.h
+++ b/include/damasklink/coordination/ZoneReach.h
@@ -50,7 +50,7 @@
   void OnBytes(const ZoneId& aZone) { this->entries.erase(aZone); }
 
   // A call to the target has ended with the given signal.
-  void OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSign aSign);
+  void OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSignal aSign);
 
   // Returns true while the zone gets no calls, and while a call probes it.
   bool IsUnreachable(const ZoneId& aZone) const;
--- a/src/coordination/EnginePace.cpp
+++ b/src/coordination/EnginePace.cpp
@@ -14,15 +14,15 @@
 } // namespace
 
 void
-RecentMedian::Observe(double aValue)
+MovingMedian::Observe(double aValue)
 {
   this->values.at(this->next) = aValue;
-  this->next = (this->next + 1) % kObservations;
-  this->count = std::min(this->count + 1, kObservations);
-  if (this->count < kLeastObservations) {
+  this->next = (this->next + 1) % kWindowSize;
+  this->count = std::min(this->count + 1, kWindowSize);
+  if (this->count < kMinObservations) {
     return;
   }
-  std::array<double, kObservations> sorted = this->values;
+  std::array<double, kWindowSize> sorted = this->values;
   const auto middle = sorted.begin() + static_cast<std::ptrdiff_t>(this->count / 2);
   std::nth_element(
     sorted.begin(), middle, sorted.begin() + static_cast<std::ptrdiff_t>(this->count));
@@ -30,26 +30,26 @@
 }
 
 void
-EnginePace::NoteReading(TokenCount aRead, Duration aTook)
+EnginePace::RecordPrefill(TokenCount aTokens, Duration aTook)
 {
-  if (aRead == TokenCount()) {
+  if (aTokens == TokenCount()) {
     return;
   }
-  const double reading = Milliseconds(aTook) - this->FirstStep();
-  const double perRead = reading / static_cast<double>(aRead.Value());
-  this->perToken.Observe(std::clamp(perRead, kLeastPerToken, kMostPerToken));
+  const double prefill = Milliseconds(aTook) - this->BaseLatency();
+  const double perToken = prefill / static_cast<double>(aTokens.Value());
+  this->perTokenMedian.Observe(std::clamp(perToken, kMinPerToken, kMaxPerToken));
 }
 
 void
-EnginePace::NoteShort(Duration aTook)
+EnginePace::RecordShortPrompt(Duration aTook)
 {
-  this->firstStep.Observe(std::clamp(Milliseconds(aTook), 0.0, kMostFirstStep));
+  this->baseLatencyMedian.Observe(std::clamp(Milliseconds(aTook), 0.0, kMaxBaseLatency));
 }
 
 void
-EnginePace::NoteRun(Duration aTook)
+EnginePace::RecordRun(Duration aTook)
 {
-  this->run += kRunWeight * (Milliseconds(aTook) - this->run);
+  this->runTime += kRunTimeWeight * (Milliseconds(aTook) - this->runTime);
 }
 
 } // namespace damasklink
--- a/src/coordination/ExchangePlan.cpp
+++ b/src/coordination/ExchangePlan.cpp
@@ -5,22 +5,22 @@
 namespace damasklink {
 
 std::string_view
-AttemptEndName(AttemptEnd aEnd)
+AttemptResultName(AttemptResult aResult)
 {
-  switch (aEnd) {
-    case AttemptEnd::Delivered:
+  switch (aResult) {
+    case AttemptResult::Delivered:
       return "delivered";
-    case AttemptEnd::Unreachable:
+    case AttemptResult::Unreachable:
       return "unreachable";
-    case AttemptEnd::Refused:
+    case AttemptResult::Refused:
       return "refused";
-    case AttemptEnd::Failed:
+    case AttemptResult::Failed:
       return "failed";
-    case AttemptEnd::Broken:
+    case AttemptResult::Broken:
       return "broken";
-    case AttemptEnd::Expired:
+    case AttemptResult::Expired:
       return "expired";
-    case AttemptEnd::CallerLeft:
+    case AttemptResult::CallerLeft:
       return "caller_left";
   }
   return "unknown";
@@ -62,66 +62,66 @@
 }
 
 ExchangeStep
-ExchangePlan::After(AttemptEnd aEnd, MonotonicTime aNow, RetryBudget& aBudget)
+ExchangePlan::After(AttemptResult aResult, MonotonicTime aNow, RetryBudget& aBudget)
 {
-  switch (aEnd) {
-    case AttemptEnd::Delivered:
+  switch (aResult) {
+    case AttemptResult::Delivered:
       this->record.Advance(AttemptStage::Finished);
       return ExchangeStep::Done;
-    case AttemptEnd::CallerLeft:
+    case AttemptResult::CallerLeft:
       return ExchangeStep::Done;
-    case AttemptEnd::Unreachable:
+    case AttemptResult::Unreachable:
       ++this->unreachable;
       break;
-    case AttemptEnd::Refused:
+    case AttemptResult::Refused:
       this->record.Advance(AttemptStage::Refused);
       break;
-    case AttemptEnd::Failed:
-    case AttemptEnd::Broken:
+    case AttemptResult::Failed:
+    case AttemptResult::Broken:
       this->record.Advance(AttemptStage::Lost);
       break;
-    case AttemptEnd::Expired:
+    case AttemptResult::Expired:
       break;
   }
-  // A send after one that cannot have arrived is no repeat.
-  const bool costs = aEnd != AttemptEnd::Unreachable || this->sent > 0;
-  if (this->MayTryAnother(aEnd, aNow) && (!costs || aBudget.TryTake())) {
+  // After an attempt that cannot have reached its target, the next one is not a retry.
+  const bool isRetry = aResult != AttemptResult::Unreachable || this->sent > 0;
+  if (this->MayTryAnother(aResult, aNow) && (!isRetry || aBudget.TryTake())) {
     return ExchangeStep::TryAnother;
   }
-  return this->GiveUp(aEnd);
+  return this->GiveUp(aResult);
 }
 
 ExchangeStep
 ExchangePlan::WithoutTarget() const
 {
-  return this->GiveUp(AttemptEnd::Unreachable);
+  return this->GiveUp(AttemptResult::Unreachable);
 }
 
 bool
-ExchangePlan::MayTryAnother(AttemptEnd aEnd, MonotonicTime aNow) const
+ExchangePlan::MayTryAnother(AttemptResult aResult, MonotonicTime aNow) const
 {
-  if (aEnd == AttemptEnd::Expired || aNow + kLeastTime >= this->terms.endsAt) {
+  if (aResult == AttemptResult::Expired || aNow + kMinTimeLeft >= this->limits.endsAt) {
     return false;
   }
-  if (this->sent >= this->terms.mostTargets || this->unreachable >= kMostUnreachable) {
+  if (this->sent >= this->limits.mostTargets || this->unreachable >= kMaxUnreachable) {
     return false;
   }
-  return this->terms.repeatable || this->CertainlyNotRun();
+  return this->limits.repeatable || this->CertainlyNotRun();
 }
 
 ExchangeStep
-ExchangePlan::GiveUp(AttemptEnd aEnd) const
+ExchangePlan::GiveUp(AttemptResult aResult) const
 {
   if (this->passedOn) {
     return ExchangeStep::CutOff;
   }
-  if (aEnd == AttemptEnd::Failed) {
+  if (aResult == AttemptResult::Failed) {
     return ExchangeStep::PassOn;
   }
   if (this->CertainlyNotRun()) {
     return ExchangeStep::Refuse;
   }
-  return aEnd == AttemptEnd::Expired ? ExchangeStep::Expire : ExchangeStep::Fail;
+  return aResult == AttemptResult::Expired ? ExchangeStep::Expire : ExchangeStep::Fail;
 }
 
 bool
--- a/src/coordination/OrdersMachine.cpp
+++ b/src/coordination/OrderStateMachine.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/OrdersMachine.h"
+#include "damasklink/coordination/OrderStateMachine.h"
 
 #include "damasklink/coordination/ChangeAnswerCache.h"
 #include "damasklink/state/CompactCodec.h"
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::uint64_t kSnapshotVersion = 1;
-// Stops of deployments that are long gone; the first by name go first.
-constexpr std::size_t kMostStops = 10'000;
+// Limits the stops that are kept of deleted deployments; beyond it the first by name is dropped.
+constexpr std::size_t kMaxStops = 10'000;
 
-enum class OrdersCommand : std::uint8_t
+enum class OrderCommand : std::uint8_t
 {
   Issue = 1,
   Stop = 2,
@@ -18,8 +18,8 @@
 
 } // namespace
 
-WishHash
-HashOfWish(const Deployment& aDeployment)
+DesiredStateHash
+HashDesiredState(const Deployment& aDeployment)
 {
   CompactWriter writer;
   writer.Id(aDeployment.model).Id(aDeployment.version);
@@ -31,22 +31,22 @@
 }
 
 std::string
-OrdersMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
+OrderStateMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
 {
   CompactReader reader(aCommand);
   const std::uint64_t command = reader.Number();
-  if (command == static_cast<std::uint64_t>(OrdersCommand::Issue)) {
+  if (command == static_cast<std::uint64_t>(OrderCommand::Issue)) {
     this->lastIssued = this->lastIssued.Next();
-  } else if (command == static_cast<std::uint64_t>(OrdersCommand::Stop)) {
+  } else if (command == static_cast<std::uint64_t>(OrderCommand::Stop)) {
     const auto deployment = reader.Id<DeploymentName>();
     RolloutStop stop;
-    stop.wish = reader.Number();
+    stop.desiredHash = reader.Number();
     stop.reason = std::string(reader.Text());
     stop.when = aContext.proposedAt;
     if (reader.AtCleanEnd()) {
       this->stops[deployment] = std::move(stop);
     }
-    if (this->stops.size() > kMostStops) {
+    if (this->stops.size() > kMaxStops) {
       this->stops.erase(this->stops.begin());
     }
   }
@@ -56,34 +56,34 @@
 }
 
 std::string
-OrdersMachine::Save() const
+OrderStateMachine::Save() const
 {
   CompactWriter writer;
   writer.Number(kSnapshotVersion).Id(this->lastIssued).Number(this->stops.size());
   for (const auto& [deployment, stop] : this->stops) {
-    writer.Id(deployment).Number(stop.wish).Text(stop.reason);
+    writer.Id(deployment).Number(stop.desiredHash).Text(stop.reason);
     writer.Number(static_cast<std::uint64_t>(stop.when.time_since_epoch().count()));
   }
   return std::move(writer).Take();
 }
 
 Result<void>
-OrdersMachine::Load(std::string_view aSnapshot)
+OrderStateMachine::Load(std::string_view aSnapshot)
 {
   CompactReader reader(aSnapshot);
   const std::uint64_t version = reader.Number();
-  OrdersMachine loaded;
+  OrderStateMachine loaded;
   loaded.lastIssued = reader.NumberAs<FencingNumber>();
   const std::size_t count = reader.Count();
   for (std::size_t index = 0; index < count && !reader.Bad(); ++index) {
     RolloutStop& stop = loaded.stops[reader.Id<DeploymentName>()];
-    stop.wish = reader.Number();
+    stop.desiredHash = reader.Number();
     stop.reason = std::string(reader.Text());
     stop.when = WallTime(WallTime::duration(static_cast<WallTime::rep>(reader.Number())));
   }
   if (version != kSnapshotVersion || !reader.AtCleanEnd()) {
     return Fail(ErrorKind::Corrupt,
-                "a snapshot of the orders cannot be read",
+                "the snapshot of the order state cannot be read",
                 "run the program version that wrote it, or repair this host from the group");
   }
   *this = std::move(loaded);
@@ -91,27 +91,29 @@
 }
 
 const RolloutStop*
-OrdersMachine::FindStop(const DeploymentName& aDeployment, WishHash aWish) const
+OrderStateMachine::FindStop(const DeploymentName& aDeployment, DesiredStateHash aDesiredHash) const
 {
   const auto found = this->stops.find(aDeployment);
-  const bool stopped = found != this->stops.end() && found->second.wish == aWish;
+  const bool stopped = found != this->stops.end() && found->second.desiredHash == aDesiredHash;
   return stopped ? &found->second : nullptr;
 }
 
 std::string
-PackIssueOrder(const TargetId& aTarget)
+PackIssueFencing(const TargetId& aTarget)
 {
   CompactWriter writer;
-  writer.Number(static_cast<std::uint64_t>(OrdersCommand::Issue)).Id(aTarget);
+  writer.Number(static_cast<std::uint64_t>(OrderCommand::Issue)).Id(aTarget);
   return std::move(writer).Take();
 }
 
 std::string
-PackStopRollout(const DeploymentName& aDeployment, WishHash aWish, const std::string& aReason)
+PackStopRollout(const DeploymentName& aDeployment,
+                DesiredStateHash aDesiredHash,
+                const std::string& aReason)
 {
   CompactWriter writer;
-  writer.Number(static_cast<std::uint64_t>(OrdersCommand::Stop)).Id(aDeployment);
-  writer.Number(aWish).Text(aReason);
+  writer.Number(static_cast<std::uint64_t>(OrderCommand::Stop)).Id(aDeployment);
+  writer.Number(aDesiredHash).Text(aReason);
   return std::move(writer).Take();
 }
 
@@ -121,7 +123,8 @@
   CompactReader reader(aAnswer);
   const auto fencing = reader.NumberAs<FencingNumber>();
   if (!reader.AtCleanEnd()) {
-    return Fail(ErrorKind::Corrupt, "a fencing number cannot be read", "try the order again");
+    return Fail(
+      ErrorKind::Corrupt, "the fencing number in the answer cannot be read", "try the order again");
   }
   return fencing;
 }
--- a/src/coordination/TargetBoard.cpp
+++ b/src/coordination/TargetBoard.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// In one life an engine's weights only get newer, so the highest version that anybody told counts.
+// Keeps the highest version of each model's weights that any host reported: within one incarnation
+// the weights of an engine only become newer.
 void
 KeepNewerWeights(const std::vector<ServedModel>& aOther, std::vector<ServedModel>& aTo)
 {
@@ -24,55 +25,55 @@
 } // namespace
 
 void
-TargetBoard::Take(const HostId& aFrom, const TargetUpdate& aStatement)
+TargetBoard::Take(const HostId& aFrom, const TargetUpdate& aUpdate)
 {
-  const auto [position, isNew] = this->entries.try_emplace(aStatement.record.id);
+  const auto [position, isNew] = this->entries.try_emplace(aUpdate.record.id);
   Entry& entry = position->second;
-  if (!isNew && aStatement.record.incarnation < entry.record.incarnation) {
+  if (!isNew && aUpdate.record.incarnation < entry.record.incarnation) {
     return;
   }
-  if (!isNew && aStatement.record.incarnation > entry.record.incarnation) {
-    this->BeginNewStart(aStatement, entry);
+  if (!isNew && aUpdate.record.incarnation > entry.record.incarnation) {
+    this->ResetForRestart(aUpdate, entry);
   }
-  if (isNew && aStatement.standing == TargetAvailability::Usable) {
-    this->appeared.push_back(aStatement.record);
+  if (isNew && aUpdate.standing == TargetAvailability::Usable) {
+    this->discovered.push_back(aUpdate.record);
   }
-  if (aStatement.record.sequence >= entry.record.sequence) {
+  if (aUpdate.record.sequence >= entry.record.sequence) {
     const std::vector<ServedModel> before = std::move(entry.record.models);
-    entry.record = aStatement.record;
+    entry.record = aUpdate.record;
     KeepNewerWeights(before, entry.record.models);
   } else {
-    KeepNewerWeights(aStatement.record.models, entry.record.models);
+    KeepNewerWeights(aUpdate.record.models, entry.record.models);
   }
-  entry.words[aFrom] = Word{ aStatement.record.sequence, aStatement.standing, aStatement.paused };
-  if (aStatement.standing == TargetAvailability::Leaving) {
-    this->MarkGone(aStatement.record.id, entry);
+  entry.reports[aFrom] = HostReport{ aUpdate.record.sequence, aUpdate.standing, aUpdate.paused };
+  if (aUpdate.standing == TargetAvailability::Leaving) {
+    this->MarkEntryRemoved(aUpdate.record.id, entry);
   }
   this->Changed();
 }
 
 void
-TargetBoard::BeginNewStart(const TargetUpdate& aStatement, Entry& aEntry)
+TargetBoard::ResetForRestart(const TargetUpdate& aUpdate, Entry& aEntry)
 {
-  const TargetId& target = aStatement.record.id;
-  if (aEntry.gone) {
-    this->gone.erase(std::find(this->gone.begin(), this->gone.end(), target));
+  const TargetId& target = aUpdate.record.id;
+  if (aEntry.removed) {
+    this->removed.erase(std::find(this->removed.begin(), this->removed.end(), target));
   }
   aEntry = Entry{};
-  aEntry.record = aStatement.record;
-  this->restarted.push_back(aStatement.record);
+  aEntry.record = aUpdate.record;
+  this->restarted.push_back(aUpdate.record);
 }
 
 void
-TargetBoard::MarkGone(const TargetId& aTarget, Entry& aEntry)
+TargetBoard::MarkEntryRemoved(const TargetId& aTarget, Entry& aEntry)
 {
-  if (std::exchange(aEntry.gone, true)) {
+  if (std::exchange(aEntry.removed, true)) {
     return;
   }
-  this->gone.push_back(aTarget);
-  if (this->gone.size() > kMostGone) {
-    this->entries.erase(this->gone.front());
-    this->gone.pop_front();
+  this->removed.push_back(aTarget);
+  if (this->removed.size() > kMaxRemoved) {
+    this->entries.erase(this->removed.front());
+    this->removed.pop_front();
   }
 }
 
@@ -98,7 +99,7 @@
 {
   std::vector<TargetRecord> found;
   for (const auto& [id, entry] : this->entries) {
-    if (!entry.gone && entry.record.zone == aZone) {
+    if (!entry.removed && entry.record.zone == aZone) {
       found.push_back(entry.record);
     }
   }
@@ -111,20 +112,20 @@
   std::size_t all = 0;
   std::size_t usable = 0;
   for (const auto& [id, entry] : this->entries) {
-    if (!entry.gone && entry.record.zone == aZone) {
+    if (!entry.removed && entry.record.zone == aZone) {
       ++all;
-      usable += this->CountsUsable(entry) ? 1 : 0;
+      usable += this->IsReportedUsable(entry) ? 1 : 0;
     }
   }
   return usable * 2 < all;
 }
 
 void
-TargetBoard::NoteGone(const TargetId& aTarget)
+TargetBoard::MarkRemoved(const TargetId& aTarget)
 {
   const auto found = this->entries.find(aTarget);
-  if (found != this->entries.end() && !found->second.gone) {
-    this->MarkGone(aTarget, found->second);
+  if (found != this->entries.end() && !found->second.removed) {
+    this->MarkEntryRemoved(aTarget, found->second);
     this->Changed();
   }
 }
@@ -144,7 +145,7 @@
 TargetBoard::Find(const TargetId& aTarget) const
 {
   const auto found = this->entries.find(aTarget);
-  return found == this->entries.end() || found->second.gone ? nullptr : &found->second.record;
+  return found == this->entries.end() || found->second.removed ? nullptr : &found->second.record;
 }
 
 void
@@ -153,29 +154,30 @@
   ++this->version;
 }
 
-// The words of connected hosts count; those of others only where no connected one has spoken.
+// Reports of connected hosts take precedence; those of other hosts count only where no connected
+// host has reported.
 bool
-TargetBoard::CountsUsable(const Entry& aEntry) const
+TargetBoard::IsReportedUsable(const Entry& aEntry) const
 {
-  bool spoken = false;
-  bool lastWord = false;
-  for (const auto& [host, word] : aEntry.words) {
-    const bool usable = word.standing == TargetAvailability::Usable;
+  bool reported = false;
+  bool lastReportUsable = false;
+  for (const auto& [host, report] : aEntry.reports) {
+    const bool usable = report.availability == TargetAvailability::Usable;
     if (this->connected.contains(host)) {
       if (usable) {
         return true;
       }
-      spoken = true;
+      reported = true;
     }
-    lastWord = lastWord || usable;
+    lastReportUsable = lastReportUsable || usable;
   }
-  return !spoken && lastWord;
+  return !reported && lastReportUsable;
 }
 
 bool
 TargetBoard::IsPaused(const Entry& aEntry) const
 {
-  return std::any_of(aEntry.words.begin(), aEntry.words.end(), [&](const auto& aItem) {
+  return std::any_of(aEntry.reports.begin(), aEntry.reports.end(), [&](const auto& aItem) {
     return aItem.second.paused && this->connected.contains(aItem.first);
   });
 }
@@ -187,11 +189,11 @@
   std::map<ServiceName, std::vector<TargetRecord>> paused;
   std::map<ServiceName, std::vector<TargetRecord>> silent;
   for (const auto& [id, entry] : this->entries) {
-    if (entry.gone || this->evacuated.contains(entry.record.zone)) {
+    if (entry.removed || this->evacuated.contains(entry.record.zone)) {
       continue;
     }
     const ServiceName& service = entry.record.service;
-    if (!this->CountsUsable(entry)) {
+    if (!this->IsReportedUsable(entry)) {
       silent[service].push_back(entry.record);
     } else if (this->IsPaused(entry)) {
       paused[service].push_back(entry.record);
--- a/src/coordination/TargetSpread.cpp
+++ b/src/coordination/TargetBroadcaster.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetSpread.h"
+#include "damasklink/coordination/TargetBroadcaster.h"
 
 #include "damasklink/state/CompactCodec.h"
 #include "damasklink/state/Digests.h"
@@ -7,9 +7,10 @@
 namespace damasklink {
 namespace {
 
-// The home gives up on a target after this share of the limit, so that peers hear of it within.
-constexpr int kHomeSilenceParts = 3;
-constexpr int kSilenceParts = 4;
+// The share of the silence limit after which the home reports a target as silent, so that peers
+// learn of it within the limit.
+constexpr int kHomeSilenceNumerator = 3;
+constexpr int kHomeSilenceDenominator = 4;
 
 } // namespace
 
@@ -33,23 +34,24 @@
   return ShortHash(std::move(writer).Take());
 }
 
-TargetSpread::TargetSpread(const Clock& aClock, const HostSettings& aSettings)
+TargetBroadcaster::TargetBroadcaster(const Clock& aClock, const HostSettings& aSettings)
   : clock(aClock)
   , self(aSettings.host)
-  , homeSilence(aSettings.timeouts.targetSilence * kHomeSilenceParts / kSilenceParts)
+  , homeSilence(aSettings.timeouts.targetSilence * kHomeSilenceNumerator / kHomeSilenceDenominator)
   , registry(aClock, this->homeSilence)
   , nextRefresh(aClock.MonotonicNow())
   , nextFarRefresh(this->nextRefresh)
 {
   for (const PeerSettings& peer : aSettings.peers) {
     if (peer.host != this->self) {
-      (peer.zone == aSettings.zone ? this->near : this->far).push_back(peer.host);
+      (peer.zone == aSettings.zone ? this->sameZonePeers : this->otherZonePeers)
+        .push_back(peer.host);
     }
   }
 }
 
 void
-TargetSpread::OnAnnouncement(const TargetRecord& aRecord)
+TargetBroadcaster::OnAnnouncement(const TargetRecord& aRecord)
 {
   const TargetRecord* held = this->registry.Find(aRecord.id);
   const std::uint32_t before = held == nullptr ? 0 : FingerprintOfTarget(*held);
@@ -61,7 +63,7 @@
   }
   this->homes[aRecord.id] = this->self;
   this->byHash[ShortHash(aRecord.id.Value())] = aRecord.id;
-  this->told.erase(aRecord.id);
+  this->reportedSilent.erase(aRecord.id);
   const TargetRecord& merged = *this->registry.Find(aRecord.id);
   const bool changed = isNew || FingerprintOfTarget(merged) != before;
   if (changed || !wasOwn || !wasUsable) {
@@ -70,21 +72,21 @@
 }
 
 void
-TargetSpread::OnMessage(const HostId& aFrom, const TargetsMessage& aMessage)
+TargetBroadcaster::OnMessage(const HostId& aFrom, const TargetsMessage& aMessage)
 {
   if (aMessage.kind == TargetsMessageKind::Ask) {
     this->outgoing.push_back({ aFrom, this->OwnRecords() });
     return;
   }
   for (const TargetRecord& record : aMessage.records) {
-    this->TakeRecord(aFrom, record);
+    this->ApplyRecord(aFrom, record);
   }
   bool allKnown = true;
-  for (const TargetSign& sign : aMessage.signs) {
+  for (const TargetKeepalive& keepalive : aMessage.keepalives) {
     if (aMessage.kind == TargetsMessageKind::Silent) {
-      this->TakeSilence(aFrom, sign);
+      this->ApplySilence(aFrom, keepalive);
     } else {
-      allKnown = this->TakeSign(aFrom, sign) && allKnown;
+      allKnown = this->ApplyKeepalive(aFrom, keepalive) && allKnown;
     }
   }
   const MonotonicTime now = this->clock.MonotonicNow();
@@ -96,7 +98,7 @@
 }
 
 void
-TargetSpread::TakeRecord(const HostId& aFrom, const TargetRecord& aRecord)
+TargetBroadcaster::ApplyRecord(const HostId& aFrom, const TargetRecord& aRecord)
 {
   if (this->registry.Merge(aRecord, kRemoteSilence)) {
     this->homes[aRecord.id] = aFrom;
@@ -105,53 +107,53 @@
 }
 
 bool
-TargetSpread::TakeSign(const HostId& aFrom, const TargetSign& aSign)
+TargetBroadcaster::ApplyKeepalive(const HostId& aFrom, const TargetKeepalive& aKeepalive)
 {
-  const auto found = this->byHash.find(aSign.target);
+  const auto found = this->byHash.find(aKeepalive.target);
   const TargetRecord* held =
     found == this->byHash.end() ? nullptr : this->registry.Find(found->second);
   if (held == nullptr) {
     return false;
   }
   if (this->homes[held->id] != aFrom) {
-    // Another host heard from the target later, unless this one never heard of the move.
-    return aSign.sequence <= held->sequence;
+    // Another host is the home. A higher sequence means that this host missed the move to aFrom.
+    return aKeepalive.sequence <= held->sequence;
   }
-  if (FingerprintOfTarget(*held) != aSign.fingerprint) {
+  if (FingerprintOfTarget(*held) != aKeepalive.fingerprint) {
     return false;
   }
-  return this->registry.Refresh(held->id, held->incarnation, aSign.sequence, aSign.load);
+  return this->registry.Refresh(held->id, held->incarnation, aKeepalive.sequence, aKeepalive.load);
 }
 
 void
-TargetSpread::TakeSilence(const HostId& aFrom, const TargetSign& aSign)
+TargetBroadcaster::ApplySilence(const HostId& aFrom, const TargetKeepalive& aKeepalive)
 {
-  const auto found = this->byHash.find(aSign.target);
+  const auto found = this->byHash.find(aKeepalive.target);
   const TargetRecord* held =
     found == this->byHash.end() ? nullptr : this->registry.Find(found->second);
   if (held != nullptr && this->homes[held->id] == aFrom) {
-    this->registry.MarkSilent(held->id, held->incarnation, aSign.sequence);
+    this->registry.MarkSilent(held->id, held->incarnation, aKeepalive.sequence);
   }
 }
 
 void
-TargetSpread::OnTick()
+TargetBroadcaster::OnTick()
 {
   this->ReportSilence();
   const MonotonicTime now = this->clock.MonotonicNow();
   if (now >= this->nextRefresh) {
     this->nextRefresh = now + kRefreshInterval;
-    this->SendRefresh(this->near);
+    this->SendRefresh(this->sameZonePeers);
     this->Forget();
   }
   if (now >= this->nextFarRefresh) {
     this->nextFarRefresh = now + kFarRefreshInterval;
-    this->SendRefresh(this->far);
+    this->SendRefresh(this->otherZonePeers);
   }
 }
 
 void
-TargetSpread::Forget()
+TargetBroadcaster::Forget()
 {
   this->registry.Expire();
   std::erase_if(this->homes,
@@ -161,31 +163,31 @@
 }
 
 void
-TargetSpread::ReportSilence()
+TargetBroadcaster::ReportSilence()
 {
   TargetsMessage silence{ TargetsMessageKind::Silent, {}, {} };
   for (const auto& [target, home] : this->homes) {
     const bool silent = home == this->self && !this->registry.IsUsable(target);
     const TargetRecord* record = silent ? this->registry.Find(target) : nullptr;
-    if (record != nullptr && !record->leaving && this->told.insert(target).second) {
-      silence.signs.push_back(this->SignOf(*record));
+    if (record != nullptr && !record->leaving && this->reportedSilent.insert(target).second) {
+      silence.keepalives.push_back(this->KeepaliveOf(*record));
     }
   }
-  if (!silence.signs.empty()) {
+  if (!silence.keepalives.empty()) {
     this->SendToAll(silence);
   }
 }
 
 void
-TargetSpread::SendRefresh(const std::vector<HostId>& aPeers)
+TargetBroadcaster::SendRefresh(const std::vector<HostId>& aPeers)
 {
   TargetsMessage refresh{ TargetsMessageKind::Refresh, {}, {} };
   for (const auto& [target, home] : this->homes) {
     if (home == this->self && this->registry.IsUsable(target)) {
-      refresh.signs.push_back(this->SignOf(*this->registry.Find(target)));
+      refresh.keepalives.push_back(this->KeepaliveOf(*this->registry.Find(target)));
     }
   }
-  if (refresh.signs.empty()) {
+  if (refresh.keepalives.empty()) {
     return;
   }
   for (const HostId& peer : aPeers) {
@@ -194,15 +196,15 @@
 }
 
 std::vector<OutgoingTargetsMessage>
-TargetSpread::TakeOutgoing()
+TargetBroadcaster::TakeOutgoing()
 {
   return std::exchange(this->outgoing, {});
 }
 
 void
-TargetSpread::SendToAll(const TargetsMessage& aMessage)
+TargetBroadcaster::SendToAll(const TargetsMessage& aMessage)
 {
-  for (const std::vector<HostId>* group : { &this->near, &this->far }) {
+  for (const std::vector<HostId>* group : { &this->sameZonePeers, &this->otherZonePeers }) {
     for (const HostId& peer : *group) {
       this->outgoing.push_back({ peer, aMessage });
     }
@@ -210,7 +212,7 @@
 }
 
 TargetsMessage
-TargetSpread::OwnRecords() const
+TargetBroadcaster::OwnRecords() const
 {
   TargetsMessage message{ TargetsMessageKind::Records, {}, {} };
   for (const auto& [target, home] : this->homes) {
@@ -222,16 +224,16 @@
   return message;
 }
 
-TargetSign
-TargetSpread::SignOf(const TargetRecord& aRecord) const
+TargetKeepalive
+TargetBroadcaster::KeepaliveOf(const TargetRecord& aRecord) const
 {
-  return TargetSign{
+  return TargetKeepalive{
     ShortHash(aRecord.id.Value()), FingerprintOfTarget(aRecord), aRecord.sequence, aRecord.load
   };
 }
 
 bool
-TargetSpread::IsOwn(const TargetId& aTarget) const
+TargetBroadcaster::IsOwn(const TargetId& aTarget) const
 {
   const auto found = this->homes.find(aTarget);
   return found != this->homes.end() && found->second == this->self;
--- a/src/coordination/TargetHealth.cpp
+++ b/src/coordination/TargetHealth.cpp
@@ -15,21 +15,21 @@
 }
 
 void
-TargetHealth::OnEnd(const TargetId& aTarget, HealthSign aSign)
+TargetHealth::OnEnd(const TargetId& aTarget, HealthSignal aSign)
 {
-  if (aSign == HealthSign::Good) {
+  if (aSign == HealthSignal::Good) {
     const auto found = this->entries.find(aTarget);
     if (found != this->entries.end()) {
-      if (found->second.believedGone) {
-        TargetReachabilityReport& findings = this->untold[aTarget];
-        findings.target = aTarget;
-        findings.back = 1;
+      if (found->second.reportedUnreachable) {
+        TargetReachabilityReport& report = this->pendingReports[aTarget];
+        report.target = aTarget;
+        report.back = 1;
       }
       this->entries.erase(found);
     }
     return;
   }
-  if (aSign == HealthSign::None) {
+  if (aSign == HealthSignal::None) {
     if (const auto found = this->entries.find(aTarget); found != this->entries.end()) {
       found->second.probing = false;
     }
@@ -39,14 +39,15 @@
   ++entry.failures;
   const bool probeFailed = entry.probing;
   entry.probing = false;
-  const bool alreadyOut = this->clock.MonotonicNow() < entry.ejectedUntil;
-  if (aSign == HealthSign::Gone && !alreadyOut && this->untold.size() < kMostUntold) {
-    TargetReachabilityReport& findings = this->untold[aTarget];
-    findings.target = aTarget;
-    findings.gone = 1;
+  const bool alreadyEjected = this->clock.MonotonicNow() < entry.ejectedUntil;
+  if (aSign == HealthSignal::NotReached && !alreadyEjected &&
+      this->pendingReports.size() < kMaxPendingReports) {
+    TargetReachabilityReport& report = this->pendingReports[aTarget];
+    report.target = aTarget;
+    report.gone = 1;
   }
-  const bool enough = entry.failures >= kFailuresInRow || aSign == HealthSign::Gone;
-  if (!alreadyOut && (probeFailed || enough)) {
+  const bool failed = entry.failures >= kConsecutiveFailures || aSign == HealthSignal::NotReached;
+  if (!alreadyEjected && (probeFailed || failed)) {
     this->Eject(entry);
   }
 }
@@ -55,70 +56,71 @@
 TargetHealth::OnRestart(const TargetId& aTarget)
 {
   this->entries.erase(aTarget);
-  this->untold.erase(aTarget);
+  this->pendingReports.erase(aTarget);
 }
 
 void
 TargetHealth::Eject(Entry& aEntry)
 {
   Duration length = kFirstEjection;
-  for (int index = 0; index < aEntry.ejections && length < kLongestEjection; ++index) {
+  for (int index = 0; index < aEntry.ejections && length < kMaxEjection; ++index) {
     length *= 2;
   }
-  length = std::min(length, kLongestEjection);
-  // Jitter, so that targets ejected together do not come back together.
+  length = std::min(length, kMaxEjection);
+  // Jitter keeps targets that were ejected together from coming back together.
   std::uniform_int_distribution<std::int64_t> jitter(0, length.count() / 4);
   aEntry.ejectedUntil = this->clock.MonotonicNow() + length + Duration(jitter(this->random));
   ++aEntry.ejections;
 }
 
 std::vector<TargetReachabilityReport>
-TargetHealth::TakeFindings()
+TargetHealth::TakeReachabilityReports()
 {
-  std::vector<TargetReachabilityReport> findings;
-  for (const auto& [target, found] : std::exchange(this->untold, {})) {
-    findings.push_back(found);
+  std::vector<TargetReachabilityReport> reports;
+  for (const auto& [target, report] : std::exchange(this->pendingReports, {})) {
+    reports.push_back(report);
   }
-  return findings;
+  return reports;
 }
 
 void
-TargetHealth::Take(const std::vector<TargetReachabilityReport>& aFindings)
+TargetHealth::Take(const std::vector<TargetReachabilityReport>& aReports)
 {
-  for (const TargetReachabilityReport& found : aFindings) {
-    if (found.back > 0) {
+  for (const TargetReachabilityReport& report : aReports) {
+    if (report.back > 0) {
       std::erase_if(this->entries, [&](const auto& aItem) {
-        return aItem.first == found.target && aItem.second.believedGone;
+        return aItem.first == report.target && aItem.second.reportedUnreachable;
       });
-    } else if (found.gone > 0) {
-      this->TakeGone(found);
+    } else if (report.gone > 0) {
+      this->TakeUnreachable(report);
     }
   }
 }
 
 void
-TargetHealth::TakeGone(const TargetReachabilityReport& aFound)
+TargetHealth::TakeUnreachable(const TargetReachabilityReport& aReport)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  Entry& entry = this->entries[aFound.target];
-  if (entry.findings == 0 || now - entry.findingsSince > kFindingsFitWithin) {
-    entry.findings = 0;
-    entry.findingsSince = now;
+  Entry& entry = this->entries[aReport.target];
+  if (entry.reports == 0 || now - entry.reportsSince > kReportWindow) {
+    entry.reports = 0;
+    entry.reportsSince = now;
   }
-  entry.findings += aFound.gone;
-  // Once it is believed, one host that tried in vain is enough.
-  if (!entry.believedGone && entry.findings < kFindingsToBelieve) {
+  entry.reports += aReport.gone;
+  // A target that has already been ejected because of reports needs only one more, of a failed
+  // probe.
+  if (!entry.reportedUnreachable && entry.reports < kReportsToEject) {
     return;
   }
-  entry.believedGone = true;
+  entry.reportedUnreachable = true;
   entry.ejections = std::max(entry.ejections, 1);
-  std::uniform_int_distribution<std::int64_t> spread(0, kTriesSpread.count());
+  std::uniform_int_distribution<std::int64_t> spread(0, kProbeSpread.count());
   const MonotonicTime until = now + kFirstEjection + Duration(spread(this->random));
   entry.ejectedUntil = std::max(entry.ejectedUntil, until);
 }
 
 bool
-TargetHealth::IsOut(const TargetId& aTarget) const
+TargetHealth::IsEjected(const TargetId& aTarget) const
 {
   const auto found = this->entries.find(aTarget);
   if (found == this->entries.end()) {
@@ -130,23 +132,23 @@
 std::vector<TargetRecord>
 TargetHealth::Filter(const std::vector<TargetRecord>& aTargets) const
 {
-  std::vector<TargetRecord> fit;
-  std::vector<const TargetRecord*> out;
+  std::vector<TargetRecord> healthy;
+  std::vector<const TargetRecord*> ejected;
   for (const TargetRecord& target : aTargets) {
-    if (this->IsOut(target.id)) {
-      out.push_back(&target);
+    if (this->IsEjected(target.id)) {
+      ejected.push_back(&target);
     } else {
-      fit.push_back(target);
+      healthy.push_back(target);
     }
   }
   const std::size_t floor = (aTargets.size() + 1) / 2;
-  for (const TargetRecord* target : out) {
-    if (fit.size() >= floor) {
+  for (const TargetRecord* target : ejected) {
+    if (healthy.size() >= floor) {
       break;
     }
-    fit.push_back(*target);
+    healthy.push_back(*target);
   }
-  return fit;
+  return healthy;
 }
 
 } // namespace damasklink
--- a/src/coordination/TargetRegistry.cpp
+++ b/src/coordination/TargetRegistry.cpp
@@ -5,11 +5,12 @@
 namespace damasklink {
 namespace {
 
-// A forgotten target could be revived by an old announcement, so memory outlasts any delay.
-constexpr int kRememberedSilences = 300;
+// Targets are remembered for this many silence limits. An old announcement could bring back a
+// forgotten target, so this must exceed any delay of an announcement.
+constexpr int kRetentionSilences = 300;
 
 auto
-AgeOf(const TargetRecord& aRecord)
+VersionOfRecord(const TargetRecord& aRecord)
 {
   return std::tie(aRecord.incarnation, aRecord.sequence);
 }
@@ -18,14 +19,14 @@
 
 TargetRegistry::TargetRegistry(const Clock& aClock, Duration aSilence)
   : clock(aClock)
-  , silence(aSilence)
+  , silenceLimit(aSilence)
 {
 }
 
 bool
 TargetRegistry::Merge(const TargetRecord& aRecord)
 {
-  return this->Merge(aRecord, this->silence);
+  return this->Merge(aRecord, this->silenceLimit);
 }
 
 bool
@@ -33,27 +34,27 @@
 {
   const auto [position, isNew] = this->entries.try_emplace(aRecord.id);
   Entry& entry = position->second;
-  if (!isNew && AgeOf(aRecord) <= AgeOf(entry.record)) {
+  if (!isNew && VersionOfRecord(aRecord) <= VersionOfRecord(entry.record)) {
     return false;
   }
-  const bool sameLife = !isNew && aRecord.incarnation == entry.record.incarnation;
-  const bool stickyLeaving = sameLife && entry.record.leaving;
+  const bool sameIncarnation = !isNew && aRecord.incarnation == entry.record.incarnation;
+  const bool stickyLeaving = sameIncarnation && entry.record.leaving;
   if (isNew || entry.record.endpoint != aRecord.endpoint) {
     this->MoveAddress(aRecord.id, entry.record.endpoint, aRecord.endpoint);
   }
   entry.record = aRecord;
   entry.record.leaving = aRecord.leaving || stickyLeaving;
-  entry.heard = this->clock.MonotonicNow();
-  entry.silence = aSilence;
+  entry.lastHeard = this->clock.MonotonicNow();
+  entry.silenceLimit = aSilence;
   entry.silent = false;
   if (!entry.record.leaving) {
-    this->SilenceOthersAt(entry.record);
+    this->MarkOthersSilentAt(entry.record);
   }
   return true;
 }
 
 void
-TargetRegistry::SilenceOthersAt(const TargetRecord& aRecord)
+TargetRegistry::MarkOthersSilentAt(const TargetRecord& aRecord)
 {
   if (aRecord.endpoint.port == 0) {
     return;
@@ -97,12 +98,12 @@
   }
   Entry& entry = found->second;
   if (aSequence <= entry.record.sequence) {
-    // The same word again is no sign of life of the target, only of the host that passes it on.
+    // A repeated sequence shows that the host which forwards it is alive, not the target.
     return true;
   }
   entry.record.sequence = aSequence;
   entry.record.load = aLoad;
-  entry.heard = this->clock.MonotonicNow();
+  entry.lastHeard = this->clock.MonotonicNow();
   entry.silent = false;
   return true;
 }
@@ -114,7 +115,7 @@
   if (found == this->entries.end()) {
     return;
   }
-  if (AgeOf(found->second.record) <= std::tie(aIncarnation, aSequence)) {
+  if (VersionOfRecord(found->second.record) <= std::tie(aIncarnation, aSequence)) {
     found->second.silent = true;
   }
 }
@@ -129,8 +130,8 @@
 bool
 TargetRegistry::IsUsable(const Entry& aEntry) const
 {
-  const Duration quiet = this->clock.MonotonicNow() - aEntry.heard;
-  return !aEntry.silent && !aEntry.record.leaving && quiet < aEntry.silence;
+  const Duration silentFor = this->clock.MonotonicNow() - aEntry.lastHeard;
+  return !aEntry.silent && !aEntry.record.leaving && silentFor < aEntry.silenceLimit;
 }
 
 bool
@@ -168,8 +169,8 @@
   std::vector<TargetId> changed;
   for (auto& [id, entry] : this->entries) {
     const bool usable = this->IsUsable(entry);
-    if (usable != entry.toldUsable) {
-      entry.toldUsable = usable;
+    if (usable != entry.reportedUsable) {
+      entry.reportedUsable = usable;
       changed.push_back(id);
     }
   }
@@ -181,7 +182,7 @@
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   std::erase_if(this->entries, [&](const auto& aItem) {
-    const bool expired = now - aItem.second.heard >= this->silence * kRememberedSilences;
+    const bool expired = now - aItem.second.lastHeard >= this->silenceLimit * kRetentionSilences;
     if (expired) {
       this->ForgetAddress(aItem.first, aItem.second.record.endpoint);
     }
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -369,15 +369,15 @@
       .With("hub", chosen.value_or(HostId()))
       .With("before", before.value_or(HostId()));
     this->picture.ListenForStores(chosen);
-    this->picker.TellAllAnew();
+    this->picker.ResendAll();
     this->crashes.ResendAll();
     this->limits.ResendAll();
     // The totals of the next hub contain all that those of the former did.
-    this->picker.ForgetSumsBefore(this->clock.MonotonicNow());
+    this->picker.RemoveSumsBefore(this->clock.MonotonicNow());
   }
   this->TellWhatChanged(changed);
   this->configuration.Step();
-  this->picker.ForgetSumsBefore(this->clock.MonotonicNow() - SendsSum::kSilenceLimit);
+  this->picker.RemoveSumsBefore(this->clock.MonotonicNow() - SendsSum::kSilenceLimit);
   this->sharing.expires_after(kShareStep);
   this->sharing.async_wait([this](const IoError& aError) {
     if (!aError) {
@@ -395,7 +395,7 @@
   news.urgent = this->picker.HasUrgentSends();
   news.sends = this->picker.TakeSends();
   news.excesses = this->pace.TakeObservations();
-  news.findings = this->health.TakeFindings();
+  news.findings = this->health.TakeReachabilityReports();
   news.crashes = this->crashes.TakeReports();
   news.sound = this->crashes.TakeSuccessfulRuns();
   news.limitReports = this->limits.TakeReports();
@@ -477,7 +477,7 @@
   if (const auto* news = std::get_if<LoadReport>(&message.value())) {
     // The totals of two control hosts speak of the same calls.
     if (this->hub.Hub() == aPeer) {
-      this->picker.TakeSum(*news, this->clock.MonotonicNow());
+      this->picker.ApplySum(*news, this->clock.MonotonicNow());
       this->TakeLimits(*news);
     }
     this->pace.Merge(news->excesses);
@@ -527,7 +527,7 @@
 void
 EntryHost::Impl::ProveEnds(const ServingUpdate& aTold)
 {
-  for (const TargetRecord& target : this->picture.Targets().TakeAppeared()) {
+  for (const TargetRecord& target : this->picture.Targets().TakeDiscovered()) {
     this->ReportEnded(this->broken.TakeConfirmedByStart(target), "replaced");
   }
   for (const TargetUpdate& statement : aTold.targets) {
--- a/src/program/ExchangeChoice.cpp
+++ b/src/program/ExchangeChoice.cpp
@@ -81,7 +81,7 @@
   this->avoided.clear();
   double reading = 0;
   for (const SizedPart& part : this->question.parts) {
-    reading += this->context.picker.PaceOf(this->call.model).PerToken() *
+    reading += this->context.picker.PaceOf(this->call.model).MillisecondsPerToken() *
                static_cast<double>(part.tokens.Value());
   }
   for (const std::string& store : stored->StoreNames()) {
@@ -127,13 +127,13 @@
 void
 Exchange::FindLimited()
 {
-  this->question.limited.clear();
+  this->question.rateLimited.clear();
   if (this->context.limits.IsEmpty()) {
     return;
   }
   for (const TargetRecord& target : this->Targets()) {
     if (!this->context.limits.MaySend(target.id)) {
-      this->question.limited.insert(target.id);
+      this->question.rateLimited.insert(target.id);
     }
   }
 }
@@ -145,7 +145,7 @@
   const bool hasPrompt = this->route->carriesPrompt && !this->call.model.Empty();
   if (hasPrompt) {
     this->AskWithWeights(this->NewestWeights());
-    this->question.leastWeights = this->context.picture.WeightsKnownFor(
+    this->question.minWeights = this->context.picture.WeightsKnownFor(
       this->call.model, this->context.settings.weightsWithin - kLongestQueue);
   }
   const std::vector<TargetRecord>& targets = this->Targets();
@@ -156,9 +156,9 @@
   }
   // Only some of the targets were compared: no call is refused while another one has room.
   this->AskWithWeights(this->NewestWeights());
-  this->question.amongAll = true;
+  this->question.compareAll = true;
   chosen = this->context.picker.Choose(this->question, targets);
-  this->question.amongAll = false;
+  this->question.compareAll = false;
   this->overloaded = !this->IsFit(*chosen);
   if (this->overloaded) {
     this->LogOverload(*chosen);
@@ -209,7 +209,7 @@
     .With("patience", limits.patience)
     .With("memory", picker.MemoryShare(this->question, aBest.id))
     .With("most_memory", limits.memory)
-    .With("to_read", picker.ToRead(this->question, aBest.id))
+    .With("to_read", picker.UncachedTokens(this->question, aBest.id))
     .With("weights", this->weights);
 }
 
@@ -271,7 +271,7 @@
       continue;
     }
     if (leading) {
-      const TargetRecord* holder = this->context.picker.HolderOf(part, this->Targets(), aTarget);
+      const TargetRecord* holder = this->context.picker.FindHolder(part, this->Targets(), aTarget);
       leading = holder != nullptr;
       if (holder != nullptr) {
         aTo.fetches[index].peer = holder->endpoint;
@@ -289,15 +289,15 @@
 void
 Exchange::NoteFirstEvent(const TargetRecord& aTarget)
 {
-  if (this->work.answering || this->question.promptTokens == TokenCount()) {
+  if (this->work.firstEventSeen || this->question.promptTokens == TokenCount()) {
     return;
   }
   TargetPicker& picker = this->context.picker;
   this->firstEventAt = this->context.clock.MonotonicNow();
   const Duration sinceSend = this->firstEventAt - this->sentAt;
   const std::chrono::duration<double, std::milli> took = sinceSend;
-  const double expected = picker.PaceOf(this->question.model).Expected(this->work.toRead);
-  if (picker.NotePace(
+  const double expected = picker.PaceOf(this->question.model).Expected(this->work.uncachedTokens);
+  if (picker.RecordFirstEvent(
         aTarget.id, this->question, this->work, !this->fetchedFrom.empty(), sinceSend)) {
     this->context.pace.Observe(this->fetchedFrom, took.count() - expected);
   }
@@ -309,8 +309,8 @@
       .With("since_arrival_ms", WholeMilliseconds(sinceArrival))
       .With("since_send_ms", took.count())
       .With("expected_ms", expected)
-      .With("to_read", this->work.toRead)
-      .With("behind_others", this->work.behindOthers)
+      .With("to_read", this->work.uncachedTokens)
+      .With("behind_others", this->work.queuedBehindOthers)
       .With("fetched_from", this->fetchedFrom)
       .With("slow_stores", this->avoided.size())
       .With("sends", this->plan->Sent());
@@ -322,14 +322,14 @@
 void
 Exchange::NoteRun()
 {
-  if (!this->work.answering) {
+  if (!this->work.firstEventSeen) {
     return;
   }
   TargetPicker& picker = this->context.picker;
-  const double reading = picker.PaceOf(this->question.model).Expected(this->work.toRead);
+  const double reading = picker.PaceOf(this->question.model).Expected(this->work.uncachedTokens);
   const Duration answering = this->context.clock.MonotonicNow() - this->firstEventAt;
   const auto read = std::chrono::duration<double, std::milli>(reading);
-  picker.NoteRun(this->question.model, answering + std::chrono::duration_cast<Duration>(read));
+  picker.RecordRun(this->question.model, answering + std::chrono::duration_cast<Duration>(read));
 }
 
 } // namespace damasklink
--- a/test/coordination/EnginePaceTest.cpp
+++ b/test/coordination/EnginePaceTest.cpp
@@ -14,44 +14,44 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(aCount));
 }
 
-TEST(EnginePaceTest, DeclaredFiguresCountBeforeEnoughWasObserved)
+TEST(EnginePaceTest, DefaultsApplyBeforeEnoughObservations)
 {
   EnginePace pace;
-  for (std::size_t seen = 1; seen < RecentMedian::kLeastObservations; ++seen) {
-    pace.NoteReading(TokenCount(10'000), Milliseconds(400));
+  for (std::size_t seen = 1; seen < MovingMedian::kMinObservations; ++seen) {
+    pace.RecordPrefill(TokenCount(10'000), Milliseconds(400));
   }
-  EXPECT_EQ(pace.PerToken(), EnginePace::kPriorPerToken);
-  pace.NoteReading(TokenCount(10'000), Milliseconds(400));
-  EXPECT_NE(pace.PerToken(), EnginePace::kPriorPerToken);
+  EXPECT_EQ(pace.MillisecondsPerToken(), EnginePace::kDefaultPerToken);
+  pace.RecordPrefill(TokenCount(10'000), Milliseconds(400));
+  EXPECT_NE(pace.MillisecondsPerToken(), EnginePace::kDefaultPerToken);
 }
 
-TEST(EnginePaceTest, EnginesThatWereReplacedByFasterOnesAreFollowed)
+TEST(EnginePaceTest, EstimateFollowsFasterEngines)
 {
   EnginePace pace;
   for (int seen = 0; seen < 100; ++seen) {
-    pace.NoteReading(TokenCount(10'000), Milliseconds(460));
+    pace.RecordPrefill(TokenCount(10'000), Milliseconds(460));
   }
-  for (std::size_t seen = 0; seen < RecentMedian::kObservations; ++seen) {
-    pace.NoteReading(TokenCount(10'000), Milliseconds(160));
+  for (std::size_t seen = 0; seen < MovingMedian::kWindowSize; ++seen) {
+    pace.RecordPrefill(TokenCount(10'000), Milliseconds(160));
   }
-  EXPECT_NEAR(pace.PerToken(), 0.01, 0.001);
+  EXPECT_NEAR(pace.MillisecondsPerToken(), 0.01, 0.001);
 }
 
-TEST(EnginePaceTest, NothingThatIsObservedLeadsOutOfBounds)
+TEST(EnginePaceTest, EstimatesStayWithinBounds)
 {
   EnginePace pace;
   for (int seen = 0; seen < 50; ++seen) {
-    pace.NoteReading(TokenCount(), Milliseconds(5));
-    pace.NoteReading(TokenCount(1), std::chrono::hours(1));
-    pace.NoteShort(-std::chrono::hours(1));
+    pace.RecordPrefill(TokenCount(), Milliseconds(5));
+    pace.RecordPrefill(TokenCount(1), std::chrono::hours(1));
+    pace.RecordShortPrompt(-std::chrono::hours(1));
   }
-  EXPECT_LE(pace.PerToken(), EnginePace::kMostPerToken);
-  EXPECT_GE(pace.FirstStep(), 0);
+  EXPECT_LE(pace.MillisecondsPerToken(), EnginePace::kMaxPerToken);
+  EXPECT_GE(pace.BaseLatency(), 0);
 }
 
-// From 20 to 200 tokens a millisecond, with a fifth of the prompts found kept and a tenth held up
-// by what nobody told.
-RC_GTEST_PROP(EnginePaceProperty, FindsTheRateOfAnyEngine, ())
+// Engines of 20 to 200 tokens a millisecond, with a fifth of the prompts found cached and a tenth
+// delayed for a reason that this host does not know.
+RC_GTEST_PROP(EnginePaceProperty, EstimateFindsTheRateDespiteOutliers, ())
 {
   const double rate = *rc::gen::inRange(20, 201);
   std::mt19937 random(*rc::gen::inRange(1U, 1'000'000U));
@@ -60,13 +60,13 @@
   for (int seen = 0; seen < 200; ++seen) {
     const double tokens = 2000 + 20'000 * chance(random);
     const double kind = chance(random);
-    const double heldUp = kind > 0.9 ? 1000 : 0;
-    const double reading = kind < 0.2 ? 0 : tokens / rate;
-    pace.NoteShort(Milliseconds(30 + 10 * chance(random)));
-    pace.NoteReading(TokenCount(static_cast<std::uint64_t>(tokens)),
-                     Milliseconds(35 + reading + heldUp));
+    const double delay = kind > 0.9 ? 1000 : 0;
+    const double prefill = kind < 0.2 ? 0 : tokens / rate;
+    pace.RecordShortPrompt(Milliseconds(30 + 10 * chance(random)));
+    pace.RecordPrefill(TokenCount(static_cast<std::uint64_t>(tokens)),
+                       Milliseconds(35 + prefill + delay));
   }
-  RC_ASSERT(std::abs(pace.PerToken() * rate - 1) < 0.25);
+  RC_ASSERT(std::abs(pace.MillisecondsPerToken() * rate - 1) < 0.25);
 }
 
 } // namespace
--- a/test/coordination/ExchangePlanTest.cpp
+++ b/test/coordination/ExchangePlanTest.cpp
@@ -8,129 +8,130 @@
 
 const MonotonicTime kNow = MonotonicTime(std::chrono::hours(1));
 
-ExchangeTerms
-Terms(bool aRepeatable, std::uint64_t aMostTargets)
+ExchangeLimits
+MakeLimits(bool aRepeatable, std::uint64_t aMostTargets)
 {
-  return ExchangeTerms{ aRepeatable, aMostTargets, kNow + std::chrono::seconds(2) };
+  return ExchangeLimits{ aRepeatable, aMostTargets, kNow + std::chrono::seconds(2) };
 }
 
 class ExchangePlanTest : public ::testing::Test
 {
 protected:
-  ExchangeStep Send(ExchangePlan& aPlan, AttemptEnd aEnd)
+  ExchangeStep Send(ExchangePlan& aPlan, AttemptResult aResult)
   {
     aPlan.Begin(AttemptId("a"), TargetId("t"));
-    if (aEnd != AttemptEnd::Unreachable) {
+    if (aResult != AttemptResult::Unreachable) {
       aPlan.Sending();
     }
-    return aPlan.After(aEnd, kNow, this->budget);
+    return aPlan.After(aResult, kNow, this->budget);
   }
 
   RetryBudget budget{ 0, 100 };
 };
 
-TEST_F(ExchangePlanTest, BrokenCallThatMayNotRepeatFails)
+TEST_F(ExchangePlanTest, BrokenNonRepeatableCallFails)
 {
-  ExchangePlan plan(Terms(false, 3));
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Broken), ExchangeStep::Fail);
+  ExchangePlan plan(MakeLimits(false, 3));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::Fail);
 }
 
-TEST_F(ExchangePlanTest, BrokenCallThatMayRepeatGoesToAnotherTarget)
+TEST_F(ExchangePlanTest, BrokenRepeatableCallIsRetried)
 {
-  ExchangePlan plan(Terms(true, 2));
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Broken), ExchangeStep::TryAnother);
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Broken), ExchangeStep::Fail);
+  ExchangePlan plan(MakeLimits(true, 2));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::TryAnother);
+  EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::Fail);
 }
 
-TEST_F(ExchangePlanTest, RefusedCallThatMayNotRepeatGoesToAnotherTarget)
+TEST_F(ExchangePlanTest, RefusedNonRepeatableCallIsRetried)
 {
-  ExchangePlan plan(Terms(false, 2));
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Refused), ExchangeStep::TryAnother);
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Refused), ExchangeStep::Refuse);
+  ExchangePlan plan(MakeLimits(false, 2));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Refused), ExchangeStep::TryAnother);
+  EXPECT_EQ(this->Send(plan, AttemptResult::Refused), ExchangeStep::Refuse);
 }
 
 TEST_F(ExchangePlanTest, CallThatMayHaveRunIsNeverRefused)
 {
-  ExchangePlan plan(Terms(true, 2));
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Broken), ExchangeStep::TryAnother);
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Refused), ExchangeStep::Fail);
+  ExchangePlan plan(MakeLimits(true, 2));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::TryAnother);
+  EXPECT_EQ(this->Send(plan, AttemptResult::Refused), ExchangeStep::Fail);
 }
 
-TEST_F(ExchangePlanTest, UnreachableTargetsCostNoRetry)
+TEST_F(ExchangePlanTest, UnreachableTargetsTakeNothingFromTheBudget)
 {
   this->budget = RetryBudget(0, 0);
-  ExchangePlan plan(Terms(false, 1));
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Unreachable), ExchangeStep::TryAnother);
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Delivered), ExchangeStep::Done);
+  ExchangePlan plan(MakeLimits(false, 1));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Unreachable), ExchangeStep::TryAnother);
+  EXPECT_EQ(this->Send(plan, AttemptResult::Delivered), ExchangeStep::Done);
 }
 
-TEST_F(ExchangePlanTest, UnreachableTargetsAreNotTriedWithoutEnd)
+TEST_F(ExchangePlanTest, UnreachableTargetsAreLimited)
 {
-  ExchangePlan plan(Terms(false, 1));
-  for (std::uint64_t tried = 1; tried < ExchangePlan::kMostUnreachable; ++tried) {
-    EXPECT_EQ(this->Send(plan, AttemptEnd::Unreachable), ExchangeStep::TryAnother);
+  ExchangePlan plan(MakeLimits(false, 1));
+  for (std::uint64_t tried = 1; tried < ExchangePlan::kMaxUnreachable; ++tried) {
+    EXPECT_EQ(this->Send(plan, AttemptResult::Unreachable), ExchangeStep::TryAnother);
   }
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Unreachable), ExchangeStep::Refuse);
+  EXPECT_EQ(this->Send(plan, AttemptResult::Unreachable), ExchangeStep::Refuse);
 }
 
 TEST_F(ExchangePlanTest, EmptyBudgetEndsTheCall)
 {
   this->budget = RetryBudget(0, 0);
-  ExchangePlan plan(Terms(true, 3));
-  EXPECT_EQ(this->Send(plan, AttemptEnd::Failed), ExchangeStep::PassOn);
+  ExchangePlan plan(MakeLimits(true, 3));
+  EXPECT_EQ(this->Send(plan, AttemptResult::Failed), ExchangeStep::PassOn);
 }
 
-TEST_F(ExchangePlanTest, ExpiredCallIsNotTriedAgain)
+TEST_F(ExchangePlanTest, ExpiredCallIsNotRetried)
 {
-  ExchangePlan sent(Terms(true, 3));
-  EXPECT_EQ(this->Send(sent, AttemptEnd::Expired), ExchangeStep::Expire);
-  ExchangePlan unsent(Terms(true, 3));
+  ExchangePlan sent(MakeLimits(true, 3));
+  EXPECT_EQ(this->Send(sent, AttemptResult::Expired), ExchangeStep::Expire);
+  ExchangePlan unsent(MakeLimits(true, 3));
   unsent.Begin(AttemptId("a"), TargetId("t"));
-  EXPECT_EQ(unsent.After(AttemptEnd::Expired, kNow, this->budget), ExchangeStep::Refuse);
+  EXPECT_EQ(unsent.After(AttemptResult::Expired, kNow, this->budget), ExchangeStep::Refuse);
 }
 
-TEST_F(ExchangePlanTest, StreamThatBrokeMidwayIsCutOffSoThatItDoesNotLookWhole)
+TEST_F(ExchangePlanTest, PartlyDeliveredAnswerIsCutOff)
 {
-  ExchangePlan plan(Terms(false, 3));
+  ExchangePlan plan(MakeLimits(false, 3));
   plan.Begin(AttemptId("a"), TargetId("t"));
   plan.Sending();
-  plan.NotePassedOn();
-  EXPECT_EQ(plan.After(AttemptEnd::Broken, kNow, this->budget), ExchangeStep::CutOff);
+  plan.MarkPassedOn();
+  EXPECT_EQ(plan.After(AttemptResult::Broken, kNow, this->budget), ExchangeStep::CutOff);
 }
 
 TEST_F(ExchangePlanTest, TooLittleTimeLeftEndsTheCall)
 {
-  ExchangePlan plan(Terms(true, 3));
+  ExchangePlan plan(MakeLimits(true, 3));
   plan.Begin(AttemptId("a"), TargetId("t"));
   plan.Sending();
-  const MonotonicTime late = plan.Terms().endsAt - std::chrono::milliseconds(10);
-  EXPECT_EQ(plan.After(AttemptEnd::Broken, late, this->budget), ExchangeStep::Fail);
+  const MonotonicTime late = plan.Limits().endsAt - std::chrono::milliseconds(10);
+  EXPECT_EQ(plan.After(AttemptResult::Broken, late, this->budget), ExchangeStep::Fail);
 }
 
-// Whatever happens: what may not repeat is sent again only after promises that it did not run, no
-// call goes to more targets than its route allows, and "not run" is said only when it is true.
-RC_GTEST_PROP(ExchangePlanProperties, NothingRunsTwiceAndRefusalsAreTrue, ())
+// For any sequence of results: a call that is not repeatable is sent again only after targets
+// stated that they did not run it, no call is sent to more targets than its route allows, and it is
+// refused as "not run" only when that is true.
+RC_GTEST_PROP(ExchangePlanProperties, NonRepeatableCallsRunAtMostOnceAndRefusalsAreTrue, ())
 {
   const bool repeatable = *rc::gen::arbitrary<bool>();
   const auto most = *rc::gen::inRange<std::uint64_t>(1, 4);
   RetryBudget budget(0, *rc::gen::inRange(0, 4));
-  ExchangePlan plan(Terms(repeatable, most));
+  ExchangePlan plan(MakeLimits(repeatable, most));
   bool mayHaveRun = false;
   std::uint64_t sends = 0;
   ExchangeStep step = ExchangeStep::TryAnother;
   while (step == ExchangeStep::TryAnother) {
     RC_ASSERT(repeatable || !mayHaveRun);
     plan.Begin(AttemptId("a"), TargetId("t"));
-    const auto end = *rc::gen::element(AttemptEnd::Unreachable,
-                                       AttemptEnd::Refused,
-                                       AttemptEnd::Failed,
-                                       AttemptEnd::Broken,
-                                       AttemptEnd::Expired);
-    if (end != AttemptEnd::Unreachable) {
+    const auto end = *rc::gen::element(AttemptResult::Unreachable,
+                                       AttemptResult::Refused,
+                                       AttemptResult::Failed,
+                                       AttemptResult::Broken,
+                                       AttemptResult::Expired);
+    if (end != AttemptResult::Unreachable) {
       plan.Sending();
       ++sends;
     }
-    mayHaveRun = mayHaveRun || (end != AttemptEnd::Unreachable && end != AttemptEnd::Refused);
+    mayHaveRun = mayHaveRun || (end != AttemptResult::Unreachable && end != AttemptResult::Refused);
     step = plan.After(end, kNow, budget);
   }
   RC_ASSERT(sends <= most);
--- a/test/coordination/TargetBoardTest.cpp
+++ b/test/coordination/TargetBoardTest.cpp
@@ -13,14 +13,14 @@
 const ServiceName kService("s");
 
 TargetUpdate
-Say(const std::string& aTarget, std::uint64_t aSequence, TargetAvailability aStanding)
+MakeUpdate(const std::string& aTarget, std::uint64_t aSequence, TargetAvailability aStanding)
 {
-  TargetUpdate statement;
-  statement.record.id = TargetId(aTarget);
-  statement.record.service = kService;
-  statement.record.sequence = Sequence(aSequence);
-  statement.standing = aStanding;
-  return statement;
+  TargetUpdate update;
+  update.record.id = TargetId(aTarget);
+  update.record.service = kService;
+  update.record.sequence = Sequence(aSequence);
+  update.standing = aStanding;
+  return update;
 }
 
 class TargetBoardTest : public ::testing::Test
@@ -37,167 +37,167 @@
   TargetBoard board;
 };
 
-TEST_F(TargetBoardTest, StatedTargetIsUsable)
+TEST_F(TargetBoardTest, ReportedTargetIsUsable)
 {
-  this->board.Take(kFirst, Say("t", 1, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("t", 1, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 1U);
   EXPECT_TRUE(this->board.Usable(ServiceName("other")).empty());
 }
 
-TEST_F(TargetBoardTest, WhatLeftStaysGone)
+TEST_F(TargetBoardTest, LeavingTargetStaysRemoved)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Leaving));
-  this->board.Take(kSecond, Say("t", 6, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Leaving));
+  this->board.Take(kSecond, MakeUpdate("t", 6, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 0U);
 }
 
-TEST_F(TargetBoardTest, UsableWhileOneConnectedHostSaysSo)
+TEST_F(TargetBoardTest, TargetIsUsableWhileAnyConnectedHostReportsIt)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Silent));
-  this->board.Take(kSecond, Say("t", 5, TargetAvailability::Usable));
-  this->board.Take(kFirst, Say("u", 5, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Silent));
+  this->board.Take(kSecond, MakeUpdate("t", 5, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("u", 5, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 2U);
 }
 
-TEST_F(TargetBoardTest, WordOfALostHostYieldsToThatOfAConnectedOne)
+TEST_F(TargetBoardTest, ConnectedHostOverridesDisconnectedOne)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Silent));
-  this->board.Take(kFirst, Say("u", 5, TargetAvailability::Usable));
-  this->board.Take(kSecond, Say("t", 4, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Silent));
+  this->board.Take(kFirst, MakeUpdate("u", 5, TargetAvailability::Usable));
+  this->board.Take(kSecond, MakeUpdate("t", 4, TargetAvailability::Usable));
   this->board.OnLink(kSecond, false);
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, CutOffHostGoesOnWithTheLastWords)
+TEST_F(TargetBoardTest, LastReportsCountWithoutConnectedHosts)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Usable));
   this->board.OnLink(kFirst, false);
   this->board.OnLink(kSecond, false);
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, SilentTargetsServeWhenThereAreNoOthers)
+TEST_F(TargetBoardTest, SilentTargetsAreUsedWithoutAlternatives)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Silent));
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Silent));
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, PausedTargetGetsNothingWhileAnotherServes)
+TEST_F(TargetBoardTest, PausedTargetIsUnusedWhileAnotherIsUsable)
 {
-  TargetUpdate paused = Say("t", 5, TargetAvailability::Usable);
+  TargetUpdate paused = MakeUpdate("t", 5, TargetAvailability::Usable);
   paused.paused = true;
   this->board.Take(kFirst, paused);
-  this->board.Take(kFirst, Say("u", 5, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("u", 5, TargetAvailability::Usable));
   ASSERT_EQ(this->Usable(), 1U);
   EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("u"));
 }
 
-TEST_F(TargetBoardTest, TargetThatAnotherOneReplacedIsGone)
+TEST_F(TargetBoardTest, MarkRemovedHidesTheTarget)
 {
-  this->board.Take(kFirst, Say("t", 5, TargetAvailability::Usable));
-  this->board.NoteGone(TargetId("t"));
+  this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Usable));
+  this->board.MarkRemoved(TargetId("t"));
   EXPECT_EQ(this->Usable(), 0U);
   EXPECT_EQ(this->board.Find(TargetId("t")), nullptr);
 }
 
-TEST_F(TargetBoardTest, MemoryOfWhatIsGoneIsBounded)
+TEST_F(TargetBoardTest, OldestRemovedTargetsAreForgotten)
 {
-  for (std::size_t number = 0; number <= TargetBoard::kMostGone; ++number) {
+  for (std::size_t number = 0; number <= TargetBoard::kMaxRemoved; ++number) {
     const std::string id = "t" + std::to_string(number);
-    this->board.Take(kFirst, Say(id, 1, TargetAvailability::Usable));
-    this->board.NoteGone(TargetId(id));
+    this->board.Take(kFirst, MakeUpdate(id, 1, TargetAvailability::Usable));
+    this->board.MarkRemoved(TargetId(id));
   }
-  // The oldest one is forgotten, the next one is not.
-  this->board.Take(kFirst, Say("t0", 2, TargetAvailability::Usable));
-  this->board.Take(kFirst, Say("t1", 2, TargetAvailability::Usable));
+  // Only the oldest removed target, t0, is forgotten and may return.
+  this->board.Take(kFirst, MakeUpdate("t0", 2, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("t1", 2, TargetAvailability::Usable));
   ASSERT_EQ(this->Usable(), 1U);
   EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("t0"));
 }
 
 TEST_F(TargetBoardTest, OlderRecordDoesNotReplaceTheNewerOne)
 {
-  TargetUpdate newer = Say("t", 5, TargetAvailability::Usable);
+  TargetUpdate newer = MakeUpdate("t", 5, TargetAvailability::Usable);
   newer.record.load.slots = 7;
   this->board.Take(kFirst, newer);
-  this->board.Take(kSecond, Say("t", 4, TargetAvailability::Usable));
+  this->board.Take(kSecond, MakeUpdate("t", 4, TargetAvailability::Usable));
   EXPECT_EQ(this->board.Find(TargetId("t"))->load.slots, 7U);
 }
 
 TargetUpdate
-SayOf(std::uint64_t aStart, std::uint64_t aSequence, TargetAvailability aStanding)
+MakeUpdateOf(std::uint64_t aIncarnation, std::uint64_t aSequence, TargetAvailability aStanding)
 {
-  TargetUpdate statement = Say("t", aSequence, aStanding);
-  statement.record.incarnation = Incarnation(aStart);
-  return statement;
+  TargetUpdate update = MakeUpdate("t", aSequence, aStanding);
+  update.record.incarnation = Incarnation(aIncarnation);
+  return update;
 }
 
-TEST_F(TargetBoardTest, TargetThatStartsAgainUnderItsIdIsUsableThoughItHadLeft)
+TEST_F(TargetBoardTest, RestartedTargetIsUsableAfterLeaving)
 {
-  this->board.Take(kFirst, SayOf(1000, 50, TargetAvailability::Leaving));
-  this->board.Take(kSecond, SayOf(2000, 1, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdateOf(1000, 50, TargetAvailability::Leaving));
+  this->board.Take(kSecond, MakeUpdateOf(2000, 1, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 1U);
   ASSERT_EQ(this->board.TakeRestarted().size(), 1U);
   EXPECT_TRUE(this->board.TakeRestarted().empty());
 }
 
-TEST_F(TargetBoardTest, WordsOfAnEarlierStartChangeNothing)
+TEST_F(TargetBoardTest, UpdatesOfAnEarlierIncarnationAreIgnored)
 {
-  this->board.Take(kFirst, SayOf(2000, 1, TargetAvailability::Usable));
-  this->board.Take(kSecond, SayOf(1000, 50, TargetAvailability::Leaving));
+  this->board.Take(kFirst, MakeUpdateOf(2000, 1, TargetAvailability::Usable));
+  this->board.Take(kSecond, MakeUpdateOf(1000, 50, TargetAvailability::Leaving));
   EXPECT_EQ(this->Usable(), 1U);
   EXPECT_EQ(this->board.Find(TargetId("t"))->sequence, Sequence(1));
   EXPECT_TRUE(this->board.TakeRestarted().empty());
 }
 
-TEST_F(TargetBoardTest, TargetThatWasFoundGoneComesBackWithItsNextStart)
+TEST_F(TargetBoardTest, RemovedTargetReturnsWithItsNextIncarnation)
 {
-  this->board.Take(kFirst, SayOf(1000, 5, TargetAvailability::Usable));
-  this->board.NoteGone(TargetId("t"));
-  this->board.Take(kFirst, SayOf(1000, 6, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdateOf(1000, 5, TargetAvailability::Usable));
+  this->board.MarkRemoved(TargetId("t"));
+  this->board.Take(kFirst, MakeUpdateOf(1000, 6, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 0U);
-  this->board.Take(kFirst, SayOf(2000, 1, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdateOf(2000, 1, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, TargetsThatAppearAreToldOnce)
+TEST_F(TargetBoardTest, DiscoveredTargetsAreReturnedOnce)
 {
-  this->board.Take(kFirst, Say("t", 1, TargetAvailability::Usable));
-  this->board.Take(kSecond, Say("t", 2, TargetAvailability::Usable));
-  this->board.Take(kFirst, Say("old", 1, TargetAvailability::Silent));
-  const std::vector<TargetRecord> appeared = this->board.TakeAppeared();
-  ASSERT_EQ(appeared.size(), 1U);
-  EXPECT_EQ(appeared[0].id, TargetId("t"));
-  EXPECT_TRUE(this->board.TakeAppeared().empty());
+  this->board.Take(kFirst, MakeUpdate("t", 1, TargetAvailability::Usable));
+  this->board.Take(kSecond, MakeUpdate("t", 2, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("old", 1, TargetAvailability::Silent));
+  const std::vector<TargetRecord> discovered = this->board.TakeDiscovered();
+  ASSERT_EQ(discovered.size(), 1U);
+  EXPECT_EQ(discovered[0].id, TargetId("t"));
+  EXPECT_TRUE(this->board.TakeDiscovered().empty());
 }
 
-TEST_F(TargetBoardTest, AZoneIsMostlySilentWhenMoreThanHalfOfItIs)
+TEST_F(TargetBoardTest, ZoneIsMostlySilentAboveHalf)
 {
-  this->board.Take(kFirst, Say("a", 1, TargetAvailability::Usable));
-  this->board.Take(kFirst, Say("b", 1, TargetAvailability::Silent));
+  this->board.Take(kFirst, MakeUpdate("a", 1, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("b", 1, TargetAvailability::Silent));
   EXPECT_FALSE(this->board.IsMostlySilent(ZoneId()));
-  this->board.Take(kFirst, Say("c", 1, TargetAvailability::Silent));
+  this->board.Take(kFirst, MakeUpdate("c", 1, TargetAvailability::Silent));
   EXPECT_TRUE(this->board.IsMostlySilent(ZoneId()));
 }
 
-// Whatever was said before a start was first stated, and whatever is said late of earlier ones, the
-// board holds what is said of the newest start alone.
-RC_GTEST_PROP(TargetBoardProperty, EarlierStartsLeaveNoTrace, ())
+// Updates may arrive late and in any order: the board must depend only on those about the
+// newest incarnation of a target.
+RC_GTEST_PROP(TargetBoardProperty, EarlierIncarnationsLeaveNoTrace, ())
 {
-  struct Saying
+  struct Report
   {
-    unsigned start;
+    unsigned incarnation;
     unsigned sequence;
     unsigned standing;
     bool second;
   };
-  const auto saying = rc::gen::construct<Saying>(rc::gen::inRange(1U, 4U),
-                                                 rc::gen::inRange(1U, 6U),
-                                                 rc::gen::inRange(1U, 4U),
-                                                 rc::gen::arbitrary<bool>());
-  const auto sayings = *rc::gen::nonEmpty(rc::gen::container<std::vector<Saying>>(saying));
+  const auto anyReport = rc::gen::construct<Report>(rc::gen::inRange(1U, 4U),
+                                                    rc::gen::inRange(1U, 6U),
+                                                    rc::gen::inRange(1U, 4U),
+                                                    rc::gen::arbitrary<bool>());
+  const auto reports = *rc::gen::nonEmpty(rc::gen::container<std::vector<Report>>(anyReport));
   unsigned newest = 0;
-  for (const Saying& said : sayings) {
-    newest = std::max(newest, said.start);
+  for (const Report& report : reports) {
+    newest = std::max(newest, report.incarnation);
   }
   TargetBoard all;
   TargetBoard newestOnly;
@@ -205,27 +205,27 @@
     board->OnLink(kFirst, true);
     board->OnLink(kSecond, true);
   }
-  for (const Saying& said : sayings) {
-    const HostId& host = said.second ? kSecond : kFirst;
-    const auto standing = static_cast<TargetAvailability>(said.standing);
-    all.Take(host, SayOf(said.start, said.sequence, standing));
-    if (said.start == newest) {
-      newestOnly.Take(host, SayOf(said.start, said.sequence, standing));
+  for (const Report& report : reports) {
+    const HostId& host = report.second ? kSecond : kFirst;
+    const auto standing = static_cast<TargetAvailability>(report.standing);
+    all.Take(host, MakeUpdateOf(report.incarnation, report.sequence, standing));
+    if (report.incarnation == newest) {
+      newestOnly.Take(host, MakeUpdateOf(report.incarnation, report.sequence, standing));
     }
   }
   RC_ASSERT(all.Usable(kService) == newestOnly.Usable(kService));
 }
 
-TEST_F(TargetBoardTest, TargetsOfAnEvacuatedZoneAreNoChoiceEvenWithoutOthers)
+TEST_F(TargetBoardTest, EvacuatedZoneIsUnusableEvenWithoutAlternatives)
 {
   const ZoneId zone("hall");
-  TargetUpdate statement = Say("t", 1, TargetAvailability::Usable);
-  statement.record.zone = zone;
-  this->board.Take(kFirst, statement);
+  TargetUpdate update = MakeUpdate("t", 1, TargetAvailability::Usable);
+  update.record.zone = zone;
+  this->board.Take(kFirst, update);
   this->board.SetEvacuated({ zone });
   EXPECT_EQ(this->Usable(), 0U);
   EXPECT_EQ(this->board.InZone(zone).size(), 1U);
-  this->board.Take(kFirst, Say("u", 1, TargetAvailability::Usable));
+  this->board.Take(kFirst, MakeUpdate("u", 1, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 1U);
   this->board.SetEvacuated({});
   EXPECT_EQ(this->Usable(), 2U);
--- a/test/coordination/TargetSpreadTest.cpp
+++ b/test/coordination/TargetBroadcasterTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetSpread.h"
+#include "damasklink/coordination/TargetBroadcaster.h"
 
 #include <functional>
 #include <memory>
@@ -11,11 +11,12 @@
 
 constexpr std::size_t kHosts = 4;
 constexpr Duration kStep = std::chrono::milliseconds(100);
-constexpr Duration kAnnounced = std::chrono::milliseconds(300);
+constexpr Duration kAnnounceInterval = std::chrono::milliseconds(300);
 constexpr Duration kSilenceLimit = std::chrono::seconds(2);
 const TargetId kTarget("engine-1");
 
-// Hosts that pass targets on to each other, and one target that announces itself to one of them.
+// Hosts that pass announcements on to each other, and one target that announces itself to one of
+// them.
 class FakeHosts
 {
 public:
@@ -29,7 +30,7 @@
     for (std::size_t index = 0; index < kHosts; ++index) {
       settings.host = NameOf(index);
       settings.zone = settings.peers[index].zone;
-      this->hosts.push_back(std::make_unique<TargetSpread>(this->clock, settings));
+      this->hosts.push_back(std::make_unique<TargetBroadcaster>(this->clock, settings));
     }
     this->record.id = kTarget;
     this->record.endpoint = Endpoint{ "127.0.0.1", 1 };
@@ -44,7 +45,7 @@
     this->hosts[aHome]->OnAnnouncement(this->record);
   }
 
-  void DeliverAll(const std::function<bool()>& aArrives)
+  void DeliverAll(const std::function<bool()>& aIsDelivered)
   {
     bool moved = true;
     while (moved) {
@@ -53,7 +54,7 @@
         for (const OutgoingTargetsMessage& outgoing : this->hosts[from]->TakeOutgoing()) {
           moved = true;
           const std::size_t to = std::stoul(outgoing.to.Value());
-          if (aArrives() && from != this->dead && to != this->dead) {
+          if (aIsDelivered() && from != this->stopped && to != this->stopped) {
             this->hosts[to]->OnMessage(NameOf(from), outgoing.message);
           }
         }
@@ -61,21 +62,22 @@
     }
   }
 
-  // Lets time pass; the target announces itself to aHome unless that is no host.
+  // Advances the clock in steps of kStep. The target announces itself to aHome; with kHosts it is
+  // silent.
   void Run(
     Duration aTime,
     std::size_t aHome,
-    const std::function<bool()>& aArrives = [] { return true; })
+    const std::function<bool()>& aIsDelivered = [] { return true; })
   {
     for (Duration passed{ 0 }; passed < aTime; passed += kStep) {
       this->clock.Advance(kStep);
-      if (aHome < kHosts && passed % kAnnounced == Duration(0)) {
+      if (aHome < kHosts && passed % kAnnounceInterval == Duration(0)) {
         this->Announce(aHome);
       }
       for (auto& host : this->hosts) {
         host->OnTick();
       }
-      this->DeliverAll(aArrives);
+      this->DeliverAll(aIsDelivered);
     }
   }
 
@@ -88,12 +90,12 @@
   }
 
   ManualClock clock;
-  std::vector<std::unique_ptr<TargetSpread>> hosts;
+  std::vector<std::unique_ptr<TargetBroadcaster>> hosts;
   TargetRecord record;
-  std::size_t dead = kHosts;
+  std::size_t stopped = kHosts;
 };
 
-TEST(TargetSpreadTest, AnnouncedTargetIsUsableEverywhereAndStaysSo)
+TEST(TargetBroadcasterTest, AnnouncedTargetStaysUsableOnAllHosts)
 {
   FakeHosts hosts;
   hosts.Announce(0);
@@ -103,17 +105,17 @@
   EXPECT_EQ(hosts.CountUsable(), kHosts);
 }
 
-TEST(TargetSpreadTest, SilentTargetGetsNoNewWorkAnywhereWithinTheLimit)
+TEST(TargetBroadcasterTest, SilentTargetIsUnusableOnAllHostsWithinTheLimit)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
   hosts.Run(kSilenceLimit - kStep, kHosts);
   EXPECT_EQ(hosts.CountUsable(), 0U);
   hosts.Run(kStep, 0);
-  EXPECT_EQ(hosts.CountUsable(), kHosts) << "heard of again";
+  EXPECT_EQ(hosts.CountUsable(), kHosts) << "usable again after an announcement";
 }
 
-TEST(TargetSpreadTest, LeavingTargetGetsNoNewWorkAtOnce)
+TEST(TargetBroadcasterTest, LeavingTargetIsUnusableAtOnce)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
@@ -123,16 +125,16 @@
   EXPECT_EQ(hosts.CountUsable(), 0U);
 }
 
-TEST(TargetSpreadTest, TargetThatFellSilentWithItsHomeIsOutAfterTheRemoteLimit)
+TEST(TargetBroadcasterTest, TargetSilentWithItsHomeIsUnusableAfterTheRemoteLimit)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
-  hosts.dead = 0;
-  hosts.Run(TargetSpread::kRemoteSilence, kHosts);
+  hosts.stopped = 0;
+  hosts.Run(TargetBroadcaster::kRemoteSilence, kHosts);
   EXPECT_EQ(hosts.CountUsable(), 0U);
 }
 
-TEST(TargetSpreadTest, TargetGoesOnWithAnotherHomeWithoutAGap)
+TEST(TargetBroadcasterTest, ChangeOfHomeKeepsTheTargetUsable)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
@@ -142,7 +144,7 @@
   }
 }
 
-TEST(TargetSpreadTest, LateRecordOfAnOlderLifeNeverRevives)
+TEST(TargetBroadcasterTest, LateRecordOfAnOlderIncarnationIsIgnored)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(1), 0);
@@ -159,7 +161,7 @@
   EXPECT_EQ(hosts.CountUsable(), 0U);
 }
 
-TEST(TargetSpreadTest, LoadAloneIsPassedOnWithTheRefreshOnly)
+TEST(TargetBroadcasterTest, LoadChangesAreSentWithTheRefreshOnly)
 {
   FakeHosts hosts;
   hosts.Run(std::chrono::seconds(5), 0);
@@ -167,13 +169,14 @@
   hosts.record.load.runningRequests = 9;
   hosts.Announce(0);
   EXPECT_TRUE(hosts.hosts[0]->TakeOutgoing().empty());
-  hosts.Run(TargetSpread::kFarRefreshInterval, 0);
+  hosts.Run(TargetBroadcaster::kFarRefreshInterval, 0);
   EXPECT_EQ(hosts.hosts[1]->Registry().Find(kTarget)->load.runningRequests, 9U);
   EXPECT_EQ(hosts.hosts[3]->Registry().Find(kTarget)->load.runningRequests, 9U);
 }
 
-// Whatever was lost, and wherever the target announced itself meanwhile: all know it in the end.
-RC_GTEST_PROP(TargetSpreadTest, HostThatMissedAnnouncementsGetsThemFromTheRefresh, ())
+// Messages are lost and the target changes its home and its weights meanwhile. Once messages arrive
+// again, every host must learn the target's current record from the refresh.
+RC_GTEST_PROP(TargetBroadcasterTest, MissedAnnouncementsAreRecoveredByTheRefresh, ())
 {
   FakeHosts hosts;
   const int moves = *rc::gen::inRange(1, 5);
@@ -185,7 +188,7 @@
       return *rc::gen::inRange(0, 10) >= lossOf10;
     });
   }
-  hosts.Run(TargetSpread::kFarRefreshInterval * 3, *rc::gen::inRange<std::size_t>(0, kHosts));
+  hosts.Run(TargetBroadcaster::kFarRefreshInterval * 3, *rc::gen::inRange<std::size_t>(0, kHosts));
   RC_ASSERT(hosts.CountUsable() == kHosts);
   for (const auto& host : hosts.hosts) {
     RC_ASSERT(host->Registry().Find(kTarget)->models == hosts.record.models);
--- a/test/coordination/WeightRolloutTest.cpp
+++ b/test/coordination/WeightRolloutTest.cpp
@@ -10,7 +10,8 @@
 const ModelName kModel("m");
 constexpr Duration kStep = std::chrono::milliseconds(100);
 
-// Engines that load in a second and may lose the answer to an order or carry it out late.
+// An engine that loads weights in one second. With `delayOrders` its orders are kept in `late`
+// instead of being delivered.
 struct Engine
 {
   TargetRecord record;
@@ -86,7 +87,7 @@
         }
         records.push_back(engine.record);
       }
-      for (const RolloutAction& action : this->rollout.Plan(aLeading, this->wished, records)) {
+      for (const RolloutAction& action : this->rollout.Plan(aLeading, this->desired, records)) {
         this->Act(action);
       }
       this->mostPaused = std::max(this->mostPaused, this->rollout.Paused().size());
@@ -104,7 +105,7 @@
 
   ManualClock clock;
   WeightRollout rollout{ this->clock, RolloutOptions() };
-  std::map<ModelName, std::uint64_t> wished{ { kModel, 2 } };
+  std::map<ModelName, std::uint64_t> desired{ { kModel, 2 } };
   std::deque<Engine> engines;
   std::deque<OrderWeights> late;
   bool delayOrders = false;
@@ -113,7 +114,7 @@
   std::size_t mostPaused = 0;
 };
 
-TEST_F(WeightRolloutTest, AllEnginesComeToTheNamedWeights)
+TEST_F(WeightRolloutTest, RolloutReachesAllEngines)
 {
   this->Run(std::chrono::seconds(13));
   EXPECT_EQ(this->CountAt(2), 10U);
@@ -121,16 +122,16 @@
   EXPECT_TRUE(this->rollout.Paused().empty());
 }
 
-TEST_F(WeightRolloutTest, EnginesThatWereOrderedBeforeComeToLaterWeightsToo)
+TEST_F(WeightRolloutTest, SecondRolloutReachesAllEngines)
 {
   this->Run(std::chrono::seconds(13));
-  this->wished[kModel] = 3;
+  this->desired[kModel] = 3;
   this->Run(std::chrono::seconds(13));
   EXPECT_EQ(this->CountAt(3), 10U);
   EXPECT_EQ(this->refused, 0);
 }
 
-TEST_F(WeightRolloutTest, OnlyAFifthIsOutAtOnce)
+TEST_F(WeightRolloutTest, UnavailableEnginesStayWithinTheShare)
 {
   this->Run(std::chrono::seconds(13));
   EXPECT_EQ(this->mostPaused, 2U);
@@ -142,7 +143,7 @@
   EXPECT_EQ(this->ordered, 0);
 }
 
-TEST_F(WeightRolloutTest, NewLeaderWaitsUntilTheFormerHoldersTimeIsOver)
+TEST_F(WeightRolloutTest, NewLeaderWaitsForTheOrderLease)
 {
   this->Run(RolloutOptions().orderLease);
   EXPECT_EQ(this->ordered, 0);
@@ -159,13 +160,13 @@
   EXPECT_EQ(this->ordered, before);
 }
 
-TEST_F(WeightRolloutTest, OrderThatIsCarriedOutLateChangesNothingAnyMore)
+TEST_F(WeightRolloutTest, LateOrderIsRefused)
 {
   this->delayOrders = true;
   this->Run(std::chrono::seconds(6));
   ASSERT_FALSE(this->late.empty());
   this->delayOrders = false;
-  this->wished[kModel] = 3;
+  this->desired[kModel] = 3;
   this->Run(std::chrono::seconds(20));
   EXPECT_EQ(this->CountAt(3), 10U);
   for (const OrderWeights& order : this->late) {
@@ -176,7 +177,7 @@
   EXPECT_EQ(this->refused, static_cast<int>(this->late.size()));
 }
 
-TEST_F(WeightRolloutTest, LostOrderIsGivenAgain)
+TEST_F(WeightRolloutTest, LostOrderIsRepeated)
 {
   this->delayOrders = true;
   this->Run(std::chrono::seconds(6));
@@ -185,7 +186,7 @@
   EXPECT_EQ(this->CountAt(2), 10U);
 }
 
-TEST_F(WeightRolloutTest, EngineThatIsGoneDoesNotHoldUpTheOthers)
+TEST_F(WeightRolloutTest, RemovedEngineDoesNotBlockTheOthers)
 {
   this->Run(RolloutOptions().orderLease + std::chrono::seconds(1));
   this->engines.pop_front();
@@ -193,7 +194,7 @@
   EXPECT_EQ(this->CountAt(2), 9U);
 }
 
-TEST_F(WeightRolloutTest, EngineThatStartsAgainIsReadAndOrderedAnew)
+TEST_F(WeightRolloutTest, RestartedEngineIsReadAndOrderedAgain)
 {
   this->Run(std::chrono::milliseconds(4500));
   Engine& engine = this->engines.front();
@@ -205,15 +206,15 @@
   EXPECT_EQ(this->CountAt(2), 10U);
 }
 
-TEST_F(WeightRolloutTest, ReportOfAnEarlierStartCountsForNothing)
+TEST_F(WeightRolloutTest, ReportOfAnEarlierIncarnationIsIgnored)
 {
   for (Engine& engine : this->engines) {
     engine.record.incarnation = Incarnation(2000);
   }
   const std::vector<TargetRecord> engines{ this->engines.front().record };
-  this->rollout.Plan(true, this->wished, engines);
+  this->rollout.Plan(true, this->desired, engines);
   this->clock.Advance(RolloutOptions().orderLease);
-  ASSERT_EQ(this->rollout.Plan(true, this->wished, engines).size(), 1U);
+  ASSERT_EQ(this->rollout.Plan(true, this->desired, engines).size(), 1U);
   const ServedModel newest{ kModel, WeightVersion("2"), {} };
   this->rollout.OnReport(engines.front().id, EngineReport{ false, 4, { newest }, Incarnation(1) });
   EXPECT_EQ(this->rollout.ReportedVersion(engines.front().id, kModel), 0U);
--- a/test/coordination/ZoneReachTest.cpp
+++ b/test/coordination/ZoneReachTest.cpp
@@ -12,7 +12,7 @@
   void FailTargets(std::size_t aCount)
   {
     for (std::size_t index = 0; index < aCount; ++index) {
-      this->reach.OnEnd(this->zone, TargetId(std::to_string(index)), HealthSign::Gone);
+      this->reach.OnEnd(this->zone, TargetId(std::to_string(index)), HealthSignal::NotReached);
     }
   }
 
@@ -43,7 +43,7 @@
 TEST_F(ZoneReachTest, SuccessfulCallResetsFailures)
 {
   this->FailTargets(ZoneReach::kUnreachableTargets - 1);
-  this->reach.OnEnd(this->zone, TargetId("good"), HealthSign::Good);
+  this->reach.OnEnd(this->zone, TargetId("good"), HealthSignal::Good);
   this->FailTargets(ZoneReach::kUnreachableTargets - 1);
   EXPECT_FALSE(this->IsUnreachable());
 }
@@ -64,7 +64,7 @@
 {
   this->FailTargets(ZoneReach::kUnreachableTargets - 1);
   this->clock.Advance(ZoneReach::kDetectionWindow * 2);
-  this->reach.OnEnd(this->zone, TargetId("another"), HealthSign::Gone);
+  this->reach.OnEnd(this->zone, TargetId("another"), HealthSignal::NotReached);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
@@ -75,11 +75,11 @@
   EXPECT_FALSE(this->IsUnreachable());
   this->reach.OnStart(this->zone);
   EXPECT_TRUE(this->IsUnreachable());
-  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Gone);
+  this->reach.OnEnd(this->zone, TargetId("0"), HealthSignal::NotReached);
   EXPECT_TRUE(this->IsUnreachable());
   this->clock.Advance(ZoneReach::kRetryDelay * 2);
   this->reach.OnStart(this->zone);
-  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::Good);
+  this->reach.OnEnd(this->zone, TargetId("0"), HealthSignal::Good);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
@@ -88,7 +88,7 @@
   this->FailTargets(ZoneReach::kUnreachableTargets);
   this->clock.Advance(ZoneReach::kRetryDelay * 2);
   this->reach.OnStart(this->zone);
-  this->reach.OnEnd(this->zone, TargetId("0"), HealthSign::None);
+  this->reach.OnEnd(this->zone, TargetId("0"), HealthSignal::None);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
