--- a/bench/RequestsBench.cpp
+++ b/bench/RequestsBench.cpp
@@ -12,7 +12,7 @@
 #include "OverloadSimulation.h"
 #include "damasklink/coordination/AttemptRecovery.h"
 #include "damasklink/coordination/RetryBudget.h"
-#include "damasklink/protocol/ClaimMachine.h"
+#include "damasklink/protocol/ClaimStateMachine.h"
 #include "damasklink/state/Text.h"
 
 namespace damasklink::bench {
@@ -175,7 +175,7 @@
 PrintClaims()
 {
   constexpr std::uint64_t kClaims = 1'000'000;
-  ClaimMachine machine;
+  ClaimStateMachine machine;
   ApplyContext context;
   context.proposedAt = SystemClock().WallNow();
   const std::size_t before = ResidentBytes();
--- a/bench/SlopesBench.cpp
+++ b/bench/SlopesBench.cpp
@@ -219,7 +219,7 @@
   frame.tokens = 1;
   frame.text = "token ";
   const std::string data = FormatAnswerFrame(frame);
-  AnswerHeader header;
+  CompletionHeader header;
   header.request = RequestId("req-hall-north-1");
   header.model = ModelName("plates-7b");
   const double cost = MicrosecondsPerCall(5'000, [&] {
--- a/include/damasklink/protocol/CallerApi.h
+++ b/include/damasklink/protocol/CallerApi.h
@@ -42,7 +42,7 @@
 ParseCompletionRequest(std::string_view aBody, CompletionStyle aStyle);
 
 // What stands in every answer to one request.
-struct AnswerHeader
+struct CompletionHeader
 {
   RequestId request;
   CompletionStyle style = CompletionStyle::Text;
@@ -52,13 +52,13 @@
 
 // Returns one server-sent event with a piece of text.
 std::string
-FormatDeltaEvent(const AnswerHeader& aHeader, std::string_view aText);
+FormatDeltaEvent(const CompletionHeader& aHeader, std::string_view aText);
 
 // Returns the events that end a whole answer: reason, usage and [DONE].
 std::string
-FormatEndEvents(const AnswerHeader& aHeader,
-                std::string_view aFinishReason,
-                const AnswerUsage& aUsage);
+FormatFinalEvents(const CompletionHeader& aHeader,
+                  std::string_view aFinishReason,
+                  const AnswerUsage& aUsage);
 
 // Returns an event that ends an answer which broke off; [DONE] is left out on purpose.
 std::string
@@ -66,14 +66,14 @@
 
 // Returns the body of an answer that is not streamed.
 std::string
-FormatWholeAnswer(const AnswerHeader& aHeader,
-                  std::string_view aText,
-                  std::string_view aFinishReason,
-                  const AnswerUsage& aUsage);
+FormatCompletion(const CompletionHeader& aHeader,
+                 std::string_view aText,
+                 std::string_view aFinishReason,
+                 const AnswerUsage& aUsage);
 
 // Returns the body of an answer to POST /v1/keys.
 std::string
-FormatMintedKey(const IdempotencyKey& aKey, Duration aRetention);
+FormatIssuedKey(const IdempotencyKey& aKey, Duration aRetention);
 
 // Returns the body of /v1/models.
 std::string
--- a/include/damasklink/protocol/ClaimMachine.h
+++ b/include/damasklink/protocol/ClaimStateMachine.h
@@ -1,4 +1,4 @@
-// The claim ledger as a replicated machine: encoding of its commands, answers and snapshots.
+// The claim claims as a replicated machine: encoding of its commands, answers and snapshots.
 #pragma once
 
 #include <string>
@@ -25,21 +25,21 @@
 
 // Puts a ClaimRegistry behind the replicated log.
 //
-//   ClaimMachine machine;
+//   ClaimStateMachine machine;
 //   replicator.AddMachine(ClaimsGroupId(zone), StateMachineId::Claims, machine);
 //
 // A command that does not decode is answered with the verdict Recorded and changes nothing.
-class ClaimMachine final : public ReplicatedStateMachine
+class ClaimStateMachine final : public ReplicatedStateMachine
 {
 public:
   std::string Apply(const ApplyContext& aContext, std::string_view aCommand) override;
   std::string Save() const override;
   Result<void> Load(std::string_view aSnapshot) override;
 
-  const ClaimRegistry& Ledger() const { return this->ledger; }
+  const ClaimRegistry& Claims() const { return this->claims; }
 
 private:
-  ClaimRegistry ledger;
+  ClaimRegistry claims;
 };
 
 } // namespace damasklink
--- a/include/damasklink/protocol/EngineApi.h
+++ b/include/damasklink/protocol/EngineApi.h
@@ -57,8 +57,8 @@
 class SseReader
 {
 public:
-  explicit SseReader(std::size_t aMostLineBytes)
-    : mostLineBytes(aMostLineBytes)
+  explicit SseReader(std::size_t aMaxLineBytes)
+    : maxLineBytes(aMaxLineBytes)
   {
   }
 
@@ -68,7 +68,7 @@
   std::optional<std::string> Next();
 
 private:
-  std::size_t mostLineBytes;
+  std::size_t maxLineBytes;
   std::string buffer;
   std::size_t consumed = 0;
 };
--- a/include/damasklink/protocol/HttpMessage.h
+++ b/include/damasklink/protocol/HttpMessage.h
@@ -56,7 +56,7 @@
 
 // Returns whether a comma-separated field holds the token.
 bool
-HoldsToken(std::string_view aValue, std::string_view aToken);
+ContainsToken(std::string_view aValue, std::string_view aToken);
 
 struct HttpRequestHead
 {
@@ -74,15 +74,15 @@
   std::string body;
 };
 
-struct HttpAnswerHead
+struct HttpResponseHead
 {
   int status = 0;
   HttpFields fields;
 };
 
-struct HttpAnswerMessage
+struct HttpResponseMessage
 {
-  HttpAnswerHead head;
+  HttpResponseHead head;
   std::string body;
 };
 
@@ -100,11 +100,11 @@
 // Removes the fields that concern one connection only: those of RFC 9110 section 7.6.1, those that
 // "Connection" names, and the length, which the sender states anew.
 void
-RemoveConnectionFields(HttpFields& aFields);
+RemoveHopByHopFields(HttpFields& aFields);
 
 // Returns whether the sender closes the connection after this message.
 bool
-AsksToClose(const HttpFields& aFields, int aVersion);
+ClosesConnection(const HttpFields& aFields, int aVersion);
 
 // Returns how long the peer keeps an idle connection, as "Keep-Alive: timeout=N" says it, in
 // seconds.
@@ -120,7 +120,7 @@
 FormatRequestHead(const HttpRequestHead& aHead, std::size_t aBodyBytes);
 
 // How the body of an answer is delimited.
-enum class AnswerFraming
+enum class BodyFraming
 {
   Length,
   Chunks,
@@ -128,9 +128,9 @@
 
 // Returns the bytes of an answer head. aBodyBytes is read with Length only.
 std::string
-FormatAnswerHead(const HttpAnswerHead& aHead,
-                 AnswerFraming aFraming,
-                 std::size_t aBodyBytes,
-                 bool aClose);
+FormatResponseHead(const HttpResponseHead& aHead,
+                   BodyFraming aFraming,
+                   std::size_t aBodyBytes,
+                   bool aClose);
 
 } // namespace damasklink
--- a/include/damasklink/protocol/ServingCodec.h
+++ b/include/damasklink/protocol/ServingCodec.h
@@ -15,7 +15,7 @@
 // As above, and a large one in a third of the bytes or less where it repeats itself, as pictures of
 // many targets do: for what goes to many hosts, since packing takes longer than encoding.
 std::string
-EncodePacked(const ServingMessage& aMessage);
+EncodeCompressed(const ServingMessage& aMessage);
 
 // Reads what either of them wrote. Fails with Corrupt when the bytes do not verify or hold an
 // unknown kind or standing.
--- a/include/damasklink/protocol/ServingDialect.h
+++ b/include/damasklink/protocol/ServingDialect.h
@@ -36,7 +36,7 @@
 };
 
 // What a caller asks for.
-struct CallerCall
+struct CallerRequest
 {
   RequestId request;
   std::string host;
@@ -47,13 +47,13 @@
   std::optional<std::uint64_t> lastEvent;
   ModelName model;
   TokenCount promptTokens;
-  TokenCount mostAnswerTokens;
+  TokenCount maxAnswerTokens;
   // In the order of the prompt; the last one belongs to this call or its session alone.
   std::vector<PromptPart> parts;
 };
 
 // A move of one part of a prompt between a target and a store or another target.
-struct PartMove
+struct PartTransfer
 {
   // Nothing: this part is not moved.
   std::optional<Endpoint> peer;
@@ -73,12 +73,12 @@
   // The version of weights that the target is believed to have.
   std::optional<std::uint64_t> weights;
   // One entry a part, or none at all.
-  std::vector<PartMove> fetches;
-  std::vector<PartMove> saves;
+  std::vector<PartTransfer> fetches;
+  std::vector<PartTransfer> saves;
 };
 
 // What the head of a target's answer says.
-struct TargetAnswerFacts
+struct TargetResponseInfo
 {
   // The target promises that it did not run the call and never will.
   bool notRun = false;
@@ -103,17 +103,17 @@
   virtual ~CallDialect() = default;
 
   // Fails with InvalidArgument, naming the field.
-  virtual Result<CallerCall> ReadCall(const HttpRequestHead& aHead) const = 0;
+  virtual Result<CallerRequest> ReadCall(const HttpRequestHead& aHead) const = 0;
 
   // Returns what the target is sent: what the caller said, without what is not the caller's to say.
-  virtual HttpRequestHead HeadForTarget(const HttpRequestHead& aFromCaller,
-                                        const TargetCall& aCall) const = 0;
+  virtual HttpRequestHead MakeTargetRequestHead(const HttpRequestHead& aFromCaller,
+                                                const TargetCall& aCall) const = 0;
 
-  virtual TargetAnswerFacts ReadAnswer(const HttpAnswerHead& aHead) const = 0;
+  virtual TargetResponseInfo ReadResponse(const HttpResponseHead& aHead) const = 0;
 
   // Returns the answer of this program for a call that it refuses or that failed.
-  virtual HttpAnswerMessage FailureAnswer(const CallerError& aError,
-                                          const RequestId& aRequest) const = 0;
+  virtual HttpResponseMessage FailureResponse(const CallerError& aError,
+                                              const RequestId& aRequest) const = 0;
 
   virtual bool IsReadinessProbe(const HttpRequestHead& aHead) const = 0;
 };
@@ -137,11 +137,11 @@
   std::string document;
 };
 
-struct ConfigQuestion
+struct ConfigQuery
 {};
 
 // New weights of a model are to be rolled out.
-struct WeightsNamed
+struct WeightVersionChange
 {
   ModelName model;
   std::uint64_t version = 0;
@@ -155,11 +155,11 @@
 };
 
 // Asks which availability zones are evacuated.
-struct EvacuationQuestion
+struct EvacuationQuery
 {};
 
 // Asks which requests are refused because they crash targets.
-struct RefusedQuestion
+struct RefusedRequestsQuery
 {};
 
 // A refused request may be sent to targets again.
@@ -171,12 +171,12 @@
 using ControlCall = std::variant<TargetHeartbeat,
                                  TargetDeparture,
                                  ConfigChange,
-                                 ConfigQuestion,
-                                 WeightsNamed,
-                                 RefusedQuestion,
+                                 ConfigQuery,
+                                 WeightVersionChange,
+                                 RefusedRequestsQuery,
                                  RequestRelease,
                                  EvacuationChange,
-                                 EvacuationQuestion>;
+                                 EvacuationQuery>;
 
 // Calls of targets and operators at control hosts.
 class ControlDialect
@@ -192,11 +192,11 @@
   virtual Result<ServingConfig> ReadConfig(std::string_view aDocument) const = 0;
 
   // An accepted call, and a question answered with a document.
-  virtual HttpAnswerMessage Acknowledgement() const = 0;
-  virtual HttpAnswerMessage DocumentAnswer(std::string_view aDocument) const = 0;
-  virtual HttpAnswerMessage RefusedAnswer(const RefusedRequests& aRefused) const = 0;
-  virtual HttpAnswerMessage EvacuationAnswer(const EvacuationRegistry& aEvacuations) const = 0;
-  virtual HttpAnswerMessage ControlFailure(const Error& aError) const = 0;
+  virtual HttpResponseMessage Acknowledgement() const = 0;
+  virtual HttpResponseMessage DocumentResponse(std::string_view aDocument) const = 0;
+  virtual HttpResponseMessage RefusedRequestsResponse(const RefusedRequests& aRefused) const = 0;
+  virtual HttpResponseMessage EvacuationResponse(const EvacuationRegistry& aEvacuations) const = 0;
+  virtual HttpResponseMessage ControlErrorResponse(const Error& aError) const = 0;
 };
 
 // An order to an engine, and who gives it.
@@ -213,11 +213,11 @@
 public:
   virtual ~EngineDialect() = default;
 
-  virtual HttpRequestMessage ReportQuestion(const ReadEngine& aEngine) const = 0;
+  virtual HttpRequestMessage ReportRequest(const ReadEngine& aEngine) const = 0;
   virtual Result<EngineReport> ReadReport(std::string_view aBody) const = 0;
   // The engine's runs go on under the new weights; what has not started is refused until the order
   // is complete.
-  virtual HttpRequestMessage OrderMessage(const WeightsOrder& aOrder) const = 0;
+  virtual HttpRequestMessage OrderRequest(const WeightsOrder& aOrder) const = 0;
 };
 
 // Questions of control hosts to the stores of prompt parts.
@@ -227,17 +227,17 @@
   virtual ~StoreDialect() = default;
 
   // Asks what has changed since; the store answers at once when something has, or after the wait.
-  virtual HttpRequestHead EventsQuestion(const Endpoint& aStore,
-                                         Sequence aSince,
-                                         Duration aWait) const = 0;
+  virtual HttpRequestHead EventsRequest(const Endpoint& aStore,
+                                        Sequence aSince,
+                                        Duration aWait) const = 0;
   virtual Result<StoreEvents> ReadEvents(std::string_view aBody) const = 0;
 
   // Asks for all that is held.
-  virtual HttpRequestHead ListQuestion(const Endpoint& aStore) const = 0;
+  virtual HttpRequestHead ListRequest(const Endpoint& aStore) const = 0;
   virtual Result<StoreList> ReadList(std::string_view aBody) const = 0;
 
   // Orders the store, should it be in that epoch still, to drop the parts at once.
-  virtual HttpRequestMessage FreeMessage(const Endpoint& aStore,
+  virtual HttpRequestMessage FreeRequest(const Endpoint& aStore,
                                          StoreEpoch aEpoch,
                                          const std::vector<PartName>& aParts) const = 0;
 };
--- a/include/damasklink/transport/CallerChannel.h
+++ b/include/damasklink/transport/CallerChannel.h
@@ -34,9 +34,9 @@
   Awaitable<Result<HttpRequestMessage>> Read(const CallerLimits& aLimits);
 
   // Each returns whether the bytes were taken; a peer that left or does not read makes it false.
-  Awaitable<bool> WriteWhole(HttpAnswerMessage aAnswer, bool aClose);
+  Awaitable<bool> WriteWhole(HttpResponseMessage aAnswer, bool aClose);
   // The head of an answer of unknown length, and its first piece with it.
-  Awaitable<bool> BeginStream(const HttpAnswerHead& aHead, std::string_view aPiece, bool aClose);
+  Awaitable<bool> BeginStream(const HttpResponseHead& aHead, std::string_view aPiece, bool aClose);
   Awaitable<bool> WritePiece(std::string_view aPiece);
   Awaitable<bool> EndStream();
 
--- a/include/damasklink/transport/TargetChannel.h
+++ b/include/damasklink/transport/TargetChannel.h
@@ -50,7 +50,7 @@
   // Reads the next head that is no interim answer. Fails with Interrupted when the target closed,
   // with DeadlineExceeded when it did not even acknowledge the request, and with Corrupt when the
   // bytes are no answer.
-  Awaitable<Result<HttpAnswerHead>> ReadHead();
+  Awaitable<Result<HttpResponseHead>> ReadHead();
 
   // Returns the next bytes of the body, valid until the next call, and nothing at its end. Fails
   // with Interrupted when the answer broke off and with Corrupt when its framing is broken.
--- a/src/program/CallerService.cpp
+++ b/src/program/CallerService.cpp
@@ -210,7 +210,7 @@
 CallerService::MintKey(const HttpRequest& /*aRequest*/, const Caller& aCaller)
 {
   HttpResponse response;
-  response.body = FormatMintedKey(this->context.claims.Mint(aCaller.policy->workspace),
+  response.body = FormatIssuedKey(this->context.claims.Mint(aCaller.policy->workspace),
                                   this->context.host.settings.timeouts.keyRetention);
   return response;
 }
--- a/src/program/ClaimGate.h
+++ b/src/program/ClaimGate.h
@@ -10,7 +10,7 @@
 #include "damasklink/coordination/DispatchRecord.h"
 #include "damasklink/coordination/IdempotencyKeys.h"
 #include "damasklink/coordination/ProposalRetrier.h"
-#include "damasklink/protocol/ClaimMachine.h"
+#include "damasklink/protocol/ClaimStateMachine.h"
 #include "damasklink/protocol/ErrorBody.h"
 
 namespace damasklink {
@@ -117,7 +117,7 @@
   Replicator& groups;
   // Zones whose groups home claims, alike on every host.
   std::vector<ZoneId> zones;
-  std::map<ZoneId, ClaimMachine> machines;
+  std::map<ZoneId, ClaimStateMachine> machines;
   ProposalRetrier retrier;
   std::atomic<std::size_t> unsettled{ 0 };
 };
--- a/src/program/CompletionRelay.cpp
+++ b/src/program/CompletionRelay.cpp
@@ -67,7 +67,7 @@
 bool
 CompletionRelay::Stream(StreamWriter& aWriter)
 {
-  const AnswerHeader header = this->Header();
+  const CompletionHeader header = this->Header();
   while (!this->run.Ended()) {
     auto next = this->run.NextText(&aWriter);
     if (!next) {
@@ -80,7 +80,7 @@
     }
   }
   const StreamAssembler& whole = this->run.Assembled();
-  const std::string end = FormatEndEvents(header, whole.FinishReason(), whole.Usage());
+  const std::string end = FormatFinalEvents(header, whole.FinishReason(), whole.Usage());
   this->EndWhole("text/event-stream",
                  [&] { return FormatDeltaEvent(header, this->run.Answer()) + end; });
   return aWriter.Write(end);
@@ -99,7 +99,7 @@
   }
   const StreamAssembler& whole = this->run.Assembled();
   std::string body =
-    FormatWholeAnswer(this->Header(), this->run.Answer(), whole.FinishReason(), whole.Usage());
+    FormatCompletion(this->Header(), this->run.Answer(), whole.FinishReason(), whole.Usage());
   this->EndWhole("application/json", [&] { return body; });
   return body;
 }
@@ -137,13 +137,13 @@
   return described;
 }
 
-AnswerHeader
+CompletionHeader
 CompletionRelay::Header() const
 {
-  return AnswerHeader{ this->call.id,
-                       this->call.request.style,
-                       this->call.request.model,
-                       this->context.host.clock.WallNow() };
+  return CompletionHeader{ this->call.id,
+                           this->call.request.style,
+                           this->call.request.model,
+                           this->context.host.clock.WallNow() };
 }
 
 } // namespace damasklink
--- a/src/program/CompletionRelay.h
+++ b/src/program/CompletionRelay.h
@@ -51,7 +51,7 @@
 private:
   // aKept makes the body that is kept for the claim, if there is one.
   void EndWhole(const std::string& aType, const std::function<std::string()>& aKept);
-  AnswerHeader Header() const;
+  CompletionHeader Header() const;
 
   const RelayContext& context;
   CompletionCall call;
--- a/src/program/ConfigurationModule.cpp
+++ b/src/program/ConfigurationModule.cpp
@@ -1,6 +1,6 @@
 #include "ConfigurationModule.h"
 
-#include "damasklink/protocol/ConfigWire.h"
+#include "damasklink/protocol/ConfigCodec.h"
 #include "damasklink/transport/Log.h"
 
 namespace damasklink {
--- a/src/program/ControlCalls.cpp
+++ b/src/program/ControlCalls.cpp
@@ -60,19 +60,19 @@
     auto request = co_await aChannel->Read(ControlLimits());
     if (!request) {
       if (request.error().kind != ErrorKind::Interrupted) {
-        co_await aChannel->WriteWhole(this->dialect.ControlFailure(request.error()), true);
+        co_await aChannel->WriteWhole(this->dialect.ControlErrorResponse(request.error()), true);
       }
       break;
     }
-    HttpAnswerMessage answer = co_await this->Answer(request.value());
+    HttpResponseMessage answer = co_await this->Answer(request.value());
     const HttpRequestHead& head = request.value().head;
-    const bool close = AsksToClose(head.fields, head.version);
+    const bool close = ClosesConnection(head.fields, head.version);
     kept = co_await aChannel->WriteWhole(std::move(answer), close) && !close;
   }
   aChannel->Close();
 }
 
-Awaitable<HttpAnswerMessage>
+Awaitable<HttpResponseMessage>
 ControlCalls::Answer(const HttpRequestMessage& aRequest)
 {
   auto call = this->Read(aRequest);
@@ -80,7 +80,7 @@
     LogEvent(LogLevel::Warning, "call_refused")
       .With("target", aRequest.head.target)
       .With("error", call.error());
-    co_return this->dialect.ControlFailure(call.error());
+    co_return this->dialect.ControlErrorResponse(call.error());
   }
   if (const auto* heartbeat = std::get_if<TargetHeartbeat>(&call.value())) {
     co_return this->TakeHeartbeat(*heartbeat);
@@ -91,7 +91,7 @@
   if (const auto* change = std::get_if<ConfigChange>(&call.value())) {
     co_return co_await this->TakeChange(*change);
   }
-  if (const auto* named = std::get_if<WeightsNamed>(&call.value())) {
+  if (const auto* named = std::get_if<WeightVersionChange>(&call.value())) {
     co_return co_await this->TakeWeights(*named);
   }
   if (const auto* release = std::get_if<RequestRelease>(&call.value())) {
@@ -100,11 +100,11 @@
   if (const auto* change = std::get_if<EvacuationChange>(&call.value())) {
     co_return co_await this->TakeEvacuation(*change);
   }
-  if (std::holds_alternative<EvacuationQuestion>(call.value())) {
-    co_return this->dialect.EvacuationAnswer(this->group.State().Evacuated());
+  if (std::holds_alternative<EvacuationQuery>(call.value())) {
+    co_return this->dialect.EvacuationResponse(this->group.State().Evacuated());
   }
-  if (std::holds_alternative<RefusedQuestion>(call.value())) {
-    co_return this->dialect.RefusedAnswer(this->group.State().Refused());
+  if (std::holds_alternative<RefusedRequestsQuery>(call.value())) {
+    co_return this->dialect.RefusedRequestsResponse(this->group.State().Refused());
   }
   co_return co_await this->AnswerQuestion();
 }
@@ -117,7 +117,7 @@
   return this->dialect.ReadControlCall(aRequest);
 }
 
-HttpAnswerMessage
+HttpResponseMessage
 ControlCalls::TakeHeartbeat(const TargetHeartbeat& aHeartbeat)
 {
   const WorkTimer timer(this->account, Work::Heartbeats);
@@ -125,9 +125,9 @@
     LogEvent(LogLevel::Warning, "target_refused")
       .With("target", aHeartbeat.record.id)
       .With("service", aHeartbeat.record.service);
-    return this->dialect.ControlFailure(Error{ ErrorKind::InvalidArgument,
-                                               "the configuration names no such service",
-                                               "put a configuration that names it first" });
+    return this->dialect.ControlErrorResponse(Error{ ErrorKind::InvalidArgument,
+                                                     "the configuration names no such service",
+                                                     "put a configuration that names it first" });
   }
   if (aHeartbeat.record.leaving) {
     // What is acknowledged as leaving must reach entry hosts in time, so it does not wait.
@@ -136,7 +136,7 @@
   return this->AnswerTarget();
 }
 
-HttpAnswerMessage
+HttpResponseMessage
 ControlCalls::TakeDeparture(const TargetDeparture& aDeparture)
 {
   this->picture.Depart(aDeparture.target, aDeparture.incarnation);
@@ -146,24 +146,24 @@
 
 // A host that hears no leader is cut off: what targets tell it may reach nobody else. It takes note
 // for the entry hosts on its side, and sends the target on to the other control hosts.
-HttpAnswerMessage
+HttpResponseMessage
 ControlCalls::AnswerTarget() const
 {
   if (this->group.HearsLeader()) {
     return this->dialect.Acknowledgement();
   }
-  return this->dialect.ControlFailure(
+  return this->dialect.ControlErrorResponse(
     Error{ ErrorKind::Unavailable, "this host hears no leader", "tell another control host" });
 }
 
-HttpAnswerMessage
+HttpResponseMessage
 ControlCalls::AnswerCommit(const Result<ServingCommandResult>& aStanding) const
 {
   return aStanding ? this->dialect.Acknowledgement()
-                   : this->dialect.ControlFailure(aStanding.error());
+                   : this->dialect.ControlErrorResponse(aStanding.error());
 }
 
-Awaitable<HttpAnswerMessage>
+Awaitable<HttpResponseMessage>
 ControlCalls::TakeChange(const ConfigChange& aChange)
 {
   auto config = this->dialect.ReadConfig(aChange.document);
@@ -173,7 +173,7 @@
   }
   if (!checked) {
     LogEvent(LogLevel::Info, "configuration_refused").With("error", checked.error());
-    co_return this->dialect.ControlFailure(checked.error());
+    co_return this->dialect.ControlErrorResponse(checked.error());
   }
   const Revision version = config.value().version;
   const Revision before = this->group.State().Version();
@@ -190,8 +190,8 @@
   co_return this->AnswerCommit(standing);
 }
 
-Awaitable<HttpAnswerMessage>
-ControlCalls::TakeWeights(const WeightsNamed& aNamed)
+Awaitable<HttpResponseMessage>
+ControlCalls::TakeWeights(const WeightVersionChange& aNamed)
 {
   const ServingCommand command = SetWeightVersion{ aNamed.model, aNamed.version };
   auto standing = co_await this->group.Commit(command);
@@ -201,7 +201,7 @@
   co_return this->AnswerCommit(standing);
 }
 
-Awaitable<HttpAnswerMessage>
+Awaitable<HttpResponseMessage>
 ControlCalls::TakeRelease(const RequestRelease& aRelease)
 {
   const ServingCommand command = ReleaseRequest{ aRelease.request };
@@ -211,11 +211,11 @@
   co_return this->AnswerCommit(standing);
 }
 
-Awaitable<HttpAnswerMessage>
+Awaitable<HttpResponseMessage>
 ControlCalls::TakeEvacuation(const EvacuationChange& aChange)
 {
   if (!this->settings.regions.empty() && !this->settings.regions.contains(aChange.zone)) {
-    co_return this->dialect.ControlFailure(
+    co_return this->dialect.ControlErrorResponse(
       Error{ ErrorKind::NotFound,
              Concat("there is no availability zone '", aChange.zone.Value(), "'"),
              "name a zone of this deployment" });
@@ -232,7 +232,7 @@
     .With("superseded", standing && standing.value().superseded)
     .With("error", standing ? Error{} : standing.error());
   if (standing && standing.value().superseded) {
-    co_return this->dialect.ControlFailure(
+    co_return this->dialect.ControlErrorResponse(
       Error{ ErrorKind::Unavailable,
              "another order for the zone was committed first, which this host had not seen",
              "send the order again if it is still wanted" });
@@ -242,7 +242,7 @@
 
 // A leader within its lease knows the newest configuration. Any other host asks the group: what it
 // has applied itself must be as new as what the group answers.
-Awaitable<HttpAnswerMessage>
+Awaitable<HttpResponseMessage>
 ControlCalls::AnswerQuestion()
 {
   const ServingStateMachine& state = this->group.State();
@@ -250,18 +250,18 @@
     const ServingCommand command = ReadBarrier{};
     auto standing = co_await this->group.Commit(command);
     if (!standing) {
-      co_return this->dialect.ControlFailure(standing.error());
+      co_return this->dialect.ControlErrorResponse(standing.error());
     }
     if (standing.value().version > state.Version()) {
-      co_return this->dialect.ControlFailure(
+      co_return this->dialect.ControlErrorResponse(
         Error{ ErrorKind::Unavailable, "this host is behind the group", "ask another host" });
     }
   }
   if (state.Version() == Revision()) {
-    co_return this->dialect.ControlFailure(
+    co_return this->dialect.ControlErrorResponse(
       Error{ ErrorKind::Unavailable, "there is no configuration yet", "put one first" });
   }
-  co_return this->dialect.DocumentAnswer(state.Document());
+  co_return this->dialect.DocumentResponse(state.Document());
 }
 
 } // namespace damasklink
--- a/src/program/ControlCalls.h
+++ b/src/program/ControlCalls.h
@@ -30,17 +30,17 @@
   Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
 
 private:
-  Awaitable<HttpAnswerMessage> Answer(const HttpRequestMessage& aRequest);
+  Awaitable<HttpResponseMessage> Answer(const HttpRequestMessage& aRequest);
   Result<ControlCall> Read(const HttpRequestMessage& aRequest);
-  Awaitable<HttpAnswerMessage> TakeChange(const ConfigChange& aChange);
-  Awaitable<HttpAnswerMessage> TakeRelease(const RequestRelease& aRelease);
-  Awaitable<HttpAnswerMessage> TakeWeights(const WeightsNamed& aNamed);
-  Awaitable<HttpAnswerMessage> TakeEvacuation(const EvacuationChange& aChange);
-  Awaitable<HttpAnswerMessage> AnswerQuestion();
-  HttpAnswerMessage TakeHeartbeat(const TargetHeartbeat& aHeartbeat);
-  HttpAnswerMessage TakeDeparture(const TargetDeparture& aDeparture);
-  HttpAnswerMessage AnswerTarget() const;
-  HttpAnswerMessage AnswerCommit(const Result<ServingCommandResult>& aStanding) const;
+  Awaitable<HttpResponseMessage> TakeChange(const ConfigChange& aChange);
+  Awaitable<HttpResponseMessage> TakeRelease(const RequestRelease& aRelease);
+  Awaitable<HttpResponseMessage> TakeWeights(const WeightVersionChange& aNamed);
+  Awaitable<HttpResponseMessage> TakeEvacuation(const EvacuationChange& aChange);
+  Awaitable<HttpResponseMessage> AnswerQuestion();
+  HttpResponseMessage TakeHeartbeat(const TargetHeartbeat& aHeartbeat);
+  HttpResponseMessage TakeDeparture(const TargetDeparture& aDeparture);
+  HttpResponseMessage AnswerTarget() const;
+  HttpResponseMessage AnswerCommit(const Result<ServingCommandResult>& aStanding) const;
 
   const Clock& clock;
   const ServingSettings& settings;
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -249,8 +249,8 @@
     co_return;
   }
   LogEvent(LogLevel::Info, "request_unreadable").With("error", aError);
-  HttpAnswerMessage answer =
-    this->calls.FailureAnswer(CallerError{ aError, RunOutcome::NotRun, std::nullopt }, RequestId());
+  HttpResponseMessage answer = this->calls.FailureResponse(
+    CallerError{ aError, RunOutcome::NotRun, std::nullopt }, RequestId());
   if (aError.kind == ErrorKind::DeadlineExceeded) {
     answer.head.status = 408;
   } else if (aError.kind == ErrorKind::Overloaded) {
@@ -270,7 +270,7 @@
     if (!request) {
       break;
     }
-    HttpAnswerMessage answer;
+    HttpResponseMessage answer;
     const bool probe = this->calls.IsReadinessProbe(request.value().head);
     answer.head.status = !probe ? 404 : this->IsReady() ? 200 : 503;
     if (!co_await aChannel->WriteWhole(std::move(answer), false)) {
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -34,7 +34,7 @@
 
 // Events pass on one by one only where the target's bytes are events as they are.
 bool
-IsEventStream(const HttpAnswerHead& aHead)
+IsEventStream(const HttpResponseHead& aHead)
 {
   return aHead.status == 200 &&
          aHead.fields.Get("Content-Type").substr(0, 17) == "text/event-stream";
@@ -198,7 +198,7 @@
   this->refused = false;
   this->work.uncachedTokens = this->context.picker.UncachedTokens(this->question, aTarget.id);
   this->work.memory =
-    TokenCount(this->call.promptTokens.Value() + this->call.mostAnswerTokens.Value());
+    TokenCount(this->call.promptTokens.Value() + this->call.maxAnswerTokens.Value());
   this->work.incarnation = aTarget.incarnation;
   this->work.queuedBehindOthers =
     this->context.picker.LoadOf(aTarget.id).unread >= TargetPicker::kLongPrefill;
@@ -280,7 +280,8 @@
   this->sentAt = this->context.clock.MonotonicNow();
   const TargetCall call = this->CallFor(aTarget);
   this->LogSend(aTarget, call);
-  const HttpRequestHead head = this->context.dialect.HeadForTarget(this->request.head, call);
+  const HttpRequestHead head =
+    this->context.dialect.MakeTargetRequestHead(this->request.head, call);
   // A target may answer before it has read a long body, so a failed send is not the end: the
   // answer that came first counts.
   auto sent = co_await this->channel->Send(head, this->request.body);
@@ -299,7 +300,7 @@
 
 // Reads the answer to this call. Answers to other requests that stand before it on the channel
 // belong to nobody and are dropped; the channel is not used again.
-Awaitable<Result<HttpAnswerHead>>
+Awaitable<Result<HttpResponseHead>>
 Exchange::ReadOwnHead(const TargetRecord& aTarget)
 {
   for (int skipped = 0; skipped < kMostForeignAnswers; ++skipped) {
@@ -307,7 +308,7 @@
     if (!head) {
       co_return head;
     }
-    const TargetAnswerFacts facts = this->context.dialect.ReadAnswer(head.value());
+    const TargetResponseInfo facts = this->context.dialect.ReadResponse(head.value());
     this->context.reach.OnBytes(aTarget.zone);
     this->context.checks.OnBytes(aTarget.id);
     if (facts.request == this->call.request || facts.request.Empty()) {
@@ -327,9 +328,9 @@
 }
 
 Awaitable<AttemptResult>
-Exchange::TakeAnswer(const TargetRecord& aTarget, HttpAnswerHead aHead)
+Exchange::TakeAnswer(const TargetRecord& aTarget, HttpResponseHead aHead)
 {
-  const TargetAnswerFacts facts = this->context.dialect.ReadAnswer(aHead);
+  const TargetResponseInfo facts = this->context.dialect.ReadResponse(aHead);
   this->answerBegun = true;
   this->NoteLimit(aTarget, facts);
   if (facts.coldFor > Duration::zero()) {
@@ -352,7 +353,7 @@
 }
 
 Awaitable<AttemptResult>
-Exchange::PassWhole(HttpAnswerHead aHead)
+Exchange::PassWhole(HttpResponseHead aHead)
 {
   auto body = co_await this->channel->ReadRest(kMostWholeAnswer);
   if (!body) {
@@ -362,7 +363,7 @@
       .With("error", body.error());
     co_return AttemptResult::Broken;
   }
-  RemoveConnectionFields(aHead.fields);
+  RemoveHopByHopFields(aHead.fields);
   if (aHead.status >= 500) {
     this->failure = WholeAnswer{ std::move(aHead), std::move(body.value()) };
     co_return AttemptResult::Failed;
@@ -370,15 +371,15 @@
   this->ending->Disarm();
   this->ranWell = aHead.status < 300;
   this->LogEnd("answered", aHead.status);
-  HttpAnswerMessage answer{ std::move(aHead), std::move(body.value()) };
+  HttpResponseMessage answer{ std::move(aHead), std::move(body.value()) };
   const bool written = co_await this->caller.WriteWhole(std::move(answer), this->ClosesAfter());
   co_return written ? AttemptResult::Delivered : AttemptResult::CallerLeft;
 }
 
 Awaitable<AttemptResult>
-Exchange::PassStream(const TargetRecord& aTarget, HttpAnswerHead aHead)
+Exchange::PassStream(const TargetRecord& aTarget, HttpResponseHead aHead)
 {
-  RemoveConnectionFields(aHead.fields);
+  RemoveHopByHopFields(aHead.fields);
   while (true) {
     auto piece = co_await this->channel->ReadPiece();
     if (!piece) {
@@ -408,7 +409,7 @@
   }
   if (!this->plan->PassedOn()) {
     // A stream without any event.
-    HttpAnswerMessage empty{ aHead, "" };
+    HttpResponseMessage empty{ aHead, "" };
     const bool written = co_await this->caller.WriteWhole(std::move(empty), this->ClosesAfter());
     co_return written ? AttemptResult::Delivered : AttemptResult::CallerLeft;
   }
@@ -419,7 +420,7 @@
 }
 
 Awaitable<bool>
-Exchange::PassEvents(const HttpAnswerHead& aHead, std::string_view aEvents)
+Exchange::PassEvents(const HttpResponseHead& aHead, std::string_view aEvents)
 {
   if (this->plan->PassedOn()) {
     co_return co_await this->caller.WritePiece(aEvents);
@@ -453,7 +454,7 @@
       co_return this->lastEnd == AttemptResult::Delivered && !this->ClosesAfter();
     case ExchangeStep::PassOn: {
       this->LogEnd("target_failed", this->failure->head.status);
-      HttpAnswerMessage answer{ std::move(this->failure->head), std::move(this->failure->body) };
+      HttpResponseMessage answer{ std::move(this->failure->head), std::move(this->failure->body) };
       const bool written = co_await this->caller.WriteWhole(std::move(answer), this->ClosesAfter());
       co_return written && !this->ClosesAfter();
     }
@@ -489,7 +490,7 @@
 Awaitable<bool>
 Exchange::AnswerFailure(const CallerError& aError)
 {
-  HttpAnswerMessage answer = this->context.dialect.FailureAnswer(aError, this->call.request);
+  HttpResponseMessage answer = this->context.dialect.FailureResponse(aError, this->call.request);
   this->LogEnd(aError.error.message, answer.head.status);
   const bool close = this->ClosesAfter();
   const bool written = co_await this->caller.WriteWhole(std::move(answer), close);
@@ -522,7 +523,7 @@
 Exchange::ClosesAfter() const
 {
   return this->context.leaving ||
-         AsksToClose(this->request.head.fields, this->request.head.version);
+         ClosesConnection(this->request.head.fields, this->request.head.version);
 }
 
 Duration
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -81,7 +81,7 @@
   // A target's answer that is not passed on as it comes: failures, and bodies known whole.
   struct WholeAnswer
   {
-    HttpAnswerHead head;
+    HttpResponseHead head;
     std::string body;
   };
 
@@ -92,11 +92,11 @@
   Awaitable<bool> Relay();
   Awaitable<AttemptResult> Attempt(const TargetRecord& aTarget);
   Awaitable<AttemptResult> Converse(const TargetRecord& aTarget);
-  Awaitable<Result<HttpAnswerHead>> ReadOwnHead(const TargetRecord& aTarget);
-  Awaitable<AttemptResult> TakeAnswer(const TargetRecord& aTarget, HttpAnswerHead aHead);
-  Awaitable<AttemptResult> PassWhole(HttpAnswerHead aHead);
-  Awaitable<AttemptResult> PassStream(const TargetRecord& aTarget, HttpAnswerHead aHead);
-  Awaitable<bool> PassEvents(const HttpAnswerHead& aHead, std::string_view aEvents);
+  Awaitable<Result<HttpResponseHead>> ReadOwnHead(const TargetRecord& aTarget);
+  Awaitable<AttemptResult> TakeAnswer(const TargetRecord& aTarget, HttpResponseHead aHead);
+  Awaitable<AttemptResult> PassWhole(HttpResponseHead aHead);
+  Awaitable<AttemptResult> PassStream(const TargetRecord& aTarget, HttpResponseHead aHead);
+  Awaitable<bool> PassEvents(const HttpResponseHead& aHead, std::string_view aEvents);
   Awaitable<bool> Finish(ExchangeStep aStep);
   Awaitable<bool> AnswerFailure(const CallerError& aError);
   Awaitable<std::unique_ptr<TargetChannel>> Connect(const TargetRecord& aTarget);
@@ -116,7 +116,7 @@
   // Whether the target surely worked on this attempt when it broke off.
   bool WasUnderWay() const;
   // Keeps what an answer says of its target's limit.
-  void NoteLimit(const TargetRecord& aTarget, const TargetAnswerFacts& aFacts);
+  void NoteLimit(const TargetRecord& aTarget, const TargetResponseInfo& aFacts);
   // Notes which targets of the service may not be sent more by this host just now.
   void FindLimited();
   // When a call that no target took should come again.
@@ -149,7 +149,7 @@
   std::shared_ptr<const RouteTable> routes;
   const ServingRoute* route = nullptr;
   const WorkspaceEntry* workspace = nullptr;
-  CallerCall call;
+  CallerRequest call;
   ServiceName service;
   HomeRegions homes;
   // Those of the home regions, where they bind.
--- a/src/program/ExchangeRecord.cpp
+++ b/src/program/ExchangeRecord.cpp
@@ -95,7 +95,7 @@
 }
 
 void
-Exchange::NoteLimit(const TargetRecord& aTarget, const TargetAnswerFacts& aFacts)
+Exchange::NoteLimit(const TargetRecord& aTarget, const TargetResponseInfo& aFacts)
 {
   if (aFacts.unreadable) {
     LogEvent(LogLevel::Warning, "target_answer_unreadable")
@@ -170,9 +170,10 @@
   if (this->question.promptTokens == TokenCount()) {
     return;
   }
-  const auto moved = [](const std::vector<PartMove>& aMoves) {
-    return std::count_if(
-      aMoves.begin(), aMoves.end(), [](const PartMove& aMove) { return aMove.peer.has_value(); });
+  const auto moved = [](const std::vector<PartTransfer>& aMoves) {
+    return std::count_if(aMoves.begin(), aMoves.end(), [](const PartTransfer& aMove) {
+      return aMove.peer.has_value();
+    });
   };
   const LoadCounts load = this->context.picker.LoadOf(aTarget.id);
   LogEvent(LogLevel::Info, "prompt_sent")
--- a/src/program/MembershipModule.cpp
+++ b/src/program/MembershipModule.cpp
@@ -1,6 +1,6 @@
 #include "MembershipModule.h"
 
-#include "damasklink/protocol/ConfigWire.h"
+#include "damasklink/protocol/ConfigCodec.h"
 #include "damasklink/transport/Log.h"
 
 namespace damasklink {
--- a/src/program/MetricsPage.cpp
+++ b/src/program/MetricsPage.cpp
@@ -22,7 +22,7 @@
     if (!request) {
       break;
     }
-    HttpAnswerMessage answer;
+    HttpResponseMessage answer;
     answer.head.status = 404;
     if (PathOf(request.value().head.target) == "/metrics") {
       answer.head.status = 200;
--- a/src/program/PictureTeller.cpp
+++ b/src/program/PictureTeller.cpp
@@ -187,7 +187,7 @@
   if (!current || this->allTargets.empty()) {
     ServingUpdate all = base;
     all.targets = this->picture.All();
-    this->allTargets = EncodePacked(all);
+    this->allTargets = EncodeCompressed(all);
     this->allTargetsBase = base;
     this->allTargetsRevision = revision;
   }
@@ -292,7 +292,7 @@
   LoadReport news;
   news.host = this->settings.host;
   news.limits = this->toldLimits;
-  const std::string payload = EncodePacked(news);
+  const std::string payload = EncodeCompressed(news);
   for (const HostId& host : this->sends.Publishers()) {
     this->Send(Work::Totals, host, payload);
   }
@@ -354,7 +354,7 @@
 void
 PictureTeller::TellEntryHosts(Work aWork, const ServingMessage& aMessage)
 {
-  const std::string payload = EncodePacked(aMessage);
+  const std::string payload = EncodeCompressed(aMessage);
   for (const HostId& host : this->roster.EntryHosts()) {
     this->Send(aWork, host, payload);
   }
@@ -363,7 +363,7 @@
 void
 PictureTeller::TellControlHosts(Work aWork, const ServingMessage& aMessage)
 {
-  const std::string payload = EncodePacked(aMessage);
+  const std::string payload = EncodeCompressed(aMessage);
   for (const auto& [host, zone] : this->roster.ControlHosts()) {
     this->Send(aWork, host, payload);
   }
--- a/src/program/StoreWatcher.cpp
+++ b/src/program/StoreWatcher.cpp
@@ -134,7 +134,7 @@
 StoreWatcher::Free(std::shared_ptr<Watched> aStore, std::vector<PartName> aParts)
 {
   const HttpRequestMessage order =
-    this->dialect.FreeMessage(aStore->endpoint, aStore->feed.Epoch(), aParts);
+    this->dialect.FreeRequest(aStore->endpoint, aStore->feed.Epoch(), aParts);
   TargetChannel channel(this->loop.get_executor(), this->clock);
   Watchdog watchdog(this->loop.get_executor(), [&channel] { channel.Close(); });
   watchdog.Arm(kFreePatience);
@@ -189,7 +189,7 @@
   const MonotonicTime now = this->clock.MonotonicNow();
   if (aStore.feed.NeedsList() || now >= aStore.nextList) {
     aStore.nextList = now + kListInterval;
-    auto body = co_await this->Ask(aStore, this->dialect.ListQuestion(aStore.endpoint));
+    auto body = co_await this->Ask(aStore, this->dialect.ListRequest(aStore.endpoint));
     auto list = body ? this->dialect.ReadList(body.value()) : Result<StoreList>(Fail(body.error()));
     if (!list) {
       co_return false;
@@ -207,7 +207,7 @@
     co_return true;
   }
   auto body = co_await this->Ask(
-    aStore, this->dialect.EventsQuestion(aStore.endpoint, aStore.feed.Next(), kEventWait));
+    aStore, this->dialect.EventsRequest(aStore.endpoint, aStore.feed.Next(), kEventWait));
   auto events =
     body ? this->dialect.ReadEvents(body.value()) : Result<StoreEvents>(Fail(body.error()));
   if (!events) {
--- a/src/program/TargetsModule.cpp
+++ b/src/program/TargetsModule.cpp
@@ -1,6 +1,6 @@
 #include "TargetsModule.h"
 
-#include "damasklink/protocol/TargetsWire.h"
+#include "damasklink/protocol/TargetsCodec.h"
 #include "damasklink/state/Text.h"
 #include "damasklink/transport/Log.h"
 
--- a/src/program/WeightsDesk.cpp
+++ b/src/program/WeightsDesk.cpp
@@ -46,7 +46,7 @@
 Awaitable<void>
 WeightsDesk::Read(ReadEngine aEngine)
 {
-  auto answer = co_await this->Call(aEngine.endpoint, this->dialect.ReportQuestion(aEngine));
+  auto answer = co_await this->Call(aEngine.endpoint, this->dialect.ReportRequest(aEngine));
   std::optional<EngineReport> report;
   if (answer && answer.value().head.status == 200) {
     auto read = this->dialect.ReadReport(answer.value().body);
@@ -70,7 +70,7 @@
     co_return;
   }
   const WeightsOrder order{ aOrder, now.holder, now.fencing };
-  auto answer = co_await this->Call(aOrder.endpoint, this->dialect.OrderMessage(order));
+  auto answer = co_await this->Call(aOrder.endpoint, this->dialect.OrderRequest(order));
   LogEvent(LogLevel::Info, "weights_ordered")
     .With("target", aOrder.target)
     .With("model", aOrder.model)
@@ -81,7 +81,7 @@
   this->rollout.OnOrdered(aOrder.target);
 }
 
-Awaitable<Result<HttpAnswerMessage>>
+Awaitable<Result<HttpResponseMessage>>
 WeightsDesk::Call(Endpoint aEndpoint, HttpRequestMessage aMessage)
 {
   TargetChannel channel(this->loop.get_executor(), this->clock);
@@ -102,7 +102,7 @@
   if (!body) {
     co_return Fail(body.error());
   }
-  HttpAnswerMessage answer;
+  HttpResponseMessage answer;
   answer.head = std::move(head.value());
   answer.body = std::move(body.value());
   co_return answer;
--- a/src/program/WeightsDesk.h
+++ b/src/program/WeightsDesk.h
@@ -40,7 +40,7 @@
 private:
   Awaitable<void> Read(ReadEngine aEngine);
   Awaitable<void> Order(OrderWeights aOrder);
-  Awaitable<Result<HttpAnswerMessage>> Call(Endpoint aEndpoint, HttpRequestMessage aMessage);
+  Awaitable<Result<HttpResponseMessage>> Call(Endpoint aEndpoint, HttpRequestMessage aMessage);
 
   asio::io_context& loop;
   const Clock& clock;
--- a/src/protocol/BurnApi.cpp
+++ b/src/protocol/BurnApi.cpp
@@ -46,7 +46,7 @@
   FieldReader fields(aWindow);
   const ServiceLevelCount count{ fields.Count("good"), fields.Count("total") };
   if (count.good > count.total) {
-    fields.Note("good", "is more than the total");
+    fields.AddProblem("good", "is more than the total");
   }
   if (!fields.Problem().empty()) {
     return Fail(ErrorKind::Corrupt, fields.Problem(), "compare the hosts' versions");
@@ -65,15 +65,15 @@
   burn.workspace = WorkspaceId(fields.Text("workspace"));
   burn.objective.share = fields.Number("share");
   if (burn.objective.share >= 1.0) {
-    fields.Note("share", "is not below 1");
+    fields.AddProblem("share", "is not below 1");
   }
   const auto firstToken = ParseDuration(fields.Text("first_token"));
   if (!firstToken) {
-    fields.Note("first_token", "is not a duration");
+    fields.AddProblem("first_token", "is not a duration");
   }
   const Json& windows = fields.Items("windows");
   if (windows.size() != burn.windows.size()) {
-    fields.Note("windows", "has another number of entries");
+    fields.AddProblem("windows", "has another number of entries");
   }
   if (!fields.Problem().empty()) {
     return Fail(ErrorKind::Corrupt, fields.Problem(), "compare the hosts' versions");
--- a/src/protocol/CallerApi.cpp
+++ b/src/protocol/CallerApi.cpp
@@ -11,7 +11,7 @@
 using internal::Dump;
 using internal::Json;
 
-constexpr std::uint64_t kMostAnswerTokens = 1'000'000;
+constexpr std::uint64_t kMaxAnswerTokens = 1'000'000;
 
 // Fields that are the engine's business and pass through unread.
 constexpr std::array<const char*, 7> kSamplingFields{
@@ -104,8 +104,7 @@
     }
     const Json& value = aBody[field];
     const bool whole = value.is_number_unsigned();
-    if (!whole || value.get<std::uint64_t>() < 1 ||
-        value.get<std::uint64_t>() > kMostAnswerTokens) {
+    if (!whole || value.get<std::uint64_t>() < 1 || value.get<std::uint64_t>() > kMaxAnswerTokens) {
       return BadField(field, "is not a whole number in range", "send 1 to 1000000");
     }
     aTo = value.get<std::uint64_t>();
@@ -115,7 +114,7 @@
 }
 
 Json
-CommonFields(const AnswerHeader& aHeader, std::string_view aObject)
+CommonFields(const CompletionHeader& aHeader, std::string_view aObject)
 {
   const auto seconds =
     std::chrono::duration_cast<std::chrono::seconds>(aHeader.created.time_since_epoch());
@@ -142,7 +141,7 @@
 }
 
 Json
-EventChoice(const AnswerHeader& aHeader, std::string_view aText, const Json& aFinishReason)
+EventChoice(const CompletionHeader& aHeader, std::string_view aText, const Json& aFinishReason)
 {
   Json choice{ { "index", 0 }, { "finish_reason", aFinishReason } };
   if (aHeader.style == CompletionStyle::Text) {
@@ -201,7 +200,7 @@
 }
 
 std::string
-FormatDeltaEvent(const AnswerHeader& aHeader, std::string_view aText)
+FormatDeltaEvent(const CompletionHeader& aHeader, std::string_view aText)
 {
   Json event = CommonFields(aHeader, EventObject(aHeader.style));
   event["choices"] = Json::array({ EventChoice(aHeader, aText, nullptr) });
@@ -209,9 +208,9 @@
 }
 
 std::string
-FormatEndEvents(const AnswerHeader& aHeader,
-                std::string_view aFinishReason,
-                const AnswerUsage& aUsage)
+FormatFinalEvents(const CompletionHeader& aHeader,
+                  std::string_view aFinishReason,
+                  const AnswerUsage& aUsage)
 {
   Json event = CommonFields(aHeader, EventObject(aHeader.style));
   event["choices"] = Json::array({ EventChoice(aHeader, "", std::string(aFinishReason)) });
@@ -226,10 +225,10 @@
 }
 
 std::string
-FormatWholeAnswer(const AnswerHeader& aHeader,
-                  std::string_view aText,
-                  std::string_view aFinishReason,
-                  const AnswerUsage& aUsage)
+FormatCompletion(const CompletionHeader& aHeader,
+                 std::string_view aText,
+                 std::string_view aFinishReason,
+                 const AnswerUsage& aUsage)
 {
   const bool chat = aHeader.style == CompletionStyle::Chat;
   Json answer = CommonFields(aHeader, chat ? "chat.completion" : "text_completion");
@@ -245,7 +244,7 @@
 }
 
 std::string
-FormatMintedKey(const IdempotencyKey& aKey, Duration aRetention)
+FormatIssuedKey(const IdempotencyKey& aKey, Duration aRetention)
 {
   const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(aRetention);
   return Dump(Json{
--- a/src/protocol/ClaimMachine.cpp
+++ b/src/protocol/ClaimStateMachine.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/protocol/ClaimMachine.h"
+#include "damasklink/protocol/ClaimStateMachine.h"
 
 #include <algorithm>
 #include <limits>
@@ -13,8 +13,8 @@
 
 constexpr std::uint16_t kWireVersion = 1;
 // A snapshot holds up to two million entries in six or so tables each.
-constexpr flatbuffers::uoffset_t kMostTables = 100'000'000;
-constexpr flatbuffers::uoffset_t kMostDepth = 8;
+constexpr flatbuffers::uoffset_t kMaxTables = 100'000'000;
+constexpr flatbuffers::uoffset_t kMaxDepth = 8;
 
 Error
 Corrupt(std::string aWhat)
@@ -41,7 +41,7 @@
 const Table*
 Verified(std::string_view aBytes)
 {
-  flatbuffers::Verifier verifier(BytesOf(aBytes), aBytes.size(), kMostDepth, kMostTables);
+  flatbuffers::Verifier verifier(BytesOf(aBytes), aBytes.size(), kMaxDepth, kMaxTables);
   if (!verifier.VerifyBuffer<Table>(nullptr)) {
     return nullptr;
   }
@@ -236,25 +236,25 @@
 }
 
 std::string
-ClaimMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
+ClaimStateMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
 {
   auto command = DecodeClaimCommand(aCommand);
   if (!command) {
     return EncodeClaimReply(ClaimReply());
   }
-  return EncodeClaimReply(this->ledger.Apply(aContext, command.value()));
+  return EncodeClaimReply(this->claims.Apply(aContext, command.value()));
 }
 
 std::string
-ClaimMachine::Save() const
+ClaimStateMachine::Save() const
 {
   FlatBufferBuilder builder;
   std::vector<Offset<wire::ClaimEntry>> entries;
-  entries.reserve(this->ledger.Size());
-  this->ledger.Visit([&](const ClaimName& aName, const ClaimEntry& aEntry) {
+  entries.reserve(this->claims.Size());
+  this->claims.Visit([&](const ClaimName& aName, const ClaimEntry& aEntry) {
     entries.push_back(PackEntry(builder, aName, aEntry));
   });
-  const ClaimRegistry::Header& head = this->ledger.GetHeader();
+  const ClaimRegistry::Header& head = this->claims.GetHeader();
   const auto packed = builder.CreateVector(entries);
   builder.Finish(wire::CreateClaimSnapshot(builder,
                                            kWireVersion,
@@ -267,7 +267,7 @@
 }
 
 Result<void>
-ClaimMachine::Load(std::string_view aSnapshot)
+ClaimStateMachine::Load(std::string_view aSnapshot)
 {
   const auto* packed = Verified<wire::ClaimSnapshot>(aSnapshot);
   if (packed == nullptr || packed->version() != kWireVersion || packed->entries() == nullptr) {
@@ -283,7 +283,7 @@
     }
     fresh.Restore(name, std::move(unpacked));
   }
-  this->ledger = std::move(fresh);
+  this->claims = std::move(fresh);
   return Success();
 }
 
--- a/src/protocol/ConfigWire.cpp
+++ b/src/protocol/ConfigCodec.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/protocol/ConfigWire.h"
+#include "damasklink/protocol/ConfigCodec.h"
 
 #include <Configuration_generated.h>
 #include <Membership_generated.h>
@@ -34,7 +34,7 @@
   builder.Finish(wire::CreateConfigFrame(builder,
                                          static_cast<std::uint8_t>(aMessage.kind),
                                          aMessage.revision.Value(),
-                                         internal::WireMilliseconds(aMessage.confirmedAge),
+                                         internal::ToWireMilliseconds(aMessage.confirmedAge),
                                          MicrosOf(aMessage.acceptedAt),
                                          origin,
                                          body));
@@ -81,7 +81,7 @@
                                             aHeartbeat.incarnation.Value(),
                                             aHeartbeat.revision.Value(),
                                             static_cast<std::uint32_t>(aHeartbeat.sequence.Value()),
-                                            internal::WireMilliseconds(aHeartbeat.confirmedAge),
+                                            internal::ToWireMilliseconds(aHeartbeat.confirmedAge),
                                             aHeartbeat.leaving,
                                             others));
   return internal::FinishedBytes(builder);
--- a/src/protocol/EngineApi.cpp
+++ b/src/protocol/EngineApi.cpp
@@ -63,7 +63,7 @@
       return kind;
     }
   }
-  aReader.Note("kind", "is none of engine, service, store");
+  aReader.AddProblem("kind", "is none of engine, service, store");
   return TargetKind::Engine;
 }
 
@@ -79,7 +79,7 @@
       return role;
     }
   }
-  aReader.Note("role", "is none of both, prefill, decode");
+  aReader.AddProblem("role", "is none of both, prefill, decode");
   return TargetRole::Both;
 }
 
@@ -100,7 +100,7 @@
 {
   for (const Json& item : aReader.Items("models")) {
     if (!item.is_object()) {
-      aReader.Note("models", "has an entry that is not an object");
+      aReader.AddProblem("models", "has an entry that is not an object");
       return;
     }
     FieldReader fields(item);
@@ -111,7 +111,7 @@
       served.adapters.push_back(AdapterName(adapter.is_string() ? adapter.get<std::string>() : ""));
     }
     if (served.model.Empty() || served.version.Empty() || !fields.Problem().empty()) {
-      aReader.Note("models", "has an entry without model and version");
+      aReader.AddProblem("models", "has an entry without model and version");
     }
   }
 }
@@ -125,7 +125,7 @@
   aTo.queuedPrefill = TokenCount(fields.Count("queued_prefill"));
   aTo.slots = fields.Count("slots");
   if (!fields.Problem().empty()) {
-    aReader.Note("load", "is wrong: " + fields.Problem());
+    aReader.AddProblem("load", "is wrong: " + fields.Problem());
   }
 }
 
@@ -138,7 +138,7 @@
   aTo.linkBytesPerSecond = ByteCount(fields.Count("link"));
   aTo.bytesPerToken = ByteCount(fields.Count("bytes_per_token"));
   if (!fields.Problem().empty()) {
-    aReader.Note("store", "is wrong: " + fields.Problem());
+    aReader.AddProblem("store", "is wrong: " + fields.Problem());
   }
 }
 
@@ -223,7 +223,7 @@
   frame.usage.completion = TokenCount(usage.Count("completion"));
   frame.usage.reused = TokenCount(usage.Count("reused"));
   if (!usage.Problem().empty()) {
-    fields.Note("usage", "is wrong: " + usage.Problem());
+    fields.AddProblem("usage", "is wrong: " + usage.Problem());
   }
   if (!fields.Problem().empty()) {
     return Fail(Invalid(fields.Problem()));
@@ -279,7 +279,7 @@
   if (endpoint) {
     record.endpoint = endpoint.value();
   } else {
-    fields.Note("endpoint", endpoint.error().message);
+    fields.AddProblem("endpoint", endpoint.error().message);
   }
   record.incarnation = Incarnation(fields.Count("incarnation"));
   record.sequence = Sequence(fields.Count("sequence"));
@@ -293,7 +293,7 @@
   record.rates.decodeTokensPerSecond = fields.Number("decode_rate");
   ReadStore(fields, record.store);
   if (record.id.Empty()) {
-    fields.Note("id", "is missing");
+    fields.AddProblem("id", "is missing");
   }
   if (!fields.Problem().empty()) {
     return Fail(Invalid(fields.Problem()));
@@ -310,7 +310,7 @@
   const std::size_t lastBreak = this->buffer.rfind('\n');
   const std::size_t unfinished =
     lastBreak == std::string::npos ? this->buffer.size() : this->buffer.size() - lastBreak;
-  if (unfinished > this->mostLineBytes) {
+  if (unfinished > this->maxLineBytes) {
     return Fail(ErrorKind::Corrupt,
                 "an event of the answer exceeds the limit",
                 "check that the target speaks server-sent events");
--- a/src/protocol/FlatBytes.h
+++ b/src/protocol/FlatBytes.h
@@ -38,7 +38,7 @@
 
 // Returns whole milliseconds that fit the wire; longer ones are cut to the longest.
 inline std::uint32_t
-WireMilliseconds(Duration aDuration)
+ToWireMilliseconds(Duration aDuration)
 {
   const auto count = std::chrono::duration_cast<std::chrono::milliseconds>(aDuration).count();
   constexpr std::int64_t kMost = UINT32_MAX;
--- a/src/protocol/HttpMessage.cpp
+++ b/src/protocol/HttpMessage.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // RFC 9110, section 7.6.1, and the fields that state the length of a body.
-constexpr std::array<std::string_view, 8> kConnectionFields{
+constexpr std::array<std::string_view, 8> kHopByHopFields{
   "Connection", "Keep-Alive",        "Proxy-Connection", "TE",
   "Upgrade",    "Transfer-Encoding", "Content-Length",   "Trailer",
 };
@@ -60,7 +60,7 @@
 }
 
 bool
-HoldsToken(std::string_view aValue, std::string_view aToken)
+ContainsToken(std::string_view aValue, std::string_view aToken)
 {
   for (const absl::string_view item : absl::StrSplit(ForAbsl(aValue), ',')) {
     if (absl::EqualsIgnoreCase(absl::StripAsciiWhitespace(item), ForAbsl(aToken))) {
@@ -152,26 +152,26 @@
 }
 
 void
-RemoveConnectionFields(HttpFields& aFields)
+RemoveHopByHopFields(HttpFields& aFields)
 {
   const std::string named(aFields.Get("Connection"));
   for (const absl::string_view item : absl::StrSplit(named, ',', absl::SkipWhitespace())) {
     const absl::string_view name = absl::StripAsciiWhitespace(item);
     aFields.Remove(std::string_view(name.data(), name.size()));
   }
-  for (const std::string_view name : kConnectionFields) {
+  for (const std::string_view name : kHopByHopFields) {
     aFields.Remove(name);
   }
 }
 
 bool
-AsksToClose(const HttpFields& aFields, int aVersion)
+ClosesConnection(const HttpFields& aFields, int aVersion)
 {
   const std::string_view connection = aFields.Get("Connection");
-  if (HoldsToken(connection, "close")) {
+  if (ContainsToken(connection, "close")) {
     return true;
   }
-  return aVersion < 11 && !HoldsToken(connection, "keep-alive");
+  return aVersion < 11 && !ContainsToken(connection, "keep-alive");
 }
 
 std::optional<std::uint64_t>
@@ -240,14 +240,14 @@
 }
 
 std::string
-FormatAnswerHead(const HttpAnswerHead& aHead,
-                 AnswerFraming aFraming,
-                 std::size_t aBodyBytes,
-                 bool aClose)
+FormatResponseHead(const HttpResponseHead& aHead,
+                   BodyFraming aFraming,
+                   std::size_t aBodyBytes,
+                   bool aClose)
 {
   std::string text = Concat("HTTP/1.1 ", aHead.status, " ", ReasonPhrase(aHead.status), "\r\n");
   AppendFields(text, aHead.fields);
-  if (aFraming == AnswerFraming::Chunks) {
+  if (aFraming == BodyFraming::Chunks) {
     text += "Transfer-Encoding: chunked\r\n";
   } else {
     text += Concat("Content-Length: ", aBodyBytes, "\r\n");
--- a/src/protocol/JsonFields.h
+++ b/src/protocol/JsonFields.h
@@ -35,7 +35,7 @@
       return "";
     }
     if (!found->is_string()) {
-      this->Note(aName, "is not a text");
+      this->AddProblem(aName, "is not a text");
       return "";
     }
     return found->get<std::string>();
@@ -48,7 +48,7 @@
       return 0;
     }
     if (!found->is_number_unsigned()) {
-      this->Note(aName, "is not a whole number of at least zero");
+      this->AddProblem(aName, "is not a whole number of at least zero");
       return 0;
     }
     return found->get<std::uint64_t>();
@@ -61,7 +61,7 @@
       return 0;
     }
     if (!found->is_number() || found->get<double>() < 0) {
-      this->Note(aName, "is not a number of at least zero");
+      this->AddProblem(aName, "is not a number of at least zero");
       return 0;
     }
     return found->get<double>();
@@ -74,7 +74,7 @@
       return false;
     }
     if (!found->is_boolean()) {
-      this->Note(aName, "is neither true nor false");
+      this->AddProblem(aName, "is neither true nor false");
       return false;
     }
     return found->get<bool>();
@@ -89,7 +89,7 @@
       return kNone;
     }
     if (!found->is_array()) {
-      this->Note(aName, "is not a list");
+      this->AddProblem(aName, "is not a list");
       return kNone;
     }
     return *found;
@@ -104,13 +104,13 @@
       return kNone;
     }
     if (!found->is_object()) {
-      this->Note(aName, "is not an object");
+      this->AddProblem(aName, "is not an object");
       return kNone;
     }
     return *found;
   }
 
-  void Note(std::string_view aName, std::string_view aProblem)
+  void AddProblem(std::string_view aName, std::string_view aProblem)
   {
     if (this->problem.empty()) {
       this->problem = Concat("field '", aName, "' ", aProblem);
--- a/src/protocol/OperatorApi.cpp
+++ b/src/protocol/OperatorApi.cpp
@@ -40,7 +40,7 @@
 {
   auto name = ParseSubtreeName(aFields.Text("subtree"));
   if (!name) {
-    aFields.Note("subtree", name.error().message);
+    aFields.AddProblem("subtree", name.error().message);
     return SubtreeName();
   }
   return name.value();
@@ -76,7 +76,7 @@
   std::vector<IdType> ids;
   for (const Json& item : aFields.Items(aName)) {
     if (!item.is_string()) {
-      aFields.Note(aName, "holds an entry that is not a text");
+      aFields.AddProblem(aName, "holds an entry that is not a text");
       break;
     }
     ids.emplace_back(item.get<std::string>());
@@ -92,13 +92,13 @@
   std::vector<T> items;
   for (const Json& item : aFields.Items(aName)) {
     if (!item.is_object()) {
-      aFields.Note(aName, "holds an entry that is not an object");
+      aFields.AddProblem(aName, "holds an entry that is not an object");
       break;
     }
     FieldReader fields(item);
     items.push_back(aRead(fields));
     if (!fields.Problem().empty()) {
-      aFields.Note(aName, fields.Problem());
+      aFields.AddProblem(aName, fields.Problem());
       break;
     }
   }
@@ -216,10 +216,10 @@
   request.content = fields.Text("content");
   request.deleted = fields.Flag("deleted");
   if (request.id.Empty()) {
-    fields.Note("change_id", "is missing");
+    fields.AddProblem("change_id", "is missing");
   }
   if (request.deleted != request.content.empty()) {
-    fields.Note("content", "must be given unless the subtree is deleted, and only then");
+    fields.AddProblem("content", "must be given unless the subtree is deleted, and only then");
   }
   return Finish(fields, std::move(request));
 }
--- a/src/protocol/OrderApi.cpp
+++ b/src/protocol/OrderApi.cpp
@@ -44,7 +44,7 @@
   order.desired.version = WeightVersion(fields.Text("version"));
   for (const Json& item : fields.Items("adapters")) {
     if (!item.is_string()) {
-      fields.Note("adapters", "holds an entry that is not a text");
+      fields.AddProblem("adapters", "holds an entry that is not a text");
       break;
     }
     order.desired.adapters.emplace_back(item.get<std::string>());
@@ -52,12 +52,12 @@
   const std::string role = fields.Text("role");
   const auto* const found = std::find(kRoles.begin(), kRoles.end(), role);
   if (found == kRoles.end()) {
-    fields.Note("role", "is unknown");
+    fields.AddProblem("role", "is unknown");
   } else {
     order.role = static_cast<DeploymentRole>(found - kRoles.begin());
   }
   if (order.desired.model.Empty() || order.desired.version.Empty()) {
-    fields.Note("model", "and version must be given");
+    fields.AddProblem("model", "and version must be given");
   }
   if (!fields.Problem().empty()) {
     return Fail(ErrorKind::InvalidArgument, fields.Problem(), "see docs/API.md");
--- a/src/protocol/ServingCodec.cpp
+++ b/src/protocol/ServingCodec.cpp
@@ -24,10 +24,10 @@
 };
 
 // Smaller messages fit into few packets as they are.
-constexpr std::size_t kLeastPacked = 4 * kKibibyte;
+constexpr std::size_t kMinCompressedBytes = 4 * kKibibyte;
 
 // Far above the largest picture: 12,000 targets take two megabytes.
-constexpr std::size_t kMostUnpackedBytes = 64 * kMebibyte;
+constexpr std::size_t kMaxDecompressedBytes = 64 * kMebibyte;
 
 std::vector<std::string>
 TextsOf(const std::vector<HostId>& aHosts)
@@ -400,7 +400,7 @@
 }
 
 Result<ServingMessage>
-ReadPicture(const wire::ServingFrameT& aFrame)
+ReadServingUpdate(const wire::ServingFrameT& aFrame)
 {
   ServingUpdate picture;
   picture.documentVersion = Revision(aFrame.document_version);
@@ -514,7 +514,7 @@
 
 // Read where they lie: an entry host takes tens of these a second, with a row for each target.
 LoadReport
-ReadSends(const wire::ServingFrame& aFrame)
+ReadLoadReport(const wire::ServingFrame& aFrame)
 {
   LoadReport news;
   news.host = HostId(TextOf(aFrame.host()));
@@ -567,7 +567,7 @@
 {
   const auto kind = static_cast<FrameKind>(aRoot.kind());
   if (kind == FrameKind::LoadReport) {
-    return ServingMessage(ReadSends(aRoot));
+    return ServingMessage(ReadLoadReport(aRoot));
   }
   wire::ServingFrameT frame;
   aRoot.UnPackTo(&frame);
@@ -575,7 +575,7 @@
     case FrameKind::Greeting:
       return ReadGreeting(frame);
     case FrameKind::ServingUpdate:
-      return ReadPicture(frame);
+      return ReadServingUpdate(frame);
     case FrameKind::LoadReport:
     case FrameKind::Packed:
       break;
@@ -603,10 +603,10 @@
 }
 
 std::string
-EncodePacked(const ServingMessage& aMessage)
+EncodeCompressed(const ServingMessage& aMessage)
 {
   std::string plain = EncodeServingMessage(aMessage);
-  if (plain.size() < kLeastPacked) {
+  if (plain.size() < kMinCompressedBytes) {
     return plain;
   }
   const std::string packed = PackText(plain, "");
@@ -631,7 +631,7 @@
   }
   const std::string_view packed(reinterpret_cast<const char*>(root->piece()->data()),
                                 root->piece()->size());
-  auto unpacked = UnpackText(packed, "", kMostUnpackedBytes);
+  auto unpacked = UnpackText(packed, "", kMaxDecompressedBytes);
   if (!unpacked) {
     return Fail(unpacked.error());
   }
--- a/src/protocol/StoreApi.cpp
+++ b/src/protocol/StoreApi.cpp
@@ -41,13 +41,13 @@
   std::vector<T> list;
   for (const Json& item : aFields.Items(aName)) {
     if (!item.is_object()) {
-      aFields.Note(aName, "has an entry that is not an object");
+      aFields.AddProblem(aName, "has an entry that is not an object");
       return {};
     }
     FieldReader fields(item);
     list.push_back(aRead(fields));
     if (!fields.Problem().empty()) {
-      aFields.Note(aName, "has a wrong entry: " + fields.Problem());
+      aFields.AddProblem(aName, "has a wrong entry: " + fields.Problem());
       return {};
     }
   }
@@ -77,7 +77,7 @@
   std::vector<Digest> digests;
   for (const Json& item : aFields.Items(aName)) {
     if (!item.is_string()) {
-      aFields.Note(aName, "has an entry that is not a text");
+      aFields.AddProblem(aName, "has an entry that is not a text");
       return {};
     }
     digests.emplace_back(item.get<std::string>());
@@ -103,7 +103,7 @@
                     WeightVersion(fields.Text("version")),
                     AdapterName(fields.Text("adapter")) };
   if (scope.workspace.Empty() || scope.model.Empty() || scope.version.Empty()) {
-    aFields.Note("scope", "needs workspace, model and version");
+    aFields.AddProblem("scope", "needs workspace, model and version");
   }
   return scope;
 }
@@ -135,7 +135,7 @@
 {
   auto endpoint = ParseEndpoint(aFields.Text(aName));
   if (!endpoint) {
-    aFields.Note(aName, "is no IP number with a port");
+    aFields.AddProblem(aName, "is no IP number with a port");
     return {};
   }
   return endpoint.value();
--- a/src/protocol/TargetsWire.cpp
+++ b/src/protocol/TargetsCodec.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/protocol/TargetsWire.h"
+#include "damasklink/protocol/TargetsCodec.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/transport/CallerChannel.cpp
+++ b/src/transport/CallerChannel.cpp
@@ -174,19 +174,19 @@
 }
 
 Awaitable<bool>
-CallerChannel::WriteWhole(HttpAnswerMessage aAnswer, bool aClose)
+CallerChannel::WriteWhole(HttpResponseMessage aAnswer, bool aClose)
 {
   const std::string head =
-    FormatAnswerHead(aAnswer.head, AnswerFraming::Length, aAnswer.body.size(), aClose);
+    FormatResponseHead(aAnswer.head, BodyFraming::Length, aAnswer.body.size(), aClose);
   const bool written = co_await this->impl->Write(head, aAnswer.body);
   this->idle = true;
   co_return written;
 }
 
 Awaitable<bool>
-CallerChannel::BeginStream(const HttpAnswerHead& aHead, std::string_view aPiece, bool aClose)
+CallerChannel::BeginStream(const HttpResponseHead& aHead, std::string_view aPiece, bool aClose)
 {
-  std::string bytes = FormatAnswerHead(aHead, AnswerFraming::Chunks, 0, aClose);
+  std::string bytes = FormatResponseHead(aHead, BodyFraming::Chunks, 0, aClose);
   bytes += Concat(absl::Hex(aPiece.size()), "\r\n", aPiece, "\r\n");
   co_return co_await this->impl->Write(bytes);
 }
--- a/src/transport/TargetChannel.cpp
+++ b/src/transport/TargetChannel.cpp
@@ -138,7 +138,7 @@
   co_return Success();
 }
 
-Awaitable<Result<HttpAnswerHead>>
+Awaitable<Result<HttpResponseHead>>
 TargetChannel::ReadHead()
 {
   Impl& channel = *this->impl;
@@ -159,7 +159,7 @@
     }
   }
   const auto& message = channel.parser->get();
-  HttpAnswerHead head;
+  HttpResponseHead head;
   head.status = static_cast<int>(message.result_int());
   for (const auto& field : message) {
     head.fields.Add(internal::TextOf(field.name_string()), internal::TextOf(field.value()));
--- a/test/platform/DialectTest.cpp
+++ b/test/platform/DialectTest.cpp
@@ -29,7 +29,7 @@
   EXPECT_EQ(call.value().key, "secret");
   EXPECT_EQ(call.value().patience, std::chrono::seconds(15));
   EXPECT_EQ(call.value().promptTokens, TokenCount(1460));
-  EXPECT_EQ(call.value().mostAnswerTokens, TokenCount(80));
+  EXPECT_EQ(call.value().maxAnswerTokens, TokenCount(80));
   ASSERT_EQ(call.value().parts.size(), 3U);
   EXPECT_EQ(call.value().parts[1], (PromptPart{ PartId("91bd3f06"), TokenCount(410) }));
 }
@@ -60,7 +60,7 @@
   call.target = TargetId("i-1");
   call.workspace = WorkspaceId("bozi");
   call.timeLeft = std::chrono::milliseconds(1234);
-  const HttpRequestHead sent = Dialect().HeadForTarget(head, call);
+  const HttpRequestHead sent = Dialect().MakeTargetRequestHead(head, call);
   EXPECT_EQ(sent.fields.Find("X-Credential"), nullptr);
   EXPECT_EQ(sent.fields.Count("X-Tenant"), 1U);
   EXPECT_EQ(sent.fields.Get("X-Tenant"), "bozi");
@@ -80,7 +80,7 @@
   for (const std::string& name : names) {
     head.fields.Add(name, "forged");
   }
-  const HttpRequestHead sent = Dialect().HeadForTarget(head, TargetCall{});
+  const HttpRequestHead sent = Dialect().MakeTargetRequestHead(head, TargetCall{});
   for (const std::string& name : names) {
     EXPECT_EQ(sent.fields.Find(name), nullptr) << name;
   }
@@ -90,8 +90,8 @@
 {
   TargetCall call;
   call.scope = CacheScope("m/1/");
-  call.fetches = { PartMove{ Endpoint{ "10.2.0.1", 8006 } }, PartMove{}, PartMove{} };
-  const HttpRequestHead sent = Dialect().HeadForTarget(CallerHead(), call);
+  call.fetches = { PartTransfer{ Endpoint{ "10.2.0.1", 8006 } }, PartTransfer{}, PartTransfer{} };
+  const HttpRequestHead sent = Dialect().MakeTargetRequestHead(CallerHead(), call);
   EXPECT_EQ(sent.fields.Get("X-Kv-Fetch"), "10.2.0.1:8006,-,-");
   EXPECT_EQ(sent.fields.Get("X-Cache-Salt"), "m/1/");
   EXPECT_EQ(sent.fields.Find("X-Kv-Save"), nullptr);
@@ -99,23 +99,23 @@
 
 TEST(DialectTest, PromiseOfATargetIsRead)
 {
-  HttpAnswerHead head;
+  HttpResponseHead head;
   head.status = 503;
-  EXPECT_FALSE(Dialect().ReadAnswer(head).notRun);
+  EXPECT_FALSE(Dialect().ReadResponse(head).notRun);
   head.fields.Add("X-Not-Executed", "1");
-  EXPECT_TRUE(Dialect().ReadAnswer(head).notRun);
+  EXPECT_TRUE(Dialect().ReadResponse(head).notRun);
   head.status = 421;
   head.fields.Add("X-Instance-Id", "i-2");
-  EXPECT_TRUE(Dialect().ReadAnswer(head).wrongTarget);
-  EXPECT_EQ(Dialect().ReadAnswer(head).target, TargetId("i-2"));
+  EXPECT_TRUE(Dialect().ReadResponse(head).wrongTarget);
+  EXPECT_EQ(Dialect().ReadResponse(head).target, TargetId("i-2"));
 }
 
 TEST(DialectTest, RefusedRequestsAreListedAndReleasedByTheirFingerprint)
 {
   const RequestFingerprint request(0xfedcba9876543210U);
   const std::chrono::milliseconds since(1'790'000'000'000);
-  const HttpAnswerMessage list =
-    Dialect().RefusedAnswer({ { request, RefusedRequest{ WorkspaceId("w"), WallTime(since) } } });
+  const HttpResponseMessage list = Dialect().RefusedRequestsResponse(
+    { { request, RefusedRequest{ WorkspaceId("w"), WallTime(since) } } });
   EXPECT_EQ(list.head.status, 200);
   EXPECT_NE(list.body.find(R"("fingerprint":"18364758544493064720")"), std::string::npos);
   EXPECT_NE(list.body.find(R"("since":1790000000000)"), std::string::npos);
@@ -127,16 +127,17 @@
   EXPECT_EQ(Dialect().ReadControlCall(release).error().kind, ErrorKind::InvalidArgument);
   release.head.method = "GET";
   release.head.target = "/-/refused-requests";
-  EXPECT_TRUE(std::holds_alternative<RefusedQuestion>(Dialect().ReadControlCall(release).value()));
+  EXPECT_TRUE(
+    std::holds_alternative<RefusedRequestsQuery>(Dialect().ReadControlCall(release).value()));
 }
 
 TEST(DialectTest, LimitOfATargetIsReadAndWhatIsNoNumberIsSaidSo)
 {
   const auto read = [](const std::string& aText) {
-    HttpAnswerHead head;
+    HttpResponseHead head;
     head.status = 200;
     head.fields.Add("Server-Limit", aText);
-    return Dialect().ReadAnswer(head);
+    return Dialect().ReadResponse(head);
   };
   EXPECT_EQ(read("3.9").limit, RequestRate{ 3.9 });
   EXPECT_EQ(read("0").limit, RequestRate{ 0 });
@@ -145,18 +146,18 @@
     EXPECT_FALSE(read(bad).limit) << bad;
     EXPECT_TRUE(read(bad).unreadable) << bad;
   }
-  EXPECT_FALSE(Dialect().ReadAnswer(HttpAnswerHead()).limit);
+  EXPECT_FALSE(Dialect().ReadResponse(HttpResponseHead()).limit);
 }
 
 TEST(DialectTest, PromisesAreOnlyGivenForWhatDidNotRun)
 {
   const Error full{ ErrorKind::Unavailable, "full", "come back" };
   const CallerError notRun{ full, RunOutcome::NotRun, std::chrono::milliseconds(250) };
-  const HttpAnswerMessage refusal = Dialect().FailureAnswer(notRun, RequestId("r"));
+  const HttpResponseMessage refusal = Dialect().FailureResponse(notRun, RequestId("r"));
   EXPECT_EQ(refusal.head.status, 503);
   EXPECT_EQ(refusal.head.fields.Get("Retry-After"), "0.25");
   const CallerError mayHaveRun{ full, RunOutcome::MayHaveRun, std::nullopt };
-  EXPECT_EQ(Dialect().FailureAnswer(mayHaveRun, RequestId("r")).head.status, 502);
+  EXPECT_EQ(Dialect().FailureResponse(mayHaveRun, RequestId("r")).head.status, 502);
 }
 
 TEST(DialectTest, HeartbeatIsRead)
@@ -265,7 +266,7 @@
   request.head.method = "POST";
   request.head.target = "/-/version-put";
   request.body = R"({"model":"daka","version":2})";
-  EXPECT_EQ(std::get<WeightsNamed>(Dialect().ReadControlCall(request).value()).version, 2U);
+  EXPECT_EQ(std::get<WeightVersionChange>(Dialect().ReadControlCall(request).value()).version, 2U);
   request.head.target = "/-/nothing";
   EXPECT_EQ(Dialect().ReadControlCall(request).error().kind, ErrorKind::NotFound);
 }
@@ -349,12 +350,12 @@
   ASSERT_TRUE(call) << call.error();
   EXPECT_EQ(std::get<TargetHeartbeat>(call.value()).record.coldFor,
             std::chrono::milliseconds(2500));
-  HttpAnswerHead head;
+  HttpResponseHead head;
   head.status = 200;
   head.fields.Add("X-Cold-Ms", "1500");
-  EXPECT_EQ(Dialect().ReadAnswer(head).coldFor, std::chrono::milliseconds(1500));
+  EXPECT_EQ(Dialect().ReadResponse(head).coldFor, std::chrono::milliseconds(1500));
   head.fields.Set("X-Cold-Ms", "soon");
-  EXPECT_TRUE(Dialect().ReadAnswer(head).unreadable);
+  EXPECT_TRUE(Dialect().ReadResponse(head).unreadable);
 }
 
 TEST(DialectTest, EvacuationIsOrderedWithdrawnAndListed)
@@ -369,12 +370,11 @@
   EXPECT_FALSE(std::get<EvacuationChange>(Dialect().ReadControlCall(request).value()).evacuated);
   request.head.method = "GET";
   request.head.target = "/-/evacuate";
-  EXPECT_TRUE(
-    std::holds_alternative<EvacuationQuestion>(Dialect().ReadControlCall(request).value()));
+  EXPECT_TRUE(std::holds_alternative<EvacuationQuery>(Dialect().ReadControlCall(request).value()));
   EvacuationRegistry evacuations;
   evacuations.Apply(
     SetEvacuation{ ZoneId("hall-north"), true, 0, WallTime(std::chrono::milliseconds(77)) });
-  EXPECT_EQ(Dialect().EvacuationAnswer(evacuations).body,
+  EXPECT_EQ(Dialect().EvacuationResponse(evacuations).body,
             R"({"zones":[{"evacuated":true,"since":77,"zone":"hall-north"}]})");
 }
 
--- a/test/program/ConfigurationFeedTest.cpp
+++ b/test/program/ConfigurationFeedTest.cpp
@@ -39,22 +39,22 @@
     }
     return this->dialect.ReadConfig(aDocument);
   }
-  HttpAnswerMessage Acknowledgement() const override { return this->dialect.Acknowledgement(); }
-  HttpAnswerMessage DocumentAnswer(std::string_view aDocument) const override
+  HttpResponseMessage Acknowledgement() const override { return this->dialect.Acknowledgement(); }
+  HttpResponseMessage DocumentResponse(std::string_view aDocument) const override
   {
-    return this->dialect.DocumentAnswer(aDocument);
+    return this->dialect.DocumentResponse(aDocument);
   }
-  HttpAnswerMessage RefusedAnswer(const RefusedRequests& aRefused) const override
+  HttpResponseMessage RefusedRequestsResponse(const RefusedRequests& aRefused) const override
   {
-    return this->dialect.RefusedAnswer(aRefused);
+    return this->dialect.RefusedRequestsResponse(aRefused);
   }
-  HttpAnswerMessage EvacuationAnswer(const EvacuationRegistry& aEvacuations) const override
+  HttpResponseMessage EvacuationResponse(const EvacuationRegistry& aEvacuations) const override
   {
-    return this->dialect.EvacuationAnswer(aEvacuations);
+    return this->dialect.EvacuationResponse(aEvacuations);
   }
-  HttpAnswerMessage ControlFailure(const Error& aError) const override
+  HttpResponseMessage ControlErrorResponse(const Error& aError) const override
   {
-    return this->dialect.ControlFailure(aError);
+    return this->dialect.ControlErrorResponse(aError);
   }
 
   std::atomic<bool> held{ false };
--- a/test/protocol/AgreementCodecTest.cpp
+++ b/test/protocol/AgreementCodecTest.cpp
@@ -53,7 +53,7 @@
   return message;
 }
 
-TEST(AgreementCodecTest, EveryKindComesBackAsItWas)
+TEST(AgreementCodecTest, RoundTripsEveryKind)
 {
   ASSERT_EQ(AllBodies().size(), std::variant_size_v<AgreementBody>);
   for (const AgreementBody& body : AllBodies()) {
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(AgreementCodecTest, EntriesWithAGapAreRefused)
+TEST(AgreementCodecTest, RejectsEntriesWithAGap)
 {
   AppendRequest request;
   request.entries = { MakeEntry(1), MakeEntry(3) };
@@ -74,7 +74,7 @@
 }
 
 // Damaged bytes are refused or read as some other message; they never end the process.
-RC_GTEST_PROP(AgreementCodecProperty, DamagedBytesAreBorne, ())
+RC_GTEST_PROP(AgreementCodecProperty, DamagedBytesNeverCrash, ())
 {
   const auto body = *rc::gen::elementOf(AllBodies());
   std::string bytes = EncodeAgreementMessage(MakeMessage(body));
--- a/test/protocol/BurnApiTest.cpp
+++ b/test/protocol/BurnApiTest.cpp
@@ -6,7 +6,7 @@
 namespace damasklink {
 namespace {
 
-RC_GTEST_PROP(BurnApiTest, ReadsBackWhatItWrote, (std::uint32_t aGood, std::uint32_t aBad))
+RC_GTEST_PROP(BurnApiTest, RoundTripsAnyCounts, (std::uint32_t aGood, std::uint32_t aBad))
 {
   HostBurn burn;
   burn.host = HostId("one");
@@ -17,7 +17,7 @@
   RC_ASSERT(ParseHostBurn(FormatHostBurn(burn)).value() == burn);
 }
 
-TEST(BurnApiTest, NamesTheFieldThatIsWrong)
+TEST(BurnApiTest, ErrorNamesTheInvalidField)
 {
   const auto problem = [](std::string_view aBody) {
     const auto read = ParseHostBurn(aBody);
--- a/test/protocol/ClaimMachineTest.cpp
+++ b/test/protocol/ClaimStateMachineTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/protocol/ClaimMachine.h"
+#include "damasklink/protocol/ClaimStateMachine.h"
 
 #include <set>
 
@@ -28,26 +28,26 @@
   return command;
 }
 
-TEST(ClaimMachineTest, CommandReadsBack)
+TEST(ClaimStateMachineTest, RoundTripsCommand)
 {
   const ClaimCommand command = MakeCommand(1, 2);
   EXPECT_EQ(DecodeClaimCommand(EncodeClaimCommand(command)).value(), command);
 }
 
-TEST(ClaimMachineTest, GarbageChangesNothing)
+TEST(ClaimStateMachineTest, RejectsUndecodableCommandAndSnapshot)
 {
-  ClaimMachine machine;
+  ClaimStateMachine machine;
   const ApplyContext context{
     GroupId("claims/n"), LogIndex(1), Term(1), kStart, Incarnation(1), {}
   };
   machine.Apply(context, "garbage");
-  EXPECT_EQ(machine.Ledger().Size(), 0U);
+  EXPECT_EQ(machine.Claims().Size(), 0U);
   EXPECT_FALSE(machine.Load("garbage"));
 }
 
 // One group, its claimants and everything that may go wrong between them. What a claimant has
 // been granted it may run, and each run is counted.
-class ClaimWorld
+class ClaimSimulation
 {
 public:
   enum class Step
@@ -91,7 +91,7 @@
     }
   }
 
-  int MostRuns() const
+  int MaxRunsOfAKey() const
   {
     int most = 0;
     for (const auto& [key, count] : this->runs) {
@@ -168,19 +168,19 @@
   void LoseAll(std::size_t aPick)
   {
     if (aPick % 10 == 0) {
-      this->machine = std::make_unique<ClaimMachine>();
+      this->machine = std::make_unique<ClaimStateMachine>();
       this->context.incarnation = this->context.incarnation.Next();
     }
   }
 
   void Restart()
   {
-    auto fresh = std::make_unique<ClaimMachine>();
+    auto fresh = std::make_unique<ClaimStateMachine>();
     ASSERT_TRUE(fresh->Load(this->machine->Save()));
     this->machine = std::move(fresh);
   }
 
-  std::unique_ptr<ClaimMachine> machine = std::make_unique<ClaimMachine>();
+  std::unique_ptr<ClaimStateMachine> machine = std::make_unique<ClaimStateMachine>();
   ApplyContext context{ GroupId("claims/n"), LogIndex(1), Term(1), kStart, Incarnation(1), {} };
   std::vector<ClaimCommand> underWay;
   std::map<AttemptId, ClaimCommand> waiting;
@@ -188,27 +188,27 @@
   int lastAttempt = 0;
 };
 
-RC_GTEST_PROP(ClaimMachineProperty, NoKeyRunsTwiceWhateverTheSchedule, ())
+RC_GTEST_PROP(ClaimStateMachineProperty, NoKeyRunsTwiceInAnySchedule, ())
 {
-  ClaimWorld world;
+  ClaimSimulation world;
   // Full size from the first case on, or the early cases hold only the first few kinds of step.
-  const auto steps =
-    *rc::gen::resize(rc::kNominalSize,
-                     rc::gen::container<std::vector<std::pair<int, std::size_t>>>(
-                       150,
-                       rc::gen::pair(rc::gen::inRange(0, static_cast<int>(ClaimWorld::Step::Count)),
-                                     rc::gen::inRange<std::size_t>(0, 1000))));
+  const auto steps = *rc::gen::resize(
+    rc::kNominalSize,
+    rc::gen::container<std::vector<std::pair<int, std::size_t>>>(
+      150,
+      rc::gen::pair(rc::gen::inRange(0, static_cast<int>(ClaimSimulation::Step::Count)),
+                    rc::gen::inRange<std::size_t>(0, 1000))));
   for (const auto& [step, pick] : steps) {
-    world.Do(static_cast<ClaimWorld::Step>(step), pick);
+    world.Do(static_cast<ClaimSimulation::Step>(step), pick);
   }
-  RC_ASSERT(world.MostRuns() <= 1);
+  RC_ASSERT(world.MaxRunsOfAKey() <= 1);
 }
 
 // Replicas that apply the same commands hold the same state, also through a snapshot.
-RC_GTEST_PROP(ClaimMachineProperty, SnapshotHoldsTheWholeState, ())
+RC_GTEST_PROP(ClaimStateMachineProperty, SnapshotRestoresFullState, ())
 {
-  ClaimMachine left;
-  ClaimMachine right;
+  ClaimStateMachine left;
+  ClaimStateMachine right;
   ApplyContext context{ GroupId("claims/n"), LogIndex(1), Term(1), kStart, Incarnation(1), {} };
   const auto picks = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1000));
   for (const int pick : picks) {
@@ -218,7 +218,7 @@
     context.proposedAt += seconds(pick * 20);
     const std::string bytes = EncodeClaimCommand(command);
     RC_ASSERT(left.Apply(context, bytes) == right.Apply(context, bytes));
-    ClaimMachine reloaded;
+    ClaimStateMachine reloaded;
     RC_ASSERT(bool(reloaded.Load(right.Save())));
     RC_ASSERT(reloaded.Save() == left.Save());
     RC_ASSERT(bool(right.Load(left.Save())));
--- a/test/protocol/ConfigWireTest.cpp
+++ b/test/protocol/ConfigCodecTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/protocol/ConfigWire.h"
+#include "damasklink/protocol/ConfigCodec.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -6,7 +6,7 @@
 namespace damasklink {
 namespace {
 
-TEST(ConfigWireTest, DeltaReadsBack)
+TEST(ConfigCodecTest, RoundTripsDelta)
 {
   ConfigMessage message;
   message.kind = ConfigMessageKind::Delta;
@@ -18,7 +18,7 @@
   EXPECT_EQ(DecodeConfigMessage(EncodeConfigMessage(message)).value(), message);
 }
 
-TEST(ConfigWireTest, HeartbeatReadsBack)
+TEST(ConfigCodecTest, RoundTripsHeartbeat)
 {
   Heartbeat beat;
   beat.incarnation = Incarnation(1'700'000'000'000);
@@ -31,7 +31,7 @@
   EXPECT_EQ(DecodeHeartbeat(EncodeHeartbeat(beat)).value(), beat);
 }
 
-RC_GTEST_PROP(ConfigWireTest, AnyBytesAreRefusedOrRead, (const std::string& aBytes))
+RC_GTEST_PROP(ConfigCodecTest, AnyBytesAreDecodedOrRejected, (const std::string& aBytes))
 {
   const auto message = DecodeConfigMessage(aBytes);
   const auto beat = DecodeHeartbeat(aBytes);
--- a/test/protocol/HttpMessageTest.cpp
+++ b/test/protocol/HttpMessageTest.cpp
@@ -17,7 +17,7 @@
   return head;
 }
 
-TEST(HttpMessageTest, FieldNamesCompareWithoutCase)
+TEST(HttpMessageTest, FieldNamesIgnoreCase)
 {
   HttpFields fields;
   fields.Add("Content-Type", "text/plain");
@@ -26,51 +26,51 @@
   EXPECT_EQ(fields.Find("Content-Typ"), nullptr);
 }
 
-TEST(HttpMessageTest, OneLengthIsWellFramed)
+TEST(HttpMessageTest, AcceptsASingleBodyLength)
 {
   EXPECT_TRUE(CheckFraming(HeadWith({ { "Content-Length", "12" } })));
   EXPECT_TRUE(CheckFraming(HeadWith({ { "Transfer-Encoding", "chunked" } })));
   EXPECT_TRUE(CheckFraming(HeadWith({})));
 }
 
-TEST(HttpMessageTest, LengthBesideChunksIsRefused)
+TEST(HttpMessageTest, RejectsContentLengthWithChunked)
 {
   EXPECT_FALSE(
     CheckFraming(HeadWith({ { "Content-Length", "12" }, { "Transfer-Encoding", "chunked" } })));
 }
 
-TEST(HttpMessageTest, DoubledLengthsAreRefusedAlsoWhenTheyAgree)
+TEST(HttpMessageTest, RejectsRepeatedContentLengthEvenIfEqual)
 {
   EXPECT_FALSE(CheckFraming(HeadWith({ { "Content-Length", "12" }, { "content-length", "12" } })));
   EXPECT_FALSE(CheckFraming(HeadWith({ { "Content-Length", "12, 12" } })));
 }
 
-TEST(HttpMessageTest, LengthThatIsNoPlainNumberIsRefused)
+TEST(HttpMessageTest, RejectsContentLengthThatIsNotDecimal)
 {
   EXPECT_FALSE(CheckFraming(HeadWith({ { "Content-Length", "+12" } })));
   EXPECT_FALSE(CheckFraming(HeadWith({ { "Content-Length", "" } })));
   EXPECT_FALSE(CheckFraming(HeadWith({ { "Content-Length", "0x10" } })));
 }
 
-TEST(HttpMessageTest, OtherTransferCodingsAreRefused)
+TEST(HttpMessageTest, RejectsTransferCodingsOtherThanChunked)
 {
   EXPECT_FALSE(CheckFraming(HeadWith({ { "Transfer-Encoding", "gzip, chunked" } })));
   EXPECT_FALSE(CheckFraming(HeadWith({ { "Transfer-Encoding", "xchunked" } })));
 }
 
-TEST(HttpMessageTest, ChunksInTheOlderVersionAreRefused)
+TEST(HttpMessageTest, RejectsChunkedInHttp10)
 {
   HttpRequestHead head = HeadWith({ { "Transfer-Encoding", "chunked" } });
   head.version = 10;
   EXPECT_FALSE(CheckFraming(head));
 }
 
-TEST(HttpMessageTest, BareLineEndInAValueIsRefused)
+TEST(HttpMessageTest, RejectsLineFeedInFieldValue)
 {
   EXPECT_FALSE(CheckFraming(HeadWith({ { "X", "a\nContent-Length: 3" } })));
 }
 
-TEST(HttpMessageTest, FieldsOfOneConnectionAreRemoved)
+TEST(HttpMessageTest, RemovesHopByHopFields)
 {
   HttpFields fields;
   fields.Add("Connection", "close, X-Private");
@@ -78,21 +78,21 @@
   fields.Add("Keep-Alive", "timeout=5");
   fields.Add("Transfer-Encoding", "chunked");
   fields.Add("X-Kept", "2");
-  RemoveConnectionFields(fields);
+  RemoveHopByHopFields(fields);
   ASSERT_EQ(fields.All().size(), 1U);
   EXPECT_EQ(fields.All().front().name, "X-Kept");
 }
 
-TEST(HttpMessageTest, CloseIsReadFromTheConnectionField)
+TEST(HttpMessageTest, ReadsCloseFromConnectionField)
 {
   HttpFields fields;
-  EXPECT_FALSE(AsksToClose(fields, 11));
-  EXPECT_TRUE(AsksToClose(fields, 10));
+  EXPECT_FALSE(ClosesConnection(fields, 11));
+  EXPECT_TRUE(ClosesConnection(fields, 10));
   fields.Add("Connection", "Keep-Alive, Close");
-  EXPECT_TRUE(AsksToClose(fields, 11));
+  EXPECT_TRUE(ClosesConnection(fields, 11));
 }
 
-TEST(HttpMessageTest, KeepAliveTimeIsRead)
+TEST(HttpMessageTest, ReadsKeepAliveTimeout)
 {
   HttpFields fields;
   EXPECT_FALSE(KeepAliveSeconds(fields));
@@ -100,17 +100,17 @@
   EXPECT_EQ(KeepAliveSeconds(fields), 7U);
 }
 
-TEST(HttpMessageTest, RequestHeadStatesTheLength)
+TEST(HttpMessageTest, RequestHeadContainsBodyLength)
 {
   EXPECT_EQ(FormatRequestHead(HeadWith({ { "Host", "h" } }), 3),
             "POST /a/b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\n");
 }
 
-TEST(HttpMessageTest, AnswerHeadSaysWhenItIsTheLast)
+TEST(HttpMessageTest, ResponseHeadContainsConnectionClose)
 {
-  HttpAnswerHead head;
+  HttpResponseHead head;
   head.status = 503;
-  EXPECT_EQ(FormatAnswerHead(head, AnswerFraming::Length, 0, true),
+  EXPECT_EQ(FormatResponseHead(head, BodyFraming::Length, 0, true),
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
 }
 
--- a/test/protocol/MetricsTextTest.cpp
+++ b/test/protocol/MetricsTextTest.cpp
@@ -7,7 +7,7 @@
 namespace damasklink {
 namespace {
 
-TEST(MetricsTextTest, EscapesLabelsAndLeavesEmptyOnesOut)
+TEST(MetricsTextTest, EscapesLabelsAndOmitsEmptyOnes)
 {
   MetricsSnapshot snapshot;
   snapshot.counters = { { Counter::Requests, { WorkspaceId("a\"b\\c\nd"), "" }, 7 } };
@@ -29,7 +29,7 @@
             "damasklink_first_token_seconds_count{host=\"h\",workspace=\"a\"} 2\n");
 }
 
-TEST(MetricsTextTest, EveryMetricHasANameOfItsOwn)
+TEST(MetricsTextTest, EveryMetricHasAUniqueName)
 {
   std::set<std::string_view> names;
   for (std::size_t index = 0; index < kCounterCount; ++index) {
--- a/test/protocol/OperatorApiTest.cpp
+++ b/test/protocol/OperatorApiTest.cpp
@@ -9,13 +9,13 @@
 
 const SubtreeName kName = WorkspaceSubtree(WorkspaceId("w"));
 
-TEST(OperatorApiTest, ChangeRequestReadsBack)
+TEST(OperatorApiTest, RoundTripsChangeRequest)
 {
   const ChangeRequest request{ ChangeId("c"), kName, Revision(3), "ana", "text: \"x\"\n", false };
   EXPECT_EQ(ParseChangeRequest(FormatChangeRequest(request)).value(), request);
 }
 
-TEST(OperatorApiTest, ChangeWithoutIdOrContentIsRefused)
+TEST(OperatorApiTest, RejectsChangeWithoutIdOrContent)
 {
   EXPECT_FALSE(ParseChangeRequest("[]"));
   EXPECT_FALSE(ParseChangeRequest(FormatChangeRequest({ ChangeId(), kName, {}, "", "x", false })));
@@ -25,7 +25,7 @@
     ParseChangeRequest(FormatChangeRequest({ ChangeId("c"), kName, {}, "", "x", true })));
 }
 
-TEST(OperatorApiTest, StatusReadsBack)
+TEST(OperatorApiTest, RoundTripsHostStatus)
 {
   HostStatus status;
   status.host = HostId("h");
@@ -39,7 +39,7 @@
   EXPECT_EQ(ParseHostStatus(FormatHostStatus(status)).value(), status);
 }
 
-TEST(OperatorApiTest, ListsHistoryAndInForceReadBack)
+TEST(OperatorApiTest, RoundTripsListsHistoryAndInForceReport)
 {
   const SubtreeList list{ Revision(4), { SubtreeVersion{ kName, Revision(2) } } };
   EXPECT_EQ(ParseSubtreeList(FormatSubtreeList(list)).value(), list);
--- a/test/protocol/ServingCodecTest.cpp
+++ b/test/protocol/ServingCodecTest.cpp
@@ -7,7 +7,7 @@
 namespace damasklink {
 namespace {
 
-TEST(ServingCodecTest, GreetingComesBack)
+TEST(ServingCodecTest, RoundTripsGreeting)
 {
   const Greeting greeting{ HostRole::Control,
                            ZoneId("z"),
@@ -18,7 +18,7 @@
   EXPECT_EQ(std::get<Greeting>(decoded.value()), greeting);
 }
 
-TEST(ServingCodecTest, PictureComesBack)
+TEST(ServingCodecTest, RoundTripsServingUpdate)
 {
   ServingUpdate picture;
   picture.documentVersion = Revision(12);
@@ -55,7 +55,7 @@
   EXPECT_EQ(std::get<ServingUpdate>(decoded.value()), picture);
 }
 
-TEST(ServingCodecTest, QuestionForADocumentComesBack)
+TEST(ServingCodecTest, RoundTripsDocumentRequest)
 {
   DocumentRequest question;
   question.held = Revision(16);
@@ -67,7 +67,7 @@
   EXPECT_EQ(std::get<DocumentRequest>(decoded.value()), question);
 }
 
-TEST(ServingCodecTest, PieceOfADocumentComesBack)
+TEST(ServingCodecTest, RoundTripsDocumentChunk)
 {
   DocumentChunk piece;
   piece.transfer = TransferId{ Revision(23), Revision(), 7, 1 };
@@ -78,7 +78,7 @@
   EXPECT_EQ(std::get<DocumentChunk>(decoded.value()), piece);
 }
 
-TEST(ServingCodecTest, SendsComeBack)
+TEST(ServingCodecTest, RoundTripsLoadReport)
 {
   LoadReport news;
   news.host = HostId("10.0.0.7");
@@ -116,7 +116,7 @@
   EXPECT_EQ(std::get<LoadReport>(decoded.value()), news);
 }
 
-TEST(ServingCodecTest, EntryHostsComeBack)
+TEST(ServingCodecTest, RoundTripsEntryHostList)
 {
   const EntryHostList list{ std::vector<HostId>{ HostId("10.0.0.7"), HostId("10.0.0.8") } };
   const auto decoded = DecodeServingMessage(EncodeServingMessage(list));
@@ -124,7 +124,7 @@
   EXPECT_EQ(std::get<EntryHostList>(decoded.value()), list);
 }
 
-TEST(ServingCodecTest, BytesThatAreNoMessageAreRefused)
+TEST(ServingCodecTest, RejectsInvalidBytes)
 {
   EXPECT_FALSE(DecodeServingMessage(""));
   EXPECT_FALSE(DecodeServingMessage("no message at all, only text"));
@@ -134,7 +134,7 @@
 }
 
 // Hundreds of hosts that connect at once are each told all targets.
-TEST(ServingCodecTest, PictureOfManyTargetsComesBackPackedInAThirdOfItsBytes)
+TEST(ServingCodecTest, CompressesUpdateOfManyTargetsToAThird)
 {
   ServingUpdate picture;
   for (std::uint64_t number = 0; number < 3'000; ++number) {
@@ -150,20 +150,20 @@
     statement.record.load.slots = 16;
     statement.record.models = { ServedModel{ ModelName("model-a"), WeightVersion("3"), {} } };
   }
-  const std::string packed = EncodePacked(picture);
+  const std::string packed = EncodeCompressed(picture);
   EXPECT_LT(packed.size() * 3, EncodeServingMessage(picture).size());
   const auto decoded = DecodeServingMessage(packed);
   ASSERT_TRUE(decoded);
   EXPECT_EQ(std::get<ServingUpdate>(decoded.value()), picture);
 }
 
-TEST(ServingCodecTest, DamagedPackedMessageIsRefused)
+TEST(ServingCodecTest, RejectsDamagedCompressedMessage)
 {
   ServingUpdate picture;
   for (std::uint64_t number = 0; number < 300; ++number) {
     picture.targets.emplace_back().record.id = TargetId("target-" + std::to_string(number));
   }
-  const std::string message = EncodePacked(picture);
+  const std::string message = EncodeCompressed(picture);
   const std::string packed = PackText(EncodeServingMessage(picture), "");
   const std::size_t begin = message.find(packed);
   ASSERT_NE(begin, std::string::npos);
--- a/test/protocol/StoreApiTest.cpp
+++ b/test/protocol/StoreApiTest.cpp
@@ -13,7 +13,7 @@
   Checksum(18'000'000'000'000'000'000ULL),
 };
 
-TEST(StoreApiTest, ImportOrderComesBackAsItWas)
+TEST(StoreApiTest, RoundTripsImportOrder)
 {
   const ImportOrder order{ { "127.0.0.1", 9 }, std::chrono::milliseconds(1500), { kHeader } };
   const ImportOrder back = ParseImportOrder(FormatImportOrder(order)).value();
@@ -22,7 +22,7 @@
   EXPECT_EQ(back.blocks, order.blocks);
 }
 
-TEST(StoreApiTest, ExportOrderAndItsAnswerComeBack)
+TEST(StoreApiTest, RoundTripsExportOrderAndResponse)
 {
   const ExportOrder order{ { "127.0.0.1", 9 },
                            FencingNumber(3),
@@ -37,7 +37,7 @@
   EXPECT_EQ(exported.value().front().checksum, Checksum(3));
 }
 
-TEST(StoreApiTest, CacheEventAndInventoryComeBack)
+TEST(StoreApiTest, RoundTripsCacheEventAndInventory)
 {
   const CacheEvent event{
     TargetId("e"), Incarnation(2), Sequence(5), { Digest("aa") }, { Digest("bb") }
@@ -46,7 +46,7 @@
   EXPECT_EQ(ParseInventory(FormatInventory({ kHeader })).value(), std::vector{ kHeader });
 }
 
-TEST(StoreApiTest, FaultsNameTheField)
+TEST(StoreApiTest, ErrorsNameTheField)
 {
   const auto noScope = ParseBlockHeader(R"({"block":"aa","scope":{"workspace":"w"}})");
   ASSERT_FALSE(noScope);
--- a/test/protocol/StoresCodecTest.cpp
+++ b/test/protocol/StoresCodecTest.cpp
@@ -13,7 +13,7 @@
   return std::get<Message>(DecodeStoresMessage(EncodeStoresMessage(aMessage)).value());
 }
 
-TEST(StoresCodecTest, NoticesComeBackAsTheyWere)
+TEST(StoresCodecTest, RoundTripsNotices)
 {
   const OwnerNotice owner{ StoreId("s"), HostId("h"), FencingNumber(7) };
   EXPECT_EQ(ThereAndBack(owner), owner);
@@ -25,13 +25,13 @@
   EXPECT_EQ(ThereAndBack(event), event);
 }
 
-TEST(StoresCodecTest, SnapshotStaysASnapshot)
+TEST(StoresCodecTest, RoundTripsCacheSnapshot)
 {
   const CacheSnapshot snapshot{ TargetId("e"), Incarnation(2), Sequence(5), { Digest("aa") } };
   EXPECT_EQ(ThereAndBack(snapshot).blocks, snapshot.blocks);
 }
 
-TEST(StoresCodecTest, QuestionKeepsScopeBlocksAndWeights)
+TEST(StoresCodecTest, RoundTripsStoreQuestion)
 {
   StoreQuestion question;
   question.number = QuestionNumber(4);
@@ -54,7 +54,7 @@
   EXPECT_EQ(back.to, question.to);
 }
 
-TEST(StoresCodecTest, GrantKeepsGenerationLengthAndChecksum)
+TEST(StoresCodecTest, RoundTripsGrantedBlocks)
 {
   StoreAnswer answer;
   answer.status = AnswerStatus::Granted;
@@ -70,7 +70,7 @@
   EXPECT_EQ(back.blocks.front().checksum, Checksum(3));
 }
 
-RC_GTEST_PROP(StoresCodecProperty, TornMessagesAreRefusedOrWhole, ())
+RC_GTEST_PROP(StoresCodecProperty, TruncatedMessagesAreDecodedOrRejected, ())
 {
   const CacheEvent event{ TargetId("engine"), Incarnation(2), Sequence(5), { Digest("aa") }, {} };
   std::string bytes = EncodeStoresMessage(event);
--- a/test/protocol/TargetsWireTest.cpp
+++ b/test/protocol/TargetsCodecTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/protocol/TargetsWire.h"
+#include "damasklink/protocol/TargetsCodec.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -6,7 +6,7 @@
 namespace damasklink {
 namespace {
 
-TEST(TargetsWireTest, RecordsAndSignsReadBack)
+TEST(TargetsCodecTest, RoundTripsRecordsAndKeepalives)
 {
   TargetsMessage message;
   message.kind = TargetsMessageKind::Refresh;
@@ -22,7 +22,7 @@
   EXPECT_EQ(DecodeTargetsMessage(EncodeTargetsMessage(message)).value(), message);
 }
 
-RC_GTEST_PROP(TargetsWireTest, AnyBytesAreRefusedOrRead, (const std::string& aBytes))
+RC_GTEST_PROP(TargetsCodecTest, AnyBytesAreDecodedOrRejected, (const std::string& aBytes))
 {
   const auto message = DecodeTargetsMessage(aBytes);
   RC_ASSERT((message || !message.error().message.empty()));
--- a/test/protocol/UntrustedInputTest.cpp
+++ b/test/protocol/UntrustedInputTest.cpp
@@ -9,8 +9,8 @@
 #include "damasklink/coordination/GroupIncarnation.h"
 #include "damasklink/protocol/BurnApi.h"
 #include "damasklink/protocol/CallerApi.h"
-#include "damasklink/protocol/ClaimMachine.h"
-#include "damasklink/protocol/ConfigWire.h"
+#include "damasklink/protocol/ClaimStateMachine.h"
+#include "damasklink/protocol/ConfigCodec.h"
 #include "damasklink/protocol/EngineApi.h"
 #include "damasklink/protocol/Envelope.h"
 #include "damasklink/protocol/OperatorApi.h"
@@ -111,7 +111,7 @@
   });
 }
 
-RC_GTEST_PROP(UntrustedInputTest, BurnsAreABurnOrAnError, ())
+RC_GTEST_PROP(UntrustedInputTest, HostBurnsAreAHostBurnOrAnError, ())
 {
   HostBurn burn;
   burn.workspaces.resize(1);
@@ -123,7 +123,7 @@
 // A machine that refuses a snapshot, or is given a command that nobody wrote, stays as it was.
 template<typename Machine>
 void
-AssertStaysWhole(const std::string& aSnapshot, const std::string& aCommand)
+AssertStateStaysValid(const std::string& aSnapshot, const std::string& aCommand)
 {
   ForNearlyValid(aSnapshot, [&](const std::string& aBytes) {
     Machine machine;
@@ -153,20 +153,20 @@
   return command;
 }
 
-RC_GTEST_PROP(UntrustedInputTest, ClaimsBearAnySnapshotAndCommand, ())
+RC_GTEST_PROP(UntrustedInputTest, ClaimsSurviveAnySnapshotAndCommand, ())
 {
-  ClaimMachine machine;
+  ClaimStateMachine machine;
   const std::string command = EncodeClaimCommand(WholeCommand());
   machine.Apply(ApplyContext{}, command);
-  AssertStaysWhole<ClaimMachine>(machine.Save(), command);
+  AssertStateStaysValid<ClaimStateMachine>(machine.Save(), command);
 }
 
-RC_GTEST_PROP(UntrustedInputTest, GroupCatalogueBearsAnySnapshotAndCommand, ())
+RC_GTEST_PROP(UntrustedInputTest, GroupRegistrySurvivesAnySnapshotAndCommand, ())
 {
   GroupRegistry machine;
   const std::string command = EncodeRegistration(GroupId("claims/a"), FormationId(7));
   machine.Apply(ApplyContext{}, command);
-  AssertStaysWhole<GroupRegistry>(machine.Save(), command);
+  AssertStateStaysValid<GroupRegistry>(machine.Save(), command);
 }
 
 RC_GTEST_PROP(UntrustedInputTest, ClaimMessagesAreAValueOrAnError, ())
@@ -216,7 +216,7 @@
 }
 
 // However a stream is cut into pieces, the same texts come out.
-RC_GTEST_PROP(UntrustedInputTest, EventsDoNotDependOnHowTheyWereCut, ())
+RC_GTEST_PROP(UntrustedInputTest, EventsAreIndependentOfChunking, ())
 {
   const auto texts = *rc::gen::container<std::vector<std::string>>(
     rc::gen::nonEmpty(rc::gen::string<std::string>()));
@@ -242,7 +242,7 @@
   RC_ASSERT(read == expected);
 }
 
-TEST(UntrustedInputTest, EventWithoutEndIsRefusedAtTheLimit)
+TEST(UntrustedInputTest, RejectsUnterminatedEventAtTheLimit)
 {
   constexpr std::size_t kMostLine = 1000;
   SseReader reader(kMostLine);
--- a/test/protocol/UseReportTest.cpp
+++ b/test/protocol/UseReportTest.cpp
@@ -5,7 +5,7 @@
 namespace damasklink {
 namespace {
 
-TEST(UseReportTest, KeepsTheWorkspacesThatGotMost)
+TEST(UseReportTest, EncodesOnlyTheCostliestWorkspaces)
 {
   const UseByWorkspace use{ { WorkspaceId("a"), 1 },
                             { WorkspaceId("b"), 3 },
@@ -14,7 +14,7 @@
   EXPECT_EQ(DecodeUseReport(EncodeUseReport(use, 2)).value(), most);
 }
 
-TEST(UseReportTest, RefusesGarbageAndCostsBelowZero)
+TEST(UseReportTest, RejectsInvalidBytesAndNegativeCosts)
 {
   EXPECT_FALSE(DecodeUseReport("garbage"));
   EXPECT_FALSE(DecodeUseReport(EncodeUseReport({ { WorkspaceId("a"), -1 } }, 2)));
--- a/test/state/SubtreeTest.cpp
+++ b/test/state/SubtreeTest.cpp
@@ -70,7 +70,7 @@
   RC_ASSERT(*read == *subtree.content);
 }
 
-RC_GTEST_PROP(SubtreeTest, AnyBytesAreRefusedOrRead, (const std::string& aBytes))
+RC_GTEST_PROP(SubtreeTest, AnyBytesAreDecodedOrRejected, (const std::string& aBytes))
 {
   CompactReader reader(aBytes);
   const SharedContent read = UnpackContent(reader);
--- a/test/transport/CallerChannelTest.cpp
+++ b/test/transport/CallerChannelTest.cpp
@@ -76,7 +76,7 @@
   EXPECT_EQ(this->Read().value().head.target, "/2");
 }
 
-TEST_F(CallerChannelTest, LengthBesideChunksIsRefused)
+TEST_F(CallerChannelTest, RejectsContentLengthWithChunked)
 {
   EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
                          "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n"),
@@ -179,7 +179,7 @@
 // A ready answer goes on for as long as its caller takes bytes of it.
 TEST_F(CallerChannelTest, AnswerThatKeepsLeavingIsWrittenHoweverLongItTakes)
 {
-  HttpAnswerMessage answer;
+  HttpResponseMessage answer;
   answer.head.status = 200;
   answer.body = std::string(24 * kMebibyte, 'x');
   const std::size_t expected = answer.body.size();
