--- a/include/damasklink/protocol/AgreementCodec.h
+++ b/include/damasklink/protocol/AgreementCodec.h
@@ -1,4 +1,4 @@
-// Encoding of the messages of replicated groups, the payload of the channel Agreement.
+// Encodes the messages of replicated groups, which are sent over Channel::Agreement.
 #pragma once
 
 #include <string>
@@ -9,12 +9,12 @@
 
 namespace damasklink {
 
-// Returns the message without its group and hosts, which stand in the envelope.
+// Encodes all fields except the group and the hosts, which the envelope contains.
 std::string
 EncodeAgreementMessage(const AgreementMessage& aMessage);
 
-// Returns the message with group and hosts empty. Fails with Corrupt when the bytes, or those of an
-// entry inside, are not whole.
+// Decodes a message, leaving its group and hosts empty. Fails with Corrupt when the bytes, or those
+// of a log entry in them, are invalid, or when the entries' indices are not consecutive.
 Result<AgreementMessage>
 DecodeAgreementMessage(std::string_view aBytes);
 
--- a/include/damasklink/protocol/BurnApi.h
+++ b/include/damasklink/protocol/BurnApi.h
@@ -1,4 +1,4 @@
-// The burn of one host as the JSON that its operators' address serves on /v1/burn.
+// Error budget burn rates as JSON, which each host serves to operators on /v1/burn.
 #pragma once
 
 #include <string>
@@ -9,14 +9,15 @@
 
 namespace damasklink {
 
+// Returns the burn rates of one host.
 std::string
 FormatHostBurn(const HostBurn& aBurn);
 
-// Fails with Corrupt naming the field that is wrong.
+// Fails with Corrupt, naming the invalid field.
 Result<HostBurn>
 ParseHostBurn(std::string_view aBody);
 
-// Returns a whole report as JSON: rows, the hosts that were reached and those that were not.
+// Returns the report over all hosts: the merged rows, and which hosts answered and which did not.
 std::string
 FormatBurnReport(const std::vector<WorkspaceBurn>& aRows,
                  const std::vector<std::string>& aReached,
--- a/include/damasklink/protocol/CallerApi.h
+++ b/include/damasklink/protocol/CallerApi.h
@@ -1,4 +1,5 @@
-// The callers' API: OpenAI-compatible completions and chat completions.
+// Reads and writes the bodies of the callers' API: OpenAI-compatible completions and chat
+// completions.
 #pragma once
 
 #include <optional>
@@ -13,35 +14,35 @@
 
 namespace damasklink {
 
-// Which of the two calls it was; their bodies and events differ in shape.
+// The API that was called. The two differ in the shape of their bodies and events.
 enum class CompletionStyle
 {
-  Text,
-  Chat,
+  Text, // /v1/completions
+  Chat, // /v1/chat/completions
 };
 
-// A caller's prompt, read and checked.
+// A caller's request, parsed and validated.
 struct CompletionRequest
 {
   CompletionStyle style = CompletionStyle::Text;
   ModelName model;
   WeightVersion version;
   AdapterName adapter;
-  // The prompt as the engine gets it; for chat the messages rendered in order.
+  // The prompt that is sent to the engine; for Chat, the messages rendered in order.
   std::string prompt;
   std::uint64_t maxTokens = 16;
   bool stream = false;
-  // Sampling fields, passed to the engine as they came; a JSON object as text.
+  // A JSON object with the sampling parameters, forwarded to the engine unchanged.
   std::string sampling = "{}";
 };
 
-// Reads the body of /v1/completions or /v1/chat/completions.
-// Fails with InvalidArgument naming the field that is wrong. A model is written "name" or
-// "name@version", with "+adapter" behind it where one is wanted.
+// Parses the body of /v1/completions or /v1/chat/completions. The model is "name" or
+// "name@version", optionally followed by "+adapter".
+// Fails with InvalidArgument, naming the invalid field.
 Result<CompletionRequest>
 ParseCompletionRequest(std::string_view aBody, CompletionStyle aStyle);
 
-// What stands in every answer to one request.
+// Fields that are equal in all bodies and events sent in response to one request.
 struct CompletionHeader
 {
   RequestId request;
@@ -50,32 +51,33 @@
   WallTime created;
 };
 
-// Returns one server-sent event with a piece of text.
+// Returns a server-sent event with the next part of the generated text.
 std::string
 FormatDeltaEvent(const CompletionHeader& aHeader, std::string_view aText);
 
-// Returns the events that end a whole answer: reason, usage and [DONE].
+// Returns the events that end a complete stream: finish reason with usage, then [DONE].
 std::string
 FormatFinalEvents(const CompletionHeader& aHeader,
                   std::string_view aFinishReason,
                   const AnswerUsage& aUsage);
 
-// Returns an event that ends an answer which broke off; [DONE] is left out on purpose.
+// Returns the event that ends an interrupted stream. [DONE] does not follow, so that clients do not
+// take the text for complete.
 std::string
 FormatErrorEvent(std::string_view aErrorBody);
 
-// Returns the body of an answer that is not streamed.
+// Returns the response body for a request without streaming.
 std::string
 FormatCompletion(const CompletionHeader& aHeader,
                  std::string_view aText,
                  std::string_view aFinishReason,
                  const AnswerUsage& aUsage);
 
-// Returns the body of an answer to POST /v1/keys.
+// Returns the response body of POST /v1/keys. aRetention is how long the key is remembered.
 std::string
 FormatIssuedKey(const IdempotencyKey& aKey, Duration aRetention);
 
-// Returns the body of /v1/models.
+// Returns the response body of /v1/models.
 std::string
 FormatModelList(const std::vector<ModelName>& aModels);
 
--- a/include/damasklink/protocol/ClaimStateMachine.h
+++ b/include/damasklink/protocol/ClaimStateMachine.h
@@ -1,4 +1,4 @@
-// The claim claims as a replicated machine: encoding of its commands, answers and snapshots.
+// The claim registry as a replicated state machine, and the encoding of its commands and replies.
 #pragma once
 
 #include <string>
@@ -12,23 +12,24 @@
 std::string
 EncodeClaimCommand(const ClaimCommand& aCommand);
 
-// Fails with Corrupt when the bytes do not verify.
+// Fails with Corrupt when the bytes are invalid.
 Result<ClaimCommand>
 DecodeClaimCommand(std::string_view aBytes);
 
 std::string
 EncodeClaimReply(const ClaimReply& aReply);
 
-// Fails with Corrupt when the bytes do not verify.
+// Fails with Corrupt when the bytes are invalid.
 Result<ClaimReply>
 DecodeClaimReply(std::string_view aBytes);
 
-// Puts a ClaimRegistry behind the replicated log.
+// Applies the commands of the replicated log to a ClaimRegistry. Not thread-safe.
 //
 //   ClaimStateMachine machine;
 //   replicator.AddMachine(ClaimsGroupId(zone), StateMachineId::Claims, machine);
 //
-// A command that does not decode is answered with the verdict Recorded and changes nothing.
+// A command that cannot be decoded changes nothing; its reply has the verdict Recorded. Load()
+// fails with Corrupt and then keeps the present state.
 class ClaimStateMachine final : public ReplicatedStateMachine
 {
 public:
--- a/include/damasklink/protocol/EngineApi.h
+++ b/include/damasklink/protocol/EngineApi.h
@@ -1,6 +1,7 @@
-// What this system and its targets say to each other over HTTP: prompts, answers, announcements.
+// Messages exchanged with targets over HTTP: prompts, answer frames and announcements.
 //
-// docs/API.md describes the fields; the stand-ins of standin/ speak the same.
+// docs/API.md describes the fields. The simulated targets in standin/ use the same functions.
+// All parsers fail with InvalidArgument, naming the invalid field.
 #pragma once
 
 #include <string>
@@ -12,21 +13,23 @@
 
 namespace damasklink {
 
-// A prompt as it goes to an engine.
+// A prompt to be sent to an engine.
 struct EnginePrompt
 {
   AttemptId attempt;
-  // Part of the names of the prompt's blocks (BlockNames.h).
+  // Enters into the names of the prompt's blocks (BlockNames.h).
   WorkspaceId workspace;
   ModelName model;
   WeightVersion version;
   AdapterName adapter;
   std::string prompt;
   std::uint64_t maxTokens = 16;
-  // First token wanted: 0 for a new run, the next missing one for a resumed or continued run.
+  // Index of the first token to send: 0 for a new run, otherwise the first token that a resumed or
+  // continued run has not delivered yet.
   std::uint64_t offset = 0;
-  // Text delivered already, where another engine continues the run.
+  // The text delivered so far, when another engine continues the run.
   std::string delivered;
+  // A JSON object with the sampling parameters; ParseEnginePrompt() does not read them.
   std::string sampling = "{}";
 };
 
@@ -35,25 +38,25 @@
 Result<EnginePrompt>
 ParseEnginePrompt(std::string_view aBody);
 
-// One frame of an answer, as the text behind "data: ".
+// A frame of the generated answer is the data of one server-sent event.
 std::string
 FormatAnswerFrame(const AnswerFrame& aFrame);
 Result<AnswerFrame>
 ParseAnswerFrame(std::string_view aText);
 
-// Announcements of targets. Parsing fails with InvalidArgument naming the field.
+// A target announces itself with its record.
 std::string
 FormatTargetRecord(const TargetRecord& aRecord);
 Result<TargetRecord>
 ParseTargetRecord(std::string_view aBody);
 
-// Cuts a stream of server-sent events into the texts behind "data: ".
+// Extracts the "data" fields from a stream of server-sent events. Other fields are skipped.
 //
 //   SseReader reader(64 * 1024);
 //   reader.Feed(bytes);
 //   while (auto data = reader.Next()) ...
 //
-// Holds at most one unfinished line; Feed() fails with Corrupt when a line exceeds the limit.
+// Feed() fails with Corrupt when an incomplete line exceeds the limit. Not thread-safe.
 class SseReader
 {
 public:
@@ -64,7 +67,7 @@
 
   Result<void> Feed(std::string_view aBytes);
 
-  // Returns the next complete text, or nothing until more was fed.
+  // Returns the data of the next complete line, or nothing if more bytes are needed.
   std::optional<std::string> Next();
 
 private:
--- a/include/damasklink/protocol/Envelope.h
+++ b/include/damasklink/protocol/Envelope.h
@@ -1,4 +1,4 @@
-// Encoding of the frame that carries every message between two hosts.
+// Encodes the envelope around each message between two hosts.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace damasklink {
 
-// The frame, decoded.
+// A message with its sender, channel and group.
 struct Envelope
 {
   HostId from;
@@ -23,7 +23,8 @@
 std::string
 EncodeEnvelope(const Envelope& aEnvelope);
 
-// Fails with Corrupt when the bytes do not verify, and with InvalidArgument for another version.
+// Fails with Corrupt when the bytes are invalid, and with InvalidArgument when the sender uses
+// another protocol version.
 Result<Envelope>
 DecodeEnvelope(std::string_view aBytes);
 
--- a/include/damasklink/protocol/ErrorBody.h
+++ b/include/damasklink/protocol/ErrorBody.h
@@ -1,4 +1,4 @@
-// Error bodies in the shape that OpenAI clients read, with the outcome added.
+// Error bodies in the format of the OpenAI API, extended by the outcome of the run.
 #pragma once
 
 #include <optional>
@@ -10,12 +10,12 @@
 
 namespace damasklink {
 
-// A refusal or failure as a caller sees it.
+// An error reported to a caller.
 struct CallerError
 {
   Error error;
   RunOutcome outcome = RunOutcome::NotRun;
-  // When the same call may succeed; sent as Retry-After.
+  // After which time the caller may retry; sent as Retry-After.
   std::optional<Duration> retryAfter;
 };
 
@@ -23,7 +23,7 @@
 int
 HttpStatusOf(ErrorKind aKind);
 
-// Returns {"error": {"message", "type", "code", "outcome", ...}} as text.
+// Returns the JSON text {"error": {"message", "type", "code", "outcome", ...}}.
 std::string
 FormatErrorBody(const CallerError& aError);
 
--- a/include/damasklink/protocol/MetricsText.h
+++ b/include/damasklink/protocol/MetricsText.h
@@ -1,4 +1,4 @@
-// Metrics as the text that Prometheus reads.
+// Formats metrics in the text format of Prometheus.
 #pragma once
 
 #include <string>
@@ -8,14 +8,15 @@
 
 namespace damasklink {
 
-// Returns the metric's name as it stands on /metrics; units are in the name.
+// Returns the name of a counter on /metrics. Names include the unit.
 std::string_view
 CounterName(Counter aCounter);
-std::string_view
+
+// Returns the name of a sample on /metrics. Samples are in seconds.std::string_view
 SampleName(Sample aSample);
 
-// Returns all series in the text format 0.0.4: counters, and samples as summaries in seconds.
-// Label values are escaped; a label whose value is empty is left out.
+// Returns all series in text format 0.0.4: counters, and samples as summaries in seconds. Label
+// values are escaped; labels with an empty value are omitted.
 std::string
 FormatMetrics(const MetricsSnapshot& aSnapshot, const HostId& aHost);
 
--- a/include/damasklink/protocol/OperatorApi.h
+++ b/include/damasklink/protocol/OperatorApi.h
@@ -1,6 +1,8 @@
-// What operators and a host say to each other over HTTP about the configuration, as JSON.
+// JSON bodies of the operators' API for the configuration and the status of a host.
 //
-// docs/API.md lists paths and fields. The commands of the program and the host use the same types.
+// docs/API.md describes paths and fields. The command line client and the host share these types.
+// All parsers fail with InvalidArgument, naming the invalid field. All except ParseChangeRequest()
+// read a body that is not a JSON object as an empty one.
 #pragma once
 
 #include <string>
@@ -11,14 +13,14 @@
 
 namespace damasklink {
 
-// A change as an operator sends it.
+// A configuration change that an operator requests.
 struct ChangeRequest
 {
   ChangeId id;
   SubtreeName subtree;
   Revision base;
   std::string author;
-  // YAML of a tree with this one subtree; not read when deleted is set.
+  // YAML of a tree that contains only this subtree; empty when `deleted` is set.
   std::string content;
   bool deleted = false;
 
@@ -27,16 +29,16 @@
 
 std::string
 FormatChangeRequest(const ChangeRequest& aRequest);
-// Fails with InvalidArgument naming the field.
 Result<ChangeRequest>
 ParseChangeRequest(std::string_view aBody);
 
-// The answer to an accepted change.
+// The response to an accepted change, with the revision that contains it.
 std::string
 FormatAccepted(Revision aRevision);
 Result<Revision>
 ParseAccepted(std::string_view aBody);
 
+// A subtree and the revision of its last change.
 struct SubtreeVersion
 {
   SubtreeName name;
@@ -45,6 +47,7 @@
   bool operator==(const SubtreeVersion&) const = default;
 };
 
+// All subtrees of a revision of the tree.
 struct SubtreeList
 {
   Revision revision;
@@ -58,11 +61,12 @@
 Result<SubtreeList>
 ParseSubtreeList(std::string_view aBody);
 
+// The content of one subtree.
 struct SubtreeView
 {
   SubtreeName name;
   Revision version;
-  // Canonical text; empty when the subtree does not exist.
+  // Canonical YAML; empty if the subtree does not exist.
   std::string content;
 
   bool operator==(const SubtreeView&) const = default;
@@ -78,7 +82,7 @@
 Result<std::vector<HistoryEntry>>
 ParseHistory(std::string_view aBody);
 
-// Which workspace holds a key in the tree in force.
+// The workspace that a key belongs to in the tree that is in force.
 struct KeyHolder
 {
   Digest key;
@@ -87,7 +91,7 @@
   bool operator==(const KeyHolder&) const = default;
 };
 
-// The question for the holders of keys; keys that nobody holds are left out of the answer.
+// The request for the holders of keys. The response omits keys that belong to no workspace.
 std::string
 FormatKeys(const std::vector<Digest>& aKeys);
 Result<std::vector<Digest>>
@@ -98,7 +102,7 @@
 Result<std::vector<KeyHolder>>
 ParseKeyHolders(std::string_view aBody);
 
-// Where a revision is in force, as far as the asked host could learn.
+// The hosts on which a revision is in force, as far as the responding host knows.
 struct InForceReport
 {
   Revision revision;
@@ -113,6 +117,7 @@
 Result<InForceReport>
 ParseInForceReport(std::string_view aBody);
 
+// Another host as the responding host sees it.
 struct PeerStatus
 {
   HostId host;
@@ -122,20 +127,20 @@
   bool operator==(const PeerStatus&) const = default;
 };
 
-// One target as the asked host sees it.
+// A target as the responding host sees it.
 struct TargetStatus
 {
   std::string id;
   std::string kind;
   std::string zone;
   bool usable = false;
-  // "model@version" of each model served, joined by commas; for people.
+  // "model@version" of each served model, separated by commas; for display only.
   std::string models;
 
   bool operator==(const TargetStatus&) const = default;
 };
 
-// How far a deployment is.
+// The progress of the rollout of a deployment.
 struct RolloutStatus
 {
   std::string deployment;
@@ -145,11 +150,13 @@
   bool operator==(const RolloutStatus&) const = default;
 };
 
+// The status of the responding host.
 struct HostStatus
 {
   HostId host;
   ZoneId zone;
   Revision revision;
+  // How long ago the revision was confirmed to be the newest one.
   Duration confirmedAge{ 0 };
   bool stale = false;
   HostId leader;
@@ -167,11 +174,12 @@
 Result<HostStatus>
 ParseHostStatus(std::string_view aBody);
 
-// Returns the error that a body of FormatErrorBody() tells of, or a general one with the status.
+// Returns the error in a body of FormatErrorBody(). If there is none, or its code is unknown, the
+// error has the kind Internal.
 Error
 ParseErrorBody(int aStatus, std::string_view aBody);
 
-// Returns the wall time as "2026-12-02T19:38:53Z".
+// Returns the time in UTC as "2026-12-02T19:38:53Z".
 std::string
 FormatWallTime(WallTime aTime);
 
--- a/include/damasklink/protocol/OrderApi.h
+++ b/include/damasklink/protocol/OrderApi.h
@@ -1,15 +1,15 @@
-// Orders to targets over HTTP: POST /v1/orders. docs/API.md describes the fields.
+// The body of POST /v1/orders, which sends an order to a target. docs/API.md describes the fields.
 #pragma once
 
 #include "damasklink/coordination/TargetOrders.h"
 
 namespace damasklink {
 
-// The target and its endpoint are the address of the call and not part of the body.
+// Formats the order without the target and its endpoint, which the request is sent to.
 std::string
 FormatTargetOrder(const TargetOrder& aOrder);
 
-// Fails with InvalidArgument naming the field.
+// Leaves the target and its endpoint empty. Fails with InvalidArgument, naming the invalid field.
 Result<TargetOrder>
 ParseTargetOrder(std::string_view aBody);
 
--- a/include/damasklink/protocol/ServingCodec.h
+++ b/include/damasklink/protocol/ServingCodec.h
@@ -1,4 +1,4 @@
-// Encoding of the channel Serving.
+// Encodes the messages that are sent over Channel::Serving.
 #pragma once
 
 #include <string>
@@ -12,13 +12,13 @@
 std::string
 EncodeServingMessage(const ServingMessage& aMessage);
 
-// As above, and a large one in a third of the bytes or less where it repeats itself, as pictures of
-// many targets do: for what goes to many hosts, since packing takes longer than encoding.
+// Encodes a message and compresses it if it is large. An update with many targets shrinks to a
+// third or less. Use it for messages that go to many hosts: compressing takes longer than encoding.
 std::string
 EncodeCompressed(const ServingMessage& aMessage);
 
-// Reads what either of them wrote. Fails with Corrupt when the bytes do not verify or hold an
-// unknown kind or standing.
+// Decodes a message, compressed or not. Fails with Corrupt when the bytes are invalid or contain an
+// unknown message kind, host role or target availability.
 Result<ServingMessage>
 DecodeServingMessage(std::string_view aBytes);
 
--- a/include/damasklink/protocol/ServingDialect.h
+++ b/include/damasklink/protocol/ServingDialect.h
@@ -1,8 +1,8 @@
-// How a platform speaks: what its messages say, in the terms of this program.
+// Interfaces between this program and the HTTP messages of a platform.
 //
-// The program decides on the types below; an adapter reads them from and writes them to the names,
-// headers and bodies of one platform. Nothing else knows those names. To run on another platform,
-// implement these interfaces.
+// The program works with the types below. The implementation for a platform reads and writes them
+// as the headers, paths and bodies of that platform, which no other code knows. To support another
+// platform, implement these interfaces.
 #pragma once
 
 #include <optional>
@@ -23,10 +23,11 @@
 namespace damasklink {
 
 using PartId = StringId<struct PartIdTag>;
-// What keeps cached parts apart: targets find parts only under the scope they were made under.
+// The scope of cached parts: a target reuses a part only for calls with the scope in which the part
+// was made.
 using CacheScope = StringId<struct CacheScopeTag>;
 
-// A part of a prompt that calls may share.
+// A part of a prompt, which several calls may have in common.
 struct PromptPart
 {
   PartId id;
@@ -35,31 +36,31 @@
   bool operator==(const PromptPart&) const = default;
 };
 
-// What a caller asks for.
+// A request of a caller.
 struct CallerRequest
 {
   RequestId request;
   std::string host;
   std::string key;
-  // How long the caller waits; nothing when it does not say.
+  // How long the caller waits for the answer; empty if it states no limit.
   std::optional<Duration> patience;
-  // The last event that the caller has, where it resumes a stream.
+  // The last event that the caller received, if it resumes a stream.
   std::optional<std::uint64_t> lastEvent;
   ModelName model;
   TokenCount promptTokens;
   TokenCount maxAnswerTokens;
-  // In the order of the prompt; the last one belongs to this call or its session alone.
+  // In the order of the prompt. The last part is used by this call or its session only.
   std::vector<PromptPart> parts;
 };
 
-// A move of one part of a prompt between a target and a store or another target.
+// Transfer of one part of a prompt between a target and a store or another target.
 struct PartTransfer
 {
-  // Nothing: this part is not moved.
+  // The store or target; empty if this part is not transferred.
   std::optional<Endpoint> peer;
 };
 
-// What is said to a target beside what the caller said.
+// What the program adds to a caller's request when it sends it to a target.
 struct TargetCall
 {
   TargetId target;
@@ -70,99 +71,102 @@
   int priority = 0;
   std::optional<std::uint64_t> lastEvent;
   CacheScope scope;
-  // The version of weights that the target is believed to have.
+  // The weight version that the target is expected to serve.
   std::optional<std::uint64_t> weights;
-  // One entry a part, or none at all.
+  // Either empty or with one entry for each part.
   std::vector<PartTransfer> fetches;
   std::vector<PartTransfer> saves;
 };
 
-// What the head of a target's answer says.
+// The content of the head of a target's response.
 struct TargetResponseInfo
 {
-  // The target promises that it did not run the call and never will.
+  // The target guarantees that it did not run the call and never will.
   bool notRun = false;
-  // Another target has the address.
+  // The address belongs to another target.
   bool wrongTarget = false;
-  // Who answered, where it says so.
+  // The target that responded; empty if the response does not name it.
   TargetId target;
-  // Empty when the answer names no request.
+  // Empty if the response names no request.
   RequestId request;
-  // Requests that the target takes from all hosts together, where it names a limit.
+  // The rate of requests that the target accepts from all hosts in total, if it states one.
   std::optional<RequestRate> limit;
-  // How much longer the target is cold; zero where it does not say.
+  // How much longer the target stays cold; zero if it does not state it.
   Duration coldFor{ 0 };
-  // What the target said and could not be read; counts as not said.
+  // Set if a field could not be read. That field then counts as not stated.
   std::optional<Error> unreadable;
 };
 
-// Calls of callers, and what becomes of them at targets.
+// Reads callers' requests and the responses of targets, and writes what is sent to either of them.
 class CallDialect
 {
 public:
   virtual ~CallDialect() = default;
 
-  // Fails with InvalidArgument, naming the field.
+  // Fails with InvalidArgument, naming the invalid field.
   virtual Result<CallerRequest> ReadCall(const HttpRequestHead& aHead) const = 0;
 
-  // Returns what the target is sent: what the caller said, without what is not the caller's to say.
+  // Returns the head of the request to the target: the caller's fields, except those that callers
+  // must not set, and those of aCall.
   virtual HttpRequestHead MakeTargetRequestHead(const HttpRequestHead& aFromCaller,
                                                 const TargetCall& aCall) const = 0;
 
   virtual TargetResponseInfo ReadResponse(const HttpResponseHead& aHead) const = 0;
 
-  // Returns the answer of this program for a call that it refuses or that failed.
+  // Returns the response for a call that the program refuses or that failed.
   virtual HttpResponseMessage FailureResponse(const CallerError& aError,
                                               const RequestId& aRequest) const = 0;
 
   virtual bool IsReadinessProbe(const HttpRequestHead& aHead) const = 0;
 };
 
-// A target says that it lives, and what it is.
+// A target's heartbeat, with its current record.
 struct TargetHeartbeat
 {
   TargetRecord record;
 };
 
-// A target signs off.
+// A target announces that it leaves.
 struct TargetDeparture
 {
   TargetId target;
-  // Which start of it signs off; zero where it does not say.
+  // The incarnation that leaves; zero if the message does not name it.
   Incarnation incarnation;
 };
 
+// Replaces the configuration document.
 struct ConfigChange
 {
   std::string document;
 };
 
+// Requests the configuration document.
 struct ConfigQuery
 {};
 
-// New weights of a model are to be rolled out.
+// Starts the rollout of a weight version of a model.
 struct WeightVersionChange
 {
   ModelName model;
   std::uint64_t version = 0;
 };
 
-// Targets of the availability zone are to get no work any more, or again.
+// Stops or resumes sending work to the targets of an availability zone.
 struct EvacuationChange
 {
   ZoneId zone;
   bool evacuated = false;
 };
 
-// Asks which availability zones are evacuated.
+// Requests the list of evacuated availability zones.
 struct EvacuationQuery
 {};
 
-// Asks which requests are refused because they crash targets.
+// Requests the list of requests that are refused because they crash targets.
 struct RefusedRequestsQuery
 {};
 
-// A refused request may be sent to targets again.
+// Allows a refused request to be sent to targets again.
 struct RequestRelease
 {
   RequestFingerprint request;
@@ -178,28 +182,30 @@
                                  EvacuationChange,
                                  EvacuationQuery>;
 
-// Calls of targets and operators at control hosts.
+// Reads requests of targets and operators to control hosts, and writes the responses.
 class ControlDialect
 {
 public:
   virtual ~ControlDialect() = default;
 
-  // Fails with NotFound for a call that is not known and with InvalidArgument for one that cannot
-  // be read.
+  // Fails with NotFound for an unknown path or method, and with InvalidArgument if the request
+  // cannot be parsed.
   virtual Result<ControlCall> ReadControlCall(const HttpRequestMessage& aRequest) const = 0;
 
-  // Fails with InvalidArgument, naming the field. Does not check what CheckServingConfig() does.
+  // Parses a configuration document, without the checks of CheckServingConfig(). Fails with
+  // InvalidArgument, naming the invalid field.
   virtual Result<ServingConfig> ReadConfig(std::string_view aDocument) const = 0;
 
-  // An accepted call, and a question answered with a document.
+  // Returns the response to an accepted call.
   virtual HttpResponseMessage Acknowledgement() const = 0;
+  // Returns the response to a ConfigQuery.
   virtual HttpResponseMessage DocumentResponse(std::string_view aDocument) const = 0;
   virtual HttpResponseMessage RefusedRequestsResponse(const RefusedRequests& aRefused) const = 0;
   virtual HttpResponseMessage EvacuationResponse(const EvacuationRegistry& aEvacuations) const = 0;
   virtual HttpResponseMessage ControlErrorResponse(const Error& aError) const = 0;
 };
 
-// An order to an engine, and who gives it.
+// An order to an engine to load weights, with the control host that sends it.
 struct WeightsOrder
 {
   OrderWeights order;
@@ -207,7 +213,7 @@
   FencingNumber fencing;
 };
 
-// Questions and orders of control hosts to engines.
+// Writes the requests of control hosts to engines, and reads the responses.
 class EngineDialect
 {
 public:
@@ -215,28 +221,29 @@
 
   virtual HttpRequestMessage ReportRequest(const ReadEngine& aEngine) const = 0;
   virtual Result<EngineReport> ReadReport(std::string_view aBody) const = 0;
-  // The engine's runs go on under the new weights; what has not started is refused until the order
-  // is complete.
+  // Runs in progress continue with the new weights. Until the order is complete, the engine refuses
+  // requests that have not started.
   virtual HttpRequestMessage OrderRequest(const WeightsOrder& aOrder) const = 0;
 };
 
-// Questions of control hosts to the stores of prompt parts.
+// Writes the requests of control hosts to the stores of prompt parts, and reads the responses.
 class StoreDialect
 {
 public:
   virtual ~StoreDialect() = default;
 
-  // Asks what has changed since; the store answers at once when something has, or after the wait.
+  // Requests the changes after aSince. The store responds as soon as there are any, or after aWait
+  // (long polling).
   virtual HttpRequestHead EventsRequest(const Endpoint& aStore,
                                         Sequence aSince,
                                         Duration aWait) const = 0;
   virtual Result<StoreEvents> ReadEvents(std::string_view aBody) const = 0;
 
-  // Asks for all that is held.
+  // Requests the full content of the store.
   virtual HttpRequestHead ListRequest(const Endpoint& aStore) const = 0;
   virtual Result<StoreList> ReadList(std::string_view aBody) const = 0;
 
-  // Orders the store, should it be in that epoch still, to drop the parts at once.
+  // Orders the store to free the parts at once, if it is still in this epoch.
   virtual HttpRequestMessage FreeRequest(const Endpoint& aStore,
                                          StoreEpoch aEpoch,
                                          const std::vector<PartName>& aParts) const = 0;
--- a/include/damasklink/protocol/StoreApi.h
+++ b/include/damasklink/protocol/StoreApi.h
@@ -1,7 +1,8 @@
-// What this system, engines and stores say to each other about kept blocks, over HTTP.
+// Messages exchanged with engines and stores over HTTP about stored blocks.
 //
-// docs/API.md describes the calls. Engines move blocks to and from a store themselves, on the
-// orders below; the system never carries a block's content.
+// docs/API.md describes the calls. Engines transfer blocks to and from a store themselves when
+// ordered to; block content never passes through a host. All parsers fail with InvalidArgument,
+// naming the invalid field.
 #pragma once
 
 #include <map>
@@ -15,21 +16,21 @@
 
 namespace damasklink {
 
-// Paths of the calls.
-inline constexpr const char* kImportPath = "/v1/cache/import";    // To an engine.
-inline constexpr const char* kExportPath = "/v1/cache/export";    // To an engine.
-inline constexpr const char* kSnapshotPath = "/v1/cache";         // To an engine.
-inline constexpr const char* kCacheEventPath = "/v1/cache/event"; // From an engine to a host.
-inline constexpr const char* kBlocksPath = "/v1/blocks";          // To a store; + "/NAME" for one.
-inline constexpr const char* kFreePath = "/v1/blocks/free";       // To a store.
-inline constexpr const char* kDemotePath = "/v1/blocks/demote";   // To a store.
+// Request paths, and who serves them.
+inline constexpr const char* kImportPath = "/v1/cache/import";    // Engine.
+inline constexpr const char* kExportPath = "/v1/cache/export";    // Engine.
+inline constexpr const char* kSnapshotPath = "/v1/cache";         // Engine.
+inline constexpr const char* kCacheEventPath = "/v1/cache/event"; // Host; called by engines.
+inline constexpr const char* kBlocksPath = "/v1/blocks";        // Store; one block: "/NAME" added.
+inline constexpr const char* kFreePath = "/v1/blocks/free";     // Store.
+inline constexpr const char* kDemotePath = "/v1/blocks/demote"; // Store.
 
-// Names of the headers that a block travels with.
+// HTTP header fields of requests that transfer a block.
 inline constexpr const char* kBlockHeaderField = "x-damasklink-block";
 inline constexpr const char* kFencingField = "x-damasklink-fencing";
 
-// Order to an engine: read these blocks from a store, check each, and take them into the cache.
-// Whatever is not there within `valid` is given up: the pins end then.
+// Orders an engine to read blocks from a store, verify each, and add them to its cache. The engine
+// drops what has not arrived within `valid`, because the pins of the blocks expire then.
 struct ImportOrder
 {
   Endpoint store;
@@ -37,17 +38,17 @@
   std::vector<BlockHeader> blocks;
 };
 
-// How an import ended.
+// Result of an import.
 struct ImportReport
 {
   std::uint64_t imported = 0;
-  // Blocks whose header or content was not as ordered.
+  // Blocks whose header or content differed from the order.
   std::vector<Digest> wrong;
 
   bool operator==(const ImportReport&) const = default;
 };
 
-// Order to an engine: write these blocks of its cache to a store.
+// Orders an engine to write blocks of its cache to a store.
 struct ExportOrder
 {
   Endpoint store;
@@ -56,7 +57,8 @@
   std::vector<ReservedBlock> blocks;
 };
 
-// Order to a store, from its owner.
+// Orders a store to free blocks or to move them from memory to disk, depending on the path. Only
+// the owner of the store sends it.
 struct StoreOrder
 {
   FencingNumber fencing;
@@ -78,7 +80,7 @@
 Result<ExportOrder>
 ParseExportOrder(std::string_view aBody);
 
-// The blocks that an engine wrote.
+// The response to an ExportOrder: the blocks that the engine wrote.
 std::string
 FormatExported(const std::vector<ExportedBlock>& aBlocks);
 Result<std::vector<ExportedBlock>>
@@ -89,13 +91,13 @@
 Result<StoreOrder>
 ParseStoreOrder(std::string_view aBody);
 
-// One block's header, as it travels beside the content.
+// The header of one block, sent in the HTTP header field kBlockHeaderField with the content.
 std::string
 FormatBlockHeader(const BlockHeader& aHeader);
 Result<BlockHeader>
 ParseBlockHeader(std::string_view aText);
 
-// The whole blocks that a store holds.
+// The complete blocks that a store contains.
 std::string
 FormatInventory(const std::vector<BlockHeader>& aBlocks);
 Result<std::vector<BlockHeader>>
--- a/include/damasklink/protocol/StoresCodec.h
+++ b/include/damasklink/protocol/StoresCodec.h
@@ -1,4 +1,4 @@
-// Encoding of the messages over Channel::Stores (schema/Stores.fbs).
+// Encodes the messages that are sent over Channel::Stores (schema/Stores.fbs).
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 std::string
 EncodeStoresMessage(const StoresMessage& aMessage);
 
-// Fails with Corrupt when the bytes do not verify.
+// Fails with Corrupt when the bytes are invalid.
 Result<StoresMessage>
 DecodeStoresMessage(std::string_view aBytes);
 
--- a/include/damasklink/protocol/TargetsCodec.h
+++ b/include/damasklink/protocol/TargetsCodec.h
@@ -1,4 +1,4 @@
-// Encoding of what hosts say to each other about targets.
+// Encodes the messages that pass announcements of targets between hosts.
 #pragma once
 
 #include "damasklink/coordination/TargetBroadcaster.h"
@@ -8,7 +8,7 @@
 std::string
 EncodeTargetsMessage(const TargetsMessage& aMessage);
 
-// Fails with Corrupt, or InvalidArgument for a record that cannot be read.
+// Fails with Corrupt, or with InvalidArgument when a target record in the message is invalid.
 Result<TargetsMessage>
 DecodeTargetsMessage(std::string_view aBytes);
 
--- a/include/damasklink/protocol/UseReport.h
+++ b/include/damasklink/protocol/UseReport.h
@@ -1,4 +1,4 @@
-// Encoding of what workspaces got on one host, for the other hosts of its zone.
+// Encodes the usage of workspaces on one host, which it reports to the other hosts of its zone.
 #pragma once
 
 #include <map>
@@ -10,14 +10,14 @@
 
 namespace damasklink {
 
-// Cost by workspace, in the unit of AdmissionRequest::cost.
+// The cost of each workspace's requests, in the unit of AdmissionRequest::cost.
 using UseByWorkspace = std::map<WorkspaceId, double>;
 
-// Encodes at most aMost workspaces, those with the highest cost.
+// Encodes the aMaxCount workspaces with the highest cost.
 std::string
-EncodeUseReport(const UseByWorkspace& aUse, std::size_t aMost);
+EncodeUseReport(const UseByWorkspace& aUse, std::size_t aMaxCount);
 
-// Fails with Corrupt when the bytes do not verify or a cost is no number of at least zero.
+// Fails with Corrupt when the bytes are invalid or a cost is negative or not finite.
 Result<UseByWorkspace>
 DecodeUseReport(std::string_view aBytes);
 
--- a/src/protocol/UseReport.cpp
+++ b/src/protocol/UseReport.cpp
@@ -21,14 +21,14 @@
 } // namespace
 
 std::string
-EncodeUseReport(const UseByWorkspace& aUse, std::size_t aMost)
+EncodeUseReport(const UseByWorkspace& aUse, std::size_t aMaxCount)
 {
   std::vector<std::pair<double, WorkspaceId>> uses;
   for (const auto& [workspace, cost] : aUse) {
     uses.emplace_back(cost, workspace);
   }
   std::sort(uses.rbegin(), uses.rend());
-  uses.resize(std::min(uses.size(), aMost));
+  uses.resize(std::min(uses.size(), aMaxCount));
   flatbuffers::FlatBufferBuilder builder;
   std::vector<flatbuffers::Offset<wire::WorkspaceUse>> packed;
   for (const auto& [cost, workspace] : uses) {
