--- a/include/damasklink/protocol/MetricsText.h
+++ b/include/damasklink/protocol/MetricsText.h
@@ -12,7 +12,8 @@
 std::string_view
 CounterName(Counter aCounter);
 
-// Returns the name of a sample on /metrics. Samples are in seconds.std::string_view
+// Returns the name of a sample on /metrics. Samples are in seconds.
+std::string_view
 SampleName(Sample aSample);
 
 // Returns all series in text format 0.0.4: counters, and samples as summaries in seconds. Label
--- a/include/damasklink/protocol/OperatorApi.h
+++ b/include/damasklink/protocol/OperatorApi.h
@@ -156,7 +156,7 @@
   HostId host;
   ZoneId zone;
   Revision revision;
-  // How long ago the revision was confirmed to be the newest one.
+  // The time since the leader last confirmed the revision as the newest one.
   Duration confirmedAge{ 0 };
   bool stale = false;
   HostId leader;
--- a/src/protocol/AgreementCodec.cpp
+++ b/src/protocol/AgreementCodec.cpp
@@ -14,8 +14,8 @@
 CorruptMessage()
 {
   return Fail(ErrorKind::Corrupt,
-              "a message of a replicated group cannot be read",
-              "check that only hosts of the system reach the peers' address");
+              "a message of a replicated group is malformed",
+              "check that only hosts of this system can reach the peer address");
 }
 
 Offset<Bytes>
@@ -42,7 +42,7 @@
   return ProposalId{ aId.proposer(), Sequence(aId.sequence()), Sequence(aId.floor()) };
 }
 
-// ---- Packing, one function for each body ----
+// ---- Packing, one overload for each type of body ----
 
 auto
 Pack(FlatBufferBuilder& aBuilder, const PreVoteRequest& aBody)
@@ -160,7 +160,7 @@
   return wire::CreateProposalRefusal(aBuilder, &id, aBody.attempt.Value(), leader);
 }
 
-// ---- Unpacking, one function for each body ----
+// ---- Unpacking, one overload for each type of body that has fields ----
 
 AgreementBody
 Unpack(const wire::PreVoteRequest& aBody)
@@ -319,7 +319,7 @@
   FlatBufferBuilder builder;
   const Offset<void> body =
     std::visit([&](const auto& aBody) { return Pack(builder, aBody).Union(); }, aMessage.body);
-  // The union has its members in the order of the variant, after NONE.
+  // The members of the union follow NONE in the order of the variant.
   const auto type = static_cast<wire::AgreementBody>(aMessage.body.index() + 1);
   const auto packed = wire::CreateAgreementMessage(builder,
                                                    aMessage.formation.Value(),
--- a/src/protocol/BurnApi.cpp
+++ b/src/protocol/BurnApi.cpp
@@ -41,15 +41,18 @@
 ReadCount(const Json& aWindow)
 {
   if (!aWindow.is_object()) {
-    return Fail(ErrorKind::Corrupt, "a window is not an object", "compare the hosts' versions");
+    return Fail(ErrorKind::Corrupt,
+                "field 'windows' has an entry that is not an object",
+                "run the same or adjacent versions on all hosts");
   }
   FieldReader fields(aWindow);
   const ServiceLevelCount count{ fields.Count("good"), fields.Count("total") };
   if (count.good > count.total) {
-    fields.AddProblem("good", "is more than the total");
+    fields.AddProblem("good", "exceeds the total");
   }
   if (!fields.Problem().empty()) {
-    return Fail(ErrorKind::Corrupt, fields.Problem(), "compare the hosts' versions");
+    return Fail(
+      ErrorKind::Corrupt, fields.Problem(), "run the same or adjacent versions on all hosts");
   }
   return count;
 }
@@ -58,7 +61,9 @@
 ReadWorkspace(const Json& aRow)
 {
   if (!aRow.is_object()) {
-    return Fail(ErrorKind::Corrupt, "a row is not an object", "compare the hosts' versions");
+    return Fail(ErrorKind::Corrupt,
+                "field 'workspaces' has an entry that is not an object",
+                "run the same or adjacent versions on all hosts");
   }
   FieldReader fields(aRow);
   WorkspaceBurn burn;
@@ -73,10 +78,11 @@
   }
   const Json& windows = fields.Items("windows");
   if (windows.size() != burn.windows.size()) {
-    fields.AddProblem("windows", "has another number of entries");
+    fields.AddProblem("windows", "has the wrong number of entries");
   }
   if (!fields.Problem().empty()) {
-    return Fail(ErrorKind::Corrupt, fields.Problem(), "compare the hosts' versions");
+    return Fail(
+      ErrorKind::Corrupt, fields.Problem(), "run the same or adjacent versions on all hosts");
   }
   burn.objective.firstToken = firstToken.value();
   for (std::size_t index = 0; index < burn.windows.size(); ++index) {
@@ -103,7 +109,9 @@
 {
   const Json body = Json::parse(aBody, nullptr, false);
   if (!body.is_object()) {
-    return Fail(ErrorKind::Corrupt, "the burn is not a JSON object", "compare the hosts' versions");
+    return Fail(ErrorKind::Corrupt,
+                "the burn report is not a JSON object",
+                "run the same or adjacent versions on all hosts");
   }
   FieldReader fields(body);
   HostBurn burn;
@@ -116,7 +124,8 @@
     burn.workspaces.push_back(std::move(read.value()));
   }
   if (!fields.Problem().empty()) {
-    return Fail(ErrorKind::Corrupt, fields.Problem(), "compare the hosts' versions");
+    return Fail(
+      ErrorKind::Corrupt, fields.Problem(), "run the same or adjacent versions on all hosts");
   }
   return burn;
 }
--- a/src/protocol/CallerApi.cpp
+++ b/src/protocol/CallerApi.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t kMaxAnswerTokens = 1'000'000;
 
-// Fields that are the engine's business and pass through unread.
+// Sampling parameters, which are forwarded to the engine without validation.
 constexpr std::array<const char*, 7> kSamplingFields{
   "temperature", "top_p", "stop", "seed", "presence_penalty", "frequency_penalty", "logit_bias"
 };
@@ -25,7 +25,7 @@
     ErrorKind::InvalidArgument, Concat("field '", aField, "' ", aProblem), std::string(aRemedy));
 }
 
-// Splits "name@version+adapter".
+// Parses "name@version+adapter"; version and adapter are optional.
 void
 ReadModel(const std::string& aText, CompletionRequest& aTo)
 {
@@ -50,13 +50,13 @@
     return aContent.get<std::string>();
   }
   if (!aContent.is_array()) {
-    return BadField("messages[].content", "is neither text nor parts", "send a string");
+    return BadField("messages[].content", "is neither a string nor an array", "send a string");
   }
   std::string text;
   for (const Json& part : aContent) {
     const bool isText = part.is_object() && part.contains("text") && part["text"].is_string();
     if (!isText) {
-      return BadField("messages[].content", "has a part that is not text", "send text parts only");
+      return BadField("messages[].content", "has a part without a text", "send text parts only");
     }
     text += part["text"].get<std::string>();
   }
@@ -68,7 +68,7 @@
 {
   const bool present = aBody.contains("messages") && aBody["messages"].is_array();
   if (!present || aBody["messages"].empty()) {
-    return BadField("messages", "is missing or empty", "send a list of {role, content}");
+    return BadField("messages", "is missing or empty", "send an array of {role, content}");
   }
   std::string prompt;
   for (const Json& message : aBody["messages"]) {
@@ -90,7 +90,7 @@
 ReadPrompt(const Json& aBody)
 {
   if (!aBody.contains("prompt") || !aBody["prompt"].is_string()) {
-    return BadField("prompt", "is missing or not a text", "send one string");
+    return BadField("prompt", "is missing or not a string", "send one string");
   }
   return aBody["prompt"].get<std::string>();
 }
@@ -103,9 +103,10 @@
       continue;
     }
     const Json& value = aBody[field];
-    const bool whole = value.is_number_unsigned();
-    if (!whole || value.get<std::uint64_t>() < 1 || value.get<std::uint64_t>() > kMaxAnswerTokens) {
-      return BadField(field, "is not a whole number in range", "send 1 to 1000000");
+    const bool isInteger = value.is_number_unsigned();
+    if (!isInteger || value.get<std::uint64_t>() < 1 ||
+        value.get<std::uint64_t>() > kMaxAnswerTokens) {
+      return BadField(field, "is not an integer in range", "send 1 to 1000000");
     }
     aTo = value.get<std::uint64_t>();
     return Success();
@@ -168,7 +169,7 @@
   CompletionRequest request;
   request.style = aStyle;
   if (!body.contains("model") || !body["model"].is_string()) {
-    return BadField("model", "is missing or not a text", "name a model that /v1/models lists");
+    return BadField("model", "is missing or not a string", "use a model that /v1/models lists");
   }
   ReadModel(body["model"].get<std::string>(), request);
   auto prompt = aStyle == CompletionStyle::Chat ? ReadMessages(body) : ReadPrompt(body);
@@ -182,12 +183,12 @@
   }
   if (body.contains("stream") && !body["stream"].is_null()) {
     if (!body["stream"].is_boolean()) {
-      return BadField("stream", "is neither true nor false", "send true or false");
+      return BadField("stream", "is not a boolean", "send true or false");
     }
     request.stream = body["stream"].get<bool>();
   }
   if (body.contains("n") && body["n"] != 1) {
-    return BadField("n", "is not 1", "send one request for each answer wanted");
+    return BadField("n", "is not 1", "send one request per completion");
   }
   Json sampling = Json::object();
   for (const char* field : kSamplingFields) {
@@ -231,16 +232,16 @@
                  const AnswerUsage& aUsage)
 {
   const bool chat = aHeader.style == CompletionStyle::Chat;
-  Json answer = CommonFields(aHeader, chat ? "chat.completion" : "text_completion");
+  Json completion = CommonFields(aHeader, chat ? "chat.completion" : "text_completion");
   Json choice{ { "index", 0 }, { "finish_reason", aFinishReason } };
   if (chat) {
     choice["message"] = { { "role", "assistant" }, { "content", aText } };
   } else {
     choice["text"] = aText;
   }
-  answer["choices"] = Json::array({ choice });
-  answer["usage"] = UsageJson(aUsage);
-  return Dump(answer);
+  completion["choices"] = Json::array({ choice });
+  completion["usage"] = UsageJson(aUsage);
+  return Dump(completion);
 }
 
 std::string
--- a/src/protocol/ClaimStateMachine.cpp
+++ b/src/protocol/ClaimStateMachine.cpp
@@ -12,7 +12,7 @@
 using flatbuffers::Offset;
 
 constexpr std::uint16_t kWireVersion = 1;
-// A snapshot holds up to two million entries in six or so tables each.
+// Limit of the verifier. A snapshot has up to two million entries with about six tables each.
 constexpr flatbuffers::uoffset_t kMaxTables = 100'000'000;
 constexpr flatbuffers::uoffset_t kMaxDepth = 8;
 
@@ -20,8 +20,8 @@
 Corrupt(std::string aWhat)
 {
   return Error{ ErrorKind::Corrupt,
-                std::move(aWhat) + " does not verify",
-                "check that all hosts run versions that are next to each other" };
+                std::move(aWhat) + " is malformed",
+                "run the same or adjacent versions on all hosts" };
 }
 
 const std::uint8_t*
@@ -92,6 +92,7 @@
   return answer;
 }
 
+// Returns false if the sizes differ.
 template<std::size_t kSize>
 bool
 UnpackBytes(const flatbuffers::Vector<std::uint8_t>& aFrom, std::array<std::uint8_t, kSize>& aTo)
@@ -128,11 +129,12 @@
                                 answer);
 }
 
+// Returns false if the entry is malformed.
 bool
 UnpackEntry(const wire::ClaimEntry& aFrom, ClaimName& aName, ClaimEntry& aTo)
 {
-  const bool whole = UnpackBytes(*aFrom.name(), aName) && UnpackBytes(*aFrom.body(), aTo.body) &&
-                     UnpackBytes(*aFrom.attempt(), aTo.attempt);
+  const bool complete = UnpackBytes(*aFrom.name(), aName) && UnpackBytes(*aFrom.body(), aTo.body) &&
+                        UnpackBytes(*aFrom.attempt(), aTo.attempt);
   aTo.expiry = TimeOf(aFrom.expiry());
   aTo.leaseEnd = TimeOf(aFrom.lease_end());
   aTo.createdAt = TimeOf(aFrom.birth());
@@ -142,7 +144,7 @@
     aTo.answer =
       std::make_unique<StoredAnswer>(StoredAnswer{ LogIndex(aFrom.stored_at()), *answer });
   }
-  return whole && aTo.state >= ClaimState::Running && aTo.state <= ClaimState::Released;
+  return complete && aTo.state >= ClaimState::Running && aTo.state <= ClaimState::Released;
 }
 
 ClaimRegistry::Header
--- a/src/protocol/EngineApi.cpp
+++ b/src/protocol/EngineApi.cpp
@@ -63,7 +63,7 @@
       return kind;
     }
   }
-  aReader.AddProblem("kind", "is none of engine, service, store");
+  aReader.AddProblem("kind", "is not engine, service or store");
   return TargetKind::Engine;
 }
 
@@ -79,7 +79,7 @@
       return role;
     }
   }
-  aReader.AddProblem("role", "is none of both, prefill, decode");
+  aReader.AddProblem("role", "is not both, prefill or decode");
   return TargetRole::Both;
 }
 
@@ -111,7 +111,7 @@
       served.adapters.push_back(AdapterName(adapter.is_string() ? adapter.get<std::string>() : ""));
     }
     if (served.model.Empty() || served.version.Empty() || !fields.Problem().empty()) {
-      aReader.AddProblem("models", "has an entry without model and version");
+      aReader.AddProblem("models", "has an invalid entry, or one without model or version");
     }
   }
 }
@@ -125,7 +125,7 @@
   aTo.queuedPrefill = TokenCount(fields.Count("queued_prefill"));
   aTo.slots = fields.Count("slots");
   if (!fields.Problem().empty()) {
-    aReader.AddProblem("load", "is wrong: " + fields.Problem());
+    aReader.AddProblem("load", "is invalid: " + fields.Problem());
   }
 }
 
@@ -138,7 +138,7 @@
   aTo.linkBytesPerSecond = ByteCount(fields.Count("link"));
   aTo.bytesPerToken = ByteCount(fields.Count("bytes_per_token"));
   if (!fields.Problem().empty()) {
-    aReader.AddProblem("store", "is wrong: " + fields.Problem());
+    aReader.AddProblem("store", "is invalid: " + fields.Problem());
   }
 }
 
@@ -223,7 +223,7 @@
   frame.usage.completion = TokenCount(usage.Count("completion"));
   frame.usage.reused = TokenCount(usage.Count("reused"));
   if (!usage.Problem().empty()) {
-    fields.AddProblem("usage", "is wrong: " + usage.Problem());
+    fields.AddProblem("usage", "is invalid: " + usage.Problem());
   }
   if (!fields.Problem().empty()) {
     return Fail(Invalid(fields.Problem()));
@@ -312,8 +312,8 @@
     lastBreak == std::string::npos ? this->buffer.size() : this->buffer.size() - lastBreak;
   if (unfinished > this->maxLineBytes) {
     return Fail(ErrorKind::Corrupt,
-                "an event of the answer exceeds the limit",
-                "check that the target speaks server-sent events");
+                "a line of the event stream exceeds the size limit",
+                "check that the target sends server-sent events");
   }
   return Success();
 }
--- a/src/protocol/Envelope.cpp
+++ b/src/protocol/Envelope.cpp
@@ -31,14 +31,14 @@
   flatbuffers::Verifier verifier(bytes, aBytes.size());
   if (!wire::VerifyEnvelopeBuffer(verifier)) {
     return Fail(ErrorKind::Corrupt,
-                "a frame from a peer does not verify",
-                "check that only hosts of the system reach the peers' address");
+                "a frame from a peer is malformed",
+                "check that only hosts of this system can reach the peer address");
   }
   const wire::Envelope* envelope = wire::GetEnvelope(bytes);
   if (envelope->version() != kWireVersion) {
     return Fail(ErrorKind::InvalidArgument,
-                Concat("a peer speaks version ", envelope->version()),
-                "run hosts of versions that are next to each other");
+                Concat("a peer uses protocol version ", envelope->version()),
+                "run the same or adjacent versions on all hosts");
   }
   Envelope decoded;
   decoded.from = HostId(envelope->from()->str());
--- a/src/protocol/ErrorBody.cpp
+++ b/src/protocol/ErrorBody.cpp
@@ -5,7 +5,7 @@
 namespace damasklink {
 namespace {
 
-// The `type` words that OpenAI clients know.
+// Returns the value of `type`, one of those that the OpenAI API defines.
 std::string_view
 ClientErrorType(ErrorKind aKind)
 {
@@ -73,8 +73,8 @@
     using Milliseconds = std::chrono::milliseconds;
     body["retry_after_ms"] = std::chrono::duration_cast<Milliseconds>(*aError.retryAfter).count();
   }
-  const nlohmann::json whole = { { "error", body } };
-  return whole.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+  const nlohmann::json document = { { "error", body } };
+  return document.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
 } // namespace damasklink
--- a/src/protocol/FlatBytes.h
+++ b/src/protocol/FlatBytes.h
@@ -1,4 +1,4 @@
-// Between FlatBuffers and plain texts. Internal to src/protocol.
+// Helpers to write and verify FlatBuffers. Internal to src/protocol.
 #pragma once
 
 #include <string>
@@ -11,6 +11,7 @@
 
 namespace damasklink::internal {
 
+// Returns the bytes of a finished buffer.
 inline std::string
 FinishedBytes(const flatbuffers::FlatBufferBuilder& aBuilder)
 {
@@ -18,7 +19,7 @@
                      aBuilder.GetSize());
 }
 
-// Returns the verified root, or nullptr when the bytes do not verify.
+// Returns the root table, or nullptr if the bytes fail verification.
 template<typename Root>
 const Root*
 VerifiedRoot(std::string_view aBytes)
@@ -28,21 +29,22 @@
   return verifier.VerifyBuffer<Root>() ? flatbuffers::GetRoot<Root>(bytes) : nullptr;
 }
 
+// The error for bytes from a peer that cannot be decoded.
 inline Error
 UnreadableMessage()
 {
   return Error{ ErrorKind::Corrupt,
-                "a message from a peer does not verify",
-                "run hosts of versions that are next to each other" };
+                "a message from a peer is malformed",
+                "run the same or adjacent versions on all hosts" };
 }
 
-// Returns whole milliseconds that fit the wire; longer ones are cut to the longest.
+// Returns the duration in whole milliseconds, clamped to the maximum of the 32-bit wire field.
 inline std::uint32_t
 ToWireMilliseconds(Duration aDuration)
 {
   const auto count = std::chrono::duration_cast<std::chrono::milliseconds>(aDuration).count();
-  constexpr std::int64_t kMost = UINT32_MAX;
-  return static_cast<std::uint32_t>(count > kMost ? kMost : count);
+  constexpr std::int64_t kMax = UINT32_MAX;
+  return static_cast<std::uint32_t>(count > kMax ? kMax : count);
 }
 
 } // namespace damasklink::internal
--- a/src/protocol/HttpMessage.cpp
+++ b/src/protocol/HttpMessage.cpp
@@ -13,7 +13,7 @@
 namespace damasklink {
 namespace {
 
-// RFC 9110, section 7.6.1, and the fields that state the length of a body.
+// The fields of RFC 9110, section 7.6.1, and those that delimit the body.
 constexpr std::array<std::string_view, 8> kHopByHopFields{
   "Connection", "Keep-Alive",        "Proxy-Connection", "TE",
   "Upgrade",    "Transfer-Encoding", "Content-Length",   "Trailer",
@@ -128,25 +128,25 @@
 {
   for (const HttpField& field : aHead.fields.All()) {
     if (HasControlCharacter(field.value)) {
-      return Malformed(Concat("field '", field.name, "' holds a control character"));
+      return Malformed(Concat("field '", field.name, "' contains a control character"));
     }
   }
   const std::size_t lengths = aHead.fields.Count("Content-Length");
   const std::size_t codings = aHead.fields.Count("Transfer-Encoding");
   if (lengths + codings > 1) {
-    return Malformed("the length of the body is stated more than once");
+    return Malformed("the body length is stated more than once");
   }
   if (lengths == 1 && !IsDecimal(aHead.fields.Get("Content-Length"))) {
-    return Malformed("Content-Length is not one decimal number");
+    return Malformed("Content-Length is not a decimal number");
   }
   if (codings == 1 && !EqualIgnoringCase(aHead.fields.Get("Transfer-Encoding"), "chunked")) {
     return Malformed("the transfer coding is not 'chunked'");
   }
   if (codings == 1 && aHead.version < 11) {
-    return Malformed("chunks do not exist in HTTP/1.0");
+    return Malformed("HTTP/1.0 has no chunked transfer coding");
   }
   if (aHead.fields.Count("Host") > 1) {
-    return Malformed("there is more than one Host");
+    return Malformed("there is more than one Host field");
   }
   return Success();
 }
--- a/src/protocol/JsonFields.h
+++ b/src/protocol/JsonFields.h
@@ -1,4 +1,4 @@
-// Reads and prints JSON for the codecs of src/protocol and of platform/; internal to them.
+// Helpers to read and write JSON. Internal to src/protocol and platform.
 #pragma once
 
 #include <string>
@@ -12,14 +12,21 @@
 
 using Json = nlohmann::json;
 
-// Returns the JSON as one line; bytes that are not UTF-8 are replaced.
+// Returns the JSON in one line. Replaces bytes that are not valid UTF-8.
 inline std::string
 Dump(const Json& aJson)
 {
   return aJson.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-// Reads typed fields of one object and remembers the first that is wrong.
+// Reads typed fields of a JSON object and keeps the first problem.
+//
+//   FieldReader fields(object);
+//   const std::string name = fields.Text("name");
+//   if (!fields.Problem().empty()) ...   // "field 'name' is not a string"
+//
+// A field that is missing, null or of the wrong type reads as an empty value; only the wrong type
+// is a problem. The object must outlive the reader.
 class FieldReader
 {
 public:
@@ -35,7 +42,7 @@
       return "";
     }
     if (!found->is_string()) {
-      this->AddProblem(aName, "is not a text");
+      this->AddProblem(aName, "is not a string");
       return "";
     }
     return found->get<std::string>();
@@ -48,7 +55,7 @@
       return 0;
     }
     if (!found->is_number_unsigned()) {
-      this->AddProblem(aName, "is not a whole number of at least zero");
+      this->AddProblem(aName, "is not a non-negative integer");
       return 0;
     }
     return found->get<std::uint64_t>();
@@ -61,7 +68,7 @@
       return 0;
     }
     if (!found->is_number() || found->get<double>() < 0) {
-      this->AddProblem(aName, "is not a number of at least zero");
+      this->AddProblem(aName, "is not a non-negative number");
       return 0;
     }
     return found->get<double>();
@@ -74,13 +81,13 @@
       return false;
     }
     if (!found->is_boolean()) {
-      this->AddProblem(aName, "is neither true nor false");
+      this->AddProblem(aName, "is not a boolean");
       return false;
     }
     return found->get<bool>();
   }
 
-  // Returns the array under the name, or an empty one.
+  // Returns the array, or an empty one.
   const Json& Items(const char* aName)
   {
     static const Json kNone = Json::array();
@@ -89,13 +96,13 @@
       return kNone;
     }
     if (!found->is_array()) {
-      this->AddProblem(aName, "is not a list");
+      this->AddProblem(aName, "is not an array");
       return kNone;
     }
     return *found;
   }
 
-  // Returns the object under the name, or an empty one.
+  // Returns the object, or an empty one.
   const Json& Object(const char* aName)
   {
     static const Json kNone = Json::object();
@@ -110,6 +117,7 @@
     return *found;
   }
 
+  // Records a problem with a field, unless there is one already.
   void AddProblem(std::string_view aName, std::string_view aProblem)
   {
     if (this->problem.empty()) {
@@ -117,6 +125,7 @@
     }
   }
 
+  // Returns the first problem, or an empty string.
   const std::string& Problem() const { return this->problem; }
 
 private:
--- a/src/protocol/MetricsText.cpp
+++ b/src/protocol/MetricsText.cpp
@@ -20,7 +20,7 @@
   return escaped;
 }
 
-// Builds "{host="a",workspace="b"}" label by label.
+// Builds a label set such as {host="a",workspace="b"}. Omits labels with an empty value.
 class Labels
 {
 public:
--- a/src/protocol/OperatorApi.cpp
+++ b/src/protocol/OperatorApi.cpp
@@ -17,6 +17,7 @@
   return Error{ ErrorKind::InvalidArgument, aProblem, "compare the body with docs/API.md" };
 }
 
+// Returns null if the body is not a JSON object.
 Json
 ParseObject(std::string_view aBody)
 {
@@ -24,7 +25,7 @@
   return body.is_object() ? body : Json();
 }
 
-// Returns the value, or the first problem that the reader noted.
+// Returns the value, or an error with the reader's first problem.
 template<typename T>
 Result<T>
 Finish(const FieldReader& aFields, T aValue)
@@ -76,7 +77,7 @@
   std::vector<IdType> ids;
   for (const Json& item : aFields.Items(aName)) {
     if (!item.is_string()) {
-      aFields.AddProblem(aName, "holds an entry that is not a text");
+      aFields.AddProblem(aName, "has an entry that is not a string");
       break;
     }
     ids.emplace_back(item.get<std::string>());
@@ -84,7 +85,7 @@
   return ids;
 }
 
-// Reads a list of objects with aRead, and notes the first problem of any.
+// Reads an array of objects with aRead. The first problem of an entry becomes that of the array.
 template<typename T, typename Read>
 std::vector<T>
 ReadObjects(FieldReader& aFields, const char* aName, Read aRead)
@@ -92,7 +93,7 @@
   std::vector<T> items;
   for (const Json& item : aFields.Items(aName)) {
     if (!item.is_object()) {
-      aFields.AddProblem(aName, "holds an entry that is not an object");
+      aFields.AddProblem(aName, "has an entry that is not an object");
       break;
     }
     FieldReader fields(item);
@@ -219,7 +220,7 @@
     fields.AddProblem("change_id", "is missing");
   }
   if (request.deleted != request.content.empty()) {
-    fields.AddProblem("content", "must be given unless the subtree is deleted, and only then");
+    fields.AddProblem("content", "must be set if the subtree is not deleted, and empty if it is");
   }
   return Finish(fields, std::move(request));
 }
@@ -412,8 +413,8 @@
   std::string message = error.Text("message");
   if (message.empty()) {
     return Error{ ErrorKind::Internal,
-                  Concat("the host answered with status ", aStatus),
-                  "check that the address is the operators' one" };
+                  Concat("the host responded with HTTP status ", aStatus),
+                  "check that this is the operators' address of the host" };
   }
   for (int kind = 0; kind <= static_cast<int>(ErrorKind::Internal); ++kind) {
     if (ErrorKindName(static_cast<ErrorKind>(kind)) == code) {
--- a/src/protocol/OrderApi.cpp
+++ b/src/protocol/OrderApi.cpp
@@ -12,6 +12,7 @@
 using internal::FieldReader;
 using internal::Json;
 
+// In the order of DeploymentRole.
 constexpr std::array<std::string_view, 4> kRoles{ "keep", "both", "prefill", "decode" };
 
 } // namespace
@@ -35,7 +36,9 @@
 {
   const Json body = Json::parse(aBody, nullptr, false);
   if (!body.is_object()) {
-    return Fail(ErrorKind::InvalidArgument, "the order is not a JSON object", "see docs/API.md");
+    return Fail(ErrorKind::InvalidArgument,
+                "the order is not a JSON object",
+                "compare the body with docs/API.md");
   }
   FieldReader fields(body);
   TargetOrder order;
@@ -44,7 +47,7 @@
   order.desired.version = WeightVersion(fields.Text("version"));
   for (const Json& item : fields.Items("adapters")) {
     if (!item.is_string()) {
-      fields.AddProblem("adapters", "holds an entry that is not a text");
+      fields.AddProblem("adapters", "has an entry that is not a string");
       break;
     }
     order.desired.adapters.emplace_back(item.get<std::string>());
@@ -57,10 +60,10 @@
     order.role = static_cast<DeploymentRole>(found - kRoles.begin());
   }
   if (order.desired.model.Empty() || order.desired.version.Empty()) {
-    fields.AddProblem("model", "and version must be given");
+    fields.AddProblem("model", "or 'version' is missing");
   }
   if (!fields.Problem().empty()) {
-    return Fail(ErrorKind::InvalidArgument, fields.Problem(), "see docs/API.md");
+    return Fail(ErrorKind::InvalidArgument, fields.Problem(), "compare the body with docs/API.md");
   }
   return order;
 }
--- a/src/protocol/ServingCodec.cpp
+++ b/src/protocol/ServingCodec.cpp
@@ -19,14 +19,15 @@
   EntryHostList = 4,
   DocumentRequest = 5,
   DocumentChunk = 6,
-  // Another message, packed.
-  Packed = 7,
+  // Another message, compressed.
+  Compressed = 7,
 };
 
-// Smaller messages fit into few packets as they are.
+// Messages smaller than this are not compressed, because they fit into a few packets anyway.
 constexpr std::size_t kMinCompressedBytes = 4 * kKibibyte;
 
-// Far above the largest picture: 12,000 targets take two megabytes.
+// The maximum size that a compressed message may expand to. The largest legitimate one is far
+// smaller: an update with 12,000 targets has two megabytes.
 constexpr std::size_t kMaxDecompressedBytes = 64 * kMebibyte;
 
 std::vector<std::string>
@@ -51,7 +52,7 @@
   return hosts;
 }
 
-// Rounded up: a target must not be believed warm before it is.
+// Rounds up, so that no target counts as warm too early.
 std::uint32_t
 MillisecondsOf(Duration aTime)
 {
@@ -60,9 +61,9 @@
 }
 
 std::unique_ptr<wire::TargetRowT>
-RowOf(const TargetUpdate& aStatement)
+RowOf(const TargetUpdate& aUpdate)
 {
-  const TargetRecord& record = aStatement.record;
+  const TargetRecord& record = aUpdate.record;
   auto row = std::make_unique<wire::TargetRowT>();
   row->id = record.id.Value();
   row->service = record.service.Value();
@@ -72,8 +73,8 @@
   row->sequence = record.sequence.Value();
   row->incarnation = record.incarnation.Value();
   row->slots = static_cast<std::uint32_t>(record.load.slots);
-  row->standing = static_cast<std::uint8_t>(aStatement.standing);
-  row->paused = aStatement.paused;
+  row->standing = static_cast<std::uint8_t>(aUpdate.standing);
+  row->paused = aUpdate.paused;
   row->cold_ms = MillisecondsOf(record.coldFor);
   for (const ServedModel& served : record.models) {
     auto model = std::make_unique<wire::ServedModelRowT>();
@@ -135,16 +136,16 @@
 }
 
 std::unique_ptr<wire::StoreRowT>
-RowOf(const StoreUpdate& aStatement)
+RowOf(const StoreUpdate& aUpdate)
 {
   auto row = std::make_unique<wire::StoreRowT>();
-  row->address = aStatement.store.address;
-  row->port = aStatement.store.port;
-  row->live = aStatement.live;
-  row->whole = aStatement.whole;
-  row->reserved = aStatement.reserved.Value();
-  row->added = EntriesOf(aStatement.added);
-  for (const PartKey key : aStatement.removed) {
+  row->address = aUpdate.store.address;
+  row->port = aUpdate.store.port;
+  row->live = aUpdate.live;
+  row->whole = aUpdate.whole;
+  row->reserved = aUpdate.reserved.Value();
+  row->added = EntriesOf(aUpdate.added);
+  for (const PartKey key : aUpdate.removed) {
     row->removed.push_back(key.Value());
   }
   return row;
@@ -153,16 +154,16 @@
 StoreUpdate
 ReadRow(const wire::StoreRowT& aRow)
 {
-  StoreUpdate statement;
-  statement.store = Endpoint{ aRow.address, aRow.port };
-  statement.live = aRow.live;
-  statement.whole = aRow.whole;
-  statement.reserved = TokenCount(aRow.reserved);
-  statement.added = PartsOf(aRow.added);
+  StoreUpdate update;
+  update.store = Endpoint{ aRow.address, aRow.port };
+  update.live = aRow.live;
+  update.whole = aRow.whole;
+  update.reserved = TokenCount(aRow.reserved);
+  update.added = PartsOf(aRow.added);
   for (const std::uint64_t key : aRow.removed) {
-    statement.removed.emplace_back(key);
+    update.removed.emplace_back(key);
   }
-  return statement;
+  return update;
 }
 
 std::unique_ptr<wire::CrashRowT>
@@ -242,7 +243,7 @@
     aTransfer.version.Value(), aTransfer.base.Value(), aTransfer.bytes, aTransfer.checksum);
 }
 
-// A missing one names nothing.
+// Returns an empty id if the field is missing.
 TransferId
 ReadId(const wire::DocumentTransferId* aId)
 {
@@ -254,6 +255,7 @@
   };
 }
 
+// Writes the fields of a message to the frame.
 struct FrameFiller
 {
   wire::ServingFrameT& frame;
@@ -266,79 +268,79 @@
     this->FillControlHosts(aGreeting.controlHosts);
   }
 
-  void operator()(const ServingUpdate& aPicture)
+  void operator()(const ServingUpdate& aUpdate)
   {
     this->frame.kind = static_cast<std::uint8_t>(FrameKind::ServingUpdate);
-    this->frame.document_version = aPicture.documentVersion.Value();
-    for (const auto& [model, version] : aPicture.weights) {
+    this->frame.document_version = aUpdate.documentVersion.Value();
+    for (const auto& [model, version] : aUpdate.weights) {
       auto row = std::make_unique<wire::NamedWeightsRowT>();
       row->model = model.Value();
       row->version = version;
       this->frame.weights.push_back(std::move(row));
     }
-    for (const TargetUpdate& statement : aPicture.targets) {
-      this->frame.targets.push_back(RowOf(statement));
+    for (const TargetUpdate& update : aUpdate.targets) {
+      this->frame.targets.push_back(RowOf(update));
     }
-    for (const StoreUpdate& statement : aPicture.stores) {
-      this->frame.stores.push_back(RowOf(statement));
+    for (const StoreUpdate& update : aUpdate.stores) {
+      this->frame.stores.push_back(RowOf(update));
     }
-    this->frame.entry_hosts = static_cast<std::uint32_t>(aPicture.entryHosts);
-    this->frame.isolated = aPicture.isolated;
-    this->frame.tells_crashing = aPicture.crashing.has_value();
-    if (aPicture.crashing) {
-      this->frame.refused_requests = NumbersOf(aPicture.crashing->refused);
-      this->frame.suspected_requests = NumbersOf(aPicture.crashing->suspected);
+    this->frame.entry_hosts = static_cast<std::uint32_t>(aUpdate.entryHosts);
+    this->frame.isolated = aUpdate.isolated;
+    this->frame.tells_crashing = aUpdate.crashing.has_value();
+    if (aUpdate.crashing) {
+      this->frame.refused_requests = NumbersOf(aUpdate.crashing->refused);
+      this->frame.suspected_requests = NumbersOf(aUpdate.crashing->suspected);
     }
-    this->frame.tells_evacuated = aPicture.evacuated.has_value();
-    if (aPicture.evacuated) {
-      this->frame.evacuation_revision = aPicture.evacuated->revision;
-      for (const ZoneId& zone : aPicture.evacuated->zones) {
+    this->frame.tells_evacuated = aUpdate.evacuated.has_value();
+    if (aUpdate.evacuated) {
+      this->frame.evacuation_revision = aUpdate.evacuated->revision;
+      for (const ZoneId& zone : aUpdate.evacuated->zones) {
         this->frame.evacuated_zones.push_back(zone.Value());
       }
     }
-    this->FillControlHosts(aPicture.controlHosts);
+    this->FillControlHosts(aUpdate.controlHosts);
   }
 
-  void operator()(const LoadReport& aNews)
+  void operator()(const LoadReport& aReport)
   {
     this->frame.kind = static_cast<std::uint8_t>(FrameKind::LoadReport);
-    this->frame.host = aNews.host.Value();
-    this->frame.last = aNews.last;
-    this->frame.urgent = aNews.urgent;
-    for (const InFlightLoad& sends : aNews.sends) {
+    this->frame.host = aReport.host.Value();
+    this->frame.last = aReport.last;
+    this->frame.urgent = aReport.urgent;
+    for (const InFlightLoad& load : aReport.sends) {
       auto row = std::make_unique<wire::SendsRowT>();
-      row->target = sends.target.Value();
-      row->requests = static_cast<std::uint32_t>(sends.requests);
-      row->unread = static_cast<std::uint32_t>(sends.unread.Value());
-      row->memory = static_cast<std::uint32_t>(sends.memory.Value());
-      row->parts = EntriesOf(sends.parts);
+      row->target = load.target.Value();
+      row->requests = static_cast<std::uint32_t>(load.requests);
+      row->unread = static_cast<std::uint32_t>(load.unread.Value());
+      row->memory = static_cast<std::uint32_t>(load.memory.Value());
+      row->parts = EntriesOf(load.parts);
       this->frame.sends.push_back(std::move(row));
     }
-    for (const StoreFetchDelay& excess : aNews.excesses) {
+    for (const StoreFetchDelay& delay : aReport.excesses) {
       auto row = std::make_unique<wire::ExcessRowT>();
-      row->store = excess.store;
-      row->count = static_cast<std::uint32_t>(excess.count);
-      row->total = excess.total;
+      row->store = delay.store;
+      row->count = static_cast<std::uint32_t>(delay.count);
+      row->total = delay.total;
       this->frame.excesses.push_back(std::move(row));
     }
-    for (const TargetReachabilityReport& findings : aNews.findings) {
+    for (const TargetReachabilityReport& reachability : aReport.findings) {
       auto row = std::make_unique<wire::FindingsRowT>();
-      row->target = findings.target.Value();
-      row->gone = static_cast<std::uint32_t>(findings.gone);
-      row->back = static_cast<std::uint32_t>(findings.back);
+      row->target = reachability.target.Value();
+      row->gone = static_cast<std::uint32_t>(reachability.gone);
+      row->back = static_cast<std::uint32_t>(reachability.back);
       this->frame.findings.push_back(std::move(row));
     }
-    for (const CrashReport& crash : aNews.crashes) {
+    for (const CrashReport& crash : aReport.crashes) {
       this->frame.crashes.push_back(RowOf(crash));
     }
-    for (const SuccessfulRun& run : aNews.sound) {
+    for (const SuccessfulRun& run : aReport.sound) {
       this->frame.sound.push_back(RowOf(run));
     }
-    for (const LimitReport& report : aNews.limitReports) {
+    for (const LimitReport& report : aReport.limitReports) {
       this->frame.limit_reports.push_back(RowOf(report));
     }
-    this->frame.tells_limits = aNews.limits.has_value();
-    for (const TargetLimit& limit : aNews.limits.value_or(std::vector<TargetLimit>())) {
+    this->frame.tells_limits = aReport.limits.has_value();
+    for (const TargetLimit& limit : aReport.limits.value_or(std::vector<TargetLimit>())) {
       this->frame.limits.push_back(RowOf(limit));
     }
   }
@@ -349,21 +351,21 @@
     this->frame.entry_host_names = TextsOf(aList.hosts);
   }
 
-  void operator()(const DocumentRequest& aQuestion)
+  void operator()(const DocumentRequest& aRequest)
   {
     this->frame.kind = static_cast<std::uint8_t>(FrameKind::DocumentRequest);
-    this->frame.held = aQuestion.held.Value();
-    this->frame.transfer = std::make_unique<wire::DocumentTransferId>(IdOf(aQuestion.transfer));
-    this->frame.offset = aQuestion.offset;
-    this->frame.most_bytes = aQuestion.mostBytes;
+    this->frame.held = aRequest.held.Value();
+    this->frame.transfer = std::make_unique<wire::DocumentTransferId>(IdOf(aRequest.transfer));
+    this->frame.offset = aRequest.offset;
+    this->frame.most_bytes = aRequest.mostBytes;
   }
 
-  void operator()(const DocumentChunk& aPiece)
+  void operator()(const DocumentChunk& aChunk)
   {
     this->frame.kind = static_cast<std::uint8_t>(FrameKind::DocumentChunk);
-    this->frame.transfer = std::make_unique<wire::DocumentTransferId>(IdOf(aPiece.transfer));
-    this->frame.offset = aPiece.offset;
-    this->frame.piece.assign(aPiece.bytes.begin(), aPiece.bytes.end());
+    this->frame.transfer = std::make_unique<wire::DocumentTransferId>(IdOf(aChunk.transfer));
+    this->frame.offset = aChunk.offset;
+    this->frame.piece.assign(aChunk.bytes.begin(), aChunk.bytes.end());
   }
 
   void FillControlHosts(const ControlHostZones& aHosts)
@@ -402,34 +404,34 @@
 Result<ServingMessage>
 ReadServingUpdate(const wire::ServingFrameT& aFrame)
 {
-  ServingUpdate picture;
-  picture.documentVersion = Revision(aFrame.document_version);
+  ServingUpdate update;
+  update.documentVersion = Revision(aFrame.document_version);
   for (const auto& row : aFrame.weights) {
-    picture.weights[ModelName(row->model)] = row->version;
+    update.weights[ModelName(row->model)] = row->version;
   }
   for (const auto& row : aFrame.targets) {
-    if (!ReadRow(*row, picture.targets.emplace_back())) {
+    if (!ReadRow(*row, update.targets.emplace_back())) {
       return Fail(internal::UnreadableMessage());
     }
   }
   for (const auto& row : aFrame.stores) {
-    picture.stores.push_back(ReadRow(*row));
+    update.stores.push_back(ReadRow(*row));
   }
-  picture.entryHosts = aFrame.entry_hosts;
-  picture.isolated = aFrame.isolated;
+  update.entryHosts = aFrame.entry_hosts;
+  update.isolated = aFrame.isolated;
   if (aFrame.tells_crashing) {
-    picture.crashing = CrashingRequests{ FingerprintsOf(aFrame.refused_requests),
-                                         FingerprintsOf(aFrame.suspected_requests) };
+    update.crashing = CrashingRequests{ FingerprintsOf(aFrame.refused_requests),
+                                        FingerprintsOf(aFrame.suspected_requests) };
   }
   if (aFrame.tells_evacuated) {
-    EvacuatedZones& evacuated = picture.evacuated.emplace();
+    EvacuatedZones& evacuated = update.evacuated.emplace();
     evacuated.revision = aFrame.evacuation_revision;
     for (const std::string& zone : aFrame.evacuated_zones) {
       evacuated.zones.insert(ZoneId(zone));
     }
   }
-  picture.controlHosts = ReadControlHosts(aFrame);
-  return ServingMessage(std::move(picture));
+  update.controlHosts = ReadControlHosts(aFrame);
+  return ServingMessage(std::move(update));
 }
 
 std::string
@@ -512,42 +514,44 @@
   }
 }
 
-// Read where they lie: an entry host takes tens of these a second, with a row for each target.
+// Reads from the buffer without unpacking the frame first: an entry host receives tens of these
+// reports per second, each with a row for every target.
 LoadReport
 ReadLoadReport(const wire::ServingFrame& aFrame)
 {
-  LoadReport news;
-  news.host = HostId(TextOf(aFrame.host()));
-  news.last = aFrame.last();
-  news.urgent = aFrame.urgent();
+  LoadReport report;
+  report.host = HostId(TextOf(aFrame.host()));
+  report.last = aFrame.last();
+  report.urgent = aFrame.urgent();
   if (const auto* rows = aFrame.sends()) {
-    news.sends.reserve(rows->size());
+    report.sends.reserve(rows->size());
     for (const wire::SendsRow* row : *rows) {
-      news.sends.push_back(InFlightLoad{ TargetId(TextOf(row->target())),
-                                         row->requests(),
-                                         TokenCount(row->unread()),
-                                         TokenCount(row->memory()),
-                                         PartsOf(row->parts()) });
+      report.sends.push_back(InFlightLoad{ TargetId(TextOf(row->target())),
+                                           row->requests(),
+                                           TokenCount(row->unread()),
+                                           TokenCount(row->memory()),
+                                           PartsOf(row->parts()) });
     }
   }
   if (const auto* rows = aFrame.excesses()) {
     for (const wire::ExcessRow* row : *rows) {
-      news.excesses.push_back(StoreFetchDelay{ TextOf(row->store()), row->count(), row->total() });
+      report.excesses.push_back(
+        StoreFetchDelay{ TextOf(row->store()), row->count(), row->total() });
     }
   }
   if (const auto* rows = aFrame.findings()) {
     for (const wire::FindingsRow* row : *rows) {
-      news.findings.push_back(
+      report.findings.push_back(
         TargetReachabilityReport{ TargetId(TextOf(row->target())), row->gone(), row->back() });
     }
   }
-  ReadRows(aFrame.crashes(), news.crashes);
-  ReadRows(aFrame.sound(), news.sound);
-  ReadRows(aFrame.limit_reports(), news.limitReports);
+  ReadRows(aFrame.crashes(), report.crashes);
+  ReadRows(aFrame.sound(), report.sound);
+  ReadRows(aFrame.limit_reports(), report.limitReports);
   if (aFrame.tells_limits()) {
-    ReadRows(aFrame.limits(), news.limits.emplace());
+    ReadRows(aFrame.limits(), report.limits.emplace());
   }
-  return news;
+  return report;
 }
 
 } // namespace
@@ -563,7 +567,7 @@
 }
 
 Result<ServingMessage>
-DecodePlain(const wire::ServingFrame& aRoot)
+DecodeUncompressed(const wire::ServingFrame& aRoot)
 {
   const auto kind = static_cast<FrameKind>(aRoot.kind());
   if (kind == FrameKind::LoadReport) {
@@ -577,7 +581,7 @@
     case FrameKind::ServingUpdate:
       return ReadServingUpdate(frame);
     case FrameKind::LoadReport:
-    case FrameKind::Packed:
+    case FrameKind::Compressed:
       break;
     case FrameKind::EntryHostList:
       return ServingMessage(EntryHostList{ HostsOf(frame.entry_host_names) });
@@ -605,14 +609,14 @@
 std::string
 EncodeCompressed(const ServingMessage& aMessage)
 {
-  std::string plain = EncodeServingMessage(aMessage);
-  if (plain.size() < kMinCompressedBytes) {
-    return plain;
+  std::string uncompressed = EncodeServingMessage(aMessage);
+  if (uncompressed.size() < kMinCompressedBytes) {
+    return uncompressed;
   }
-  const std::string packed = PackText(plain, "");
+  const std::string compressed = PackText(uncompressed, "");
   wire::ServingFrameT frame;
-  frame.kind = static_cast<std::uint8_t>(FrameKind::Packed);
-  frame.piece.assign(packed.begin(), packed.end());
+  frame.kind = static_cast<std::uint8_t>(FrameKind::Compressed);
+  frame.piece.assign(compressed.begin(), compressed.end());
   return BytesOf(frame);
 }
 
@@ -623,23 +627,23 @@
   if (root == nullptr) {
     return Fail(internal::UnreadableMessage());
   }
-  if (static_cast<FrameKind>(root->kind()) != FrameKind::Packed) {
-    return DecodePlain(*root);
+  if (static_cast<FrameKind>(root->kind()) != FrameKind::Compressed) {
+    return DecodeUncompressed(*root);
   }
   if (root->piece() == nullptr) {
     return Fail(internal::UnreadableMessage());
   }
-  const std::string_view packed(reinterpret_cast<const char*>(root->piece()->data()),
-                                root->piece()->size());
-  auto unpacked = UnpackText(packed, "", kMaxDecompressedBytes);
-  if (!unpacked) {
-    return Fail(unpacked.error());
+  const std::string_view compressed(reinterpret_cast<const char*>(root->piece()->data()),
+                                    root->piece()->size());
+  auto decompressed = UnpackText(compressed, "", kMaxDecompressedBytes);
+  if (!decompressed) {
+    return Fail(decompressed.error());
   }
-  const auto* inner = internal::VerifiedRoot<wire::ServingFrame>(unpacked.value());
+  const auto* inner = internal::VerifiedRoot<wire::ServingFrame>(decompressed.value());
   if (inner == nullptr) {
     return Fail(internal::UnreadableMessage());
   }
-  return DecodePlain(*inner);
+  return DecodeUncompressed(*inner);
 }
 
 } // namespace damasklink
--- a/src/protocol/StoreApi.cpp
+++ b/src/protocol/StoreApi.cpp
@@ -15,7 +15,7 @@
   return Fail(ErrorKind::InvalidArgument, std::move(aProblem), "compare the body with docs/API.md");
 }
 
-// Parses the text of an object and lets aRead fill the result from its fields.
+// Parses a JSON object; aRead sets the result from its fields.
 template<typename T, typename Read>
 Result<T>
 ParseObject(std::string_view aText, Read aRead)
@@ -33,7 +33,7 @@
   return parsed;
 }
 
-// Reads a list of objects, one by one.
+// Reads an array of objects with aRead. Returns an empty list on the first problem.
 template<typename T, typename Read>
 std::vector<T>
 ReadList(FieldReader& aFields, const char* aName, Read aRead)
@@ -47,7 +47,7 @@
     FieldReader fields(item);
     list.push_back(aRead(fields));
     if (!fields.Problem().empty()) {
-      aFields.AddProblem(aName, "has a wrong entry: " + fields.Problem());
+      aFields.AddProblem(aName, "has an invalid entry: " + fields.Problem());
       return {};
     }
   }
@@ -77,7 +77,7 @@
   std::vector<Digest> digests;
   for (const Json& item : aFields.Items(aName)) {
     if (!item.is_string()) {
-      aFields.AddProblem(aName, "has an entry that is not a text");
+      aFields.AddProblem(aName, "has an entry that is not a string");
       return {};
     }
     digests.emplace_back(item.get<std::string>());
@@ -103,7 +103,7 @@
                     WeightVersion(fields.Text("version")),
                     AdapterName(fields.Text("adapter")) };
   if (scope.workspace.Empty() || scope.model.Empty() || scope.version.Empty()) {
-    aFields.AddProblem("scope", "needs workspace, model and version");
+    aFields.AddProblem("scope", "lacks workspace, model or version");
   }
   return scope;
 }
@@ -135,7 +135,7 @@
 {
   auto endpoint = ParseEndpoint(aFields.Text(aName));
   if (!endpoint) {
-    aFields.AddProblem(aName, "is no IP number with a port");
+    aFields.AddProblem(aName, "is not an IP address with a port");
     return {};
   }
   return endpoint.value();
--- a/src/protocol/StoresCodec.cpp
+++ b/src/protocol/StoresCodec.cpp
@@ -7,7 +7,7 @@
 
 template<typename Id>
 std::vector<std::string>
-Texts(const std::vector<Id>& aIds)
+ToTexts(const std::vector<Id>& aIds)
 {
   std::vector<std::string> texts;
   texts.reserve(aIds.size());
@@ -18,7 +18,7 @@
 }
 
 std::vector<Digest>
-Digests(std::vector<std::string>& aTexts)
+ToDigests(std::vector<std::string>& aTexts)
 {
   std::vector<Digest> digests;
   digests.reserve(aTexts.size());
@@ -57,7 +57,7 @@
   return blocks;
 }
 
-// Makes the wire form of each message.
+// Converts each message to its wire format.
 struct Packer
 {
   wire::StoresBodyUnion operator()(const OwnerNotice& aNotice) const
@@ -81,7 +81,7 @@
     packed.scope->model = prompt.scope.model.Value();
     packed.scope->version = prompt.scope.version.Value();
     packed.scope->adapter = prompt.scope.adapter.Value();
-    packed.blocks = Texts(prompt.blocks);
+    packed.blocks = ToTexts(prompt.blocks);
     packed.from = aQuestion.from;
     packed.to = aQuestion.to;
     packed.returning = prompt.returning;
@@ -139,8 +139,8 @@
     packed.target = aEvent.target.Value();
     packed.incarnation = aEvent.incarnation.Value();
     packed.sequence = aEvent.sequence.Value();
-    packed.added = Texts(aEvent.added);
-    packed.removed = Texts(aEvent.removed);
+    packed.added = ToTexts(aEvent.added);
+    packed.removed = ToTexts(aEvent.removed);
     return Union(std::move(packed));
   }
 
@@ -151,7 +151,7 @@
     packed.incarnation = aSnapshot.incarnation.Value();
     packed.sequence = aSnapshot.sequence.Value();
     packed.snapshot = true;
-    packed.added = Texts(aSnapshot.blocks);
+    packed.added = ToTexts(aSnapshot.blocks);
     return Union(std::move(packed));
   }
 
@@ -177,7 +177,7 @@
                               WeightVersion(aPacked.scope->version),
                               AdapterName(aPacked.scope->adapter) };
   }
-  question.prompt.blocks = Digests(aPacked.blocks);
+  question.prompt.blocks = ToDigests(aPacked.blocks);
   question.prompt.returning = aPacked.returning;
   question.prompt.objective = { aPacked.weigh_time, aPacked.weigh_recompute, aPacked.weigh_link };
   question.prompt.prefillRate = aPacked.prefill_rate;
@@ -235,10 +235,10 @@
   const Incarnation incarnation(aPacked.incarnation);
   const Sequence sequence(aPacked.sequence);
   if (aPacked.snapshot) {
-    return CacheSnapshot{ target, incarnation, sequence, Digests(aPacked.added) };
+    return CacheSnapshot{ target, incarnation, sequence, ToDigests(aPacked.added) };
   }
   return CacheEvent{
-    target, incarnation, sequence, Digests(aPacked.added), Digests(aPacked.removed)
+    target, incarnation, sequence, ToDigests(aPacked.added), ToDigests(aPacked.removed)
   };
 }
 
@@ -246,8 +246,8 @@
 Corrupt()
 {
   return Fail(ErrorKind::Corrupt,
-              "a message about stores does not verify",
-              "run hosts of versions that are next to each other");
+              "a message about stores is malformed",
+              "run the same or adjacent versions on all hosts");
 }
 
 } // namespace
--- a/src/protocol/TargetsCodec.cpp
+++ b/src/protocol/TargetsCodec.cpp
@@ -11,39 +11,40 @@
 namespace damasklink {
 namespace {
 
-// Counts above what the wire holds say "very many" as well.
+// Clamps a count to the maximum of a narrower wire field. Larger values need no distinction: the
+// maximum already means a very high load.
 template<typename T>
 T
 Narrow(std::uint64_t aCount)
 {
-  constexpr std::uint64_t kMost = std::numeric_limits<T>::max();
-  return static_cast<T>(std::min(aCount, kMost));
+  constexpr std::uint64_t kMax = std::numeric_limits<T>::max();
+  return static_cast<T>(std::min(aCount, kMax));
 }
 
 wire::Sign
-WireSign(const TargetKeepalive& aSign)
+ToWire(const TargetKeepalive& aKeepalive)
 {
-  return wire::Sign(Narrow<std::uint32_t>(aSign.load.queuedPrefill.Value()),
-                    aSign.target,
-                    aSign.fingerprint,
-                    static_cast<std::uint32_t>(aSign.sequence.Value()),
-                    Narrow<std::uint16_t>(aSign.load.runningRequests),
-                    Narrow<std::uint16_t>(aSign.load.queuedRequests),
-                    Narrow<std::uint16_t>(aSign.load.slots));
+  return wire::Sign(Narrow<std::uint32_t>(aKeepalive.load.queuedPrefill.Value()),
+                    aKeepalive.target,
+                    aKeepalive.fingerprint,
+                    static_cast<std::uint32_t>(aKeepalive.sequence.Value()),
+                    Narrow<std::uint16_t>(aKeepalive.load.runningRequests),
+                    Narrow<std::uint16_t>(aKeepalive.load.queuedRequests),
+                    Narrow<std::uint16_t>(aKeepalive.load.slots));
 }
 
 TargetKeepalive
-ReadSign(const wire::Sign& aSign)
+FromWire(const wire::Sign& aSign)
 {
-  TargetKeepalive sign;
-  sign.target = aSign.target();
-  sign.fingerprint = aSign.fingerprint();
-  sign.sequence = Sequence(aSign.sequence());
-  sign.load.runningRequests = aSign.running();
-  sign.load.queuedRequests = aSign.queued();
-  sign.load.queuedPrefill = TokenCount(aSign.queued_prefill());
-  sign.load.slots = aSign.slots();
-  return sign;
+  TargetKeepalive keepalive;
+  keepalive.target = aSign.target();
+  keepalive.fingerprint = aSign.fingerprint();
+  keepalive.sequence = Sequence(aSign.sequence());
+  keepalive.load.runningRequests = aSign.running();
+  keepalive.load.queuedRequests = aSign.queued();
+  keepalive.load.queuedPrefill = TokenCount(aSign.queued_prefill());
+  keepalive.load.slots = aSign.slots();
+  return keepalive;
 }
 
 } // namespace
@@ -53,8 +54,8 @@
 {
   flatbuffers::FlatBufferBuilder builder;
   std::vector<wire::Sign> signs;
-  for (const TargetKeepalive& sign : aMessage.keepalives) {
-    signs.push_back(WireSign(sign));
+  for (const TargetKeepalive& keepalive : aMessage.keepalives) {
+    signs.push_back(ToWire(keepalive));
   }
   std::vector<std::string> records;
   for (const TargetRecord& record : aMessage.records) {
@@ -81,7 +82,7 @@
   message.kind = static_cast<TargetsMessageKind>(frame->kind());
   if (frame->signs() != nullptr) {
     for (const wire::Sign* sign : *frame->signs()) {
-      message.keepalives.push_back(ReadSign(*sign));
+      message.keepalives.push_back(FromWire(*sign));
     }
   }
   if (frame->records() != nullptr) {
--- a/src/protocol/UseReport.cpp
+++ b/src/protocol/UseReport.cpp
@@ -14,8 +14,8 @@
 Corrupt()
 {
   return Fail(ErrorKind::Corrupt,
-              "a report of use does not verify",
-              "check that only hosts of the system reach the peers' address");
+              "a usage report is malformed",
+              "check that only hosts of this system can reach the peer address");
 }
 
 } // namespace
