--- a/test/protocol/AgreementCodecTest.cpp
+++ b/test/protocol/AgreementCodecTest.cpp
@@ -73,7 +73,8 @@
   EXPECT_EQ(decoded.error().kind, ErrorKind::Corrupt);
 }
 
-// Damaged bytes are refused or read as some other message; they never end the process.
+// Truncated bytes are rejected. A changed byte is rejected or gives another message, but never
+// crashes the process.
 RC_GTEST_PROP(AgreementCodecProperty, DamagedBytesNeverCrash, ())
 {
   const auto body = *rc::gen::elementOf(AllBodies());
--- a/test/protocol/BurnApiTest.cpp
+++ b/test/protocol/BurnApiTest.cpp
@@ -20,8 +20,8 @@
 TEST(BurnApiTest, ErrorNamesTheInvalidField)
 {
   const auto problem = [](std::string_view aBody) {
-    const auto read = ParseHostBurn(aBody);
-    return read ? std::string("none") : read.error().message;
+    const auto parsed = ParseHostBurn(aBody);
+    return parsed ? std::string("none") : parsed.error().message;
   };
   EXPECT_NE(problem("[]").find("not a JSON object"), std::string::npos);
   EXPECT_NE(problem(R"({"workspaces": 3})").find("'workspaces'"), std::string::npos);
--- a/test/protocol/ClaimStateMachineTest.cpp
+++ b/test/protocol/ClaimStateMachineTest.cpp
@@ -45,23 +45,23 @@
   EXPECT_FALSE(machine.Load("garbage"));
 }
 
-// One group, its claimants and everything that may go wrong between them. What a claimant has
-// been granted it may run, and each run is counted.
+// Simulates a claims group, the attempts that claim keys, and the faults that may occur between
+// them. An attempt that is granted its claim may run; the runs of each key are counted.
 class ClaimSimulation
 {
 public:
   enum class Step
   {
-    Arrive,      // A call comes, at any host: a claim goes out under a new attempt.
-    Deliver,     // A command under way reaches the group, in any order; the answer comes back.
-    DeliverOnly, // The same, but the answer gets lost.
-    Double,      // A command under way is doubled.
-    Ask,         // A claimant without an answer asks again under the same attempt.
-    GiveUp,      // A claimant without an answer refuses its call and releases.
-    Crash,       // A claimant's host dies.
-    Restart,     // All replicas restart from a snapshot.
-    LoseAll,     // All disks are lost and the group is formed anew.
-    Wait,        // Time passes.
+    Arrive,       // A call arrives at some host, which sends a claim under a new attempt.
+    Deliver,      // One of the commands in flight reaches the group; the reply is delivered.
+    LoseReply,    // The same, but the reply is lost.
+    Duplicate,    // A command in flight is duplicated.
+    Resend,       // An attempt without a reply sends its claim again.
+    GiveUp,       // An attempt without a reply refuses its call and releases the claim.
+    Crash,        // The host of an attempt without a reply crashes.
+    Restart,      // All replicas restart from a snapshot.
+    LoseAllDisks, // All replicas lose their disks and the group is formed again.
+    Wait,         // Time passes.
     Count,
   };
 
@@ -72,32 +72,32 @@
         return this->Arrive(static_cast<int>(aPick % 2));
       case Step::Deliver:
         return this->Deliver(aPick, true);
-      case Step::DeliverOnly:
+      case Step::LoseReply:
         return this->Deliver(aPick, false);
-      case Step::Double:
-        if (!this->underWay.empty()) {
-          this->underWay.push_back(this->underWay[aPick % this->underWay.size()]);
+      case Step::Duplicate:
+        if (!this->inFlight.empty()) {
+          this->inFlight.push_back(this->inFlight[aPick % this->inFlight.size()]);
         }
         return;
       case Step::Restart:
         return this->Restart();
-      case Step::LoseAll:
-        return this->LoseAll(aPick);
+      case Step::LoseAllDisks:
+        return this->LoseAllDisks(aPick);
       case Step::Wait:
         this->context.proposedAt += seconds(aPick % 50 == 0 ? 50 * 3600 : 20);
         return;
       default:
-        return this->Act(aStep, aPick);
+        return this->DoForWaitingAttempt(aStep, aPick);
     }
   }
 
   int MaxRunsOfAKey() const
   {
-    int most = 0;
+    int maxRuns = 0;
     for (const auto& [key, count] : this->runs) {
-      most = std::max(most, count);
+      maxRuns = std::max(maxRuns, count);
     }
-    return most;
+    return maxRuns;
   }
 
 private:
@@ -105,17 +105,17 @@
   {
     ClaimCommand claim = MakeCommand(aKey, ++this->lastAttempt);
     this->waiting[claim.attempt] = claim;
-    this->underWay.push_back(claim);
+    this->inFlight.push_back(claim);
   }
 
   void Deliver(std::size_t aPick, bool aAnswered)
   {
-    if (this->underWay.empty()) {
+    if (this->inFlight.empty()) {
       return;
     }
-    const auto at = this->underWay.begin() + static_cast<long>(aPick % this->underWay.size());
+    const auto at = this->inFlight.begin() + static_cast<long>(aPick % this->inFlight.size());
     const ClaimCommand command = *at;
-    this->underWay.erase(at);
+    this->inFlight.erase(at);
     this->context.index = this->context.index.Next();
     const auto bytes = this->machine->Apply(this->context, EncodeClaimCommand(command));
     const auto reply = DecodeClaimReply(bytes);
@@ -129,43 +129,45 @@
     }
   }
 
-  // The claimant runs and finishes, runs and dies, runs and breaks off, or runs nothing.
+  // The granted attempt runs and then finishes, crashes or breaks off, or it releases the claim
+  // without a run.
   void Run(ClaimCommand aCommand, std::size_t aPick)
   {
-    constexpr std::size_t kEnds = 4;
-    const std::size_t way = (aPick / 3) % kEnds;
-    if (way == 3) {
+    constexpr std::size_t kOutcomes = 4;
+    const std::size_t outcome = (aPick / 3) % kOutcomes;
+    if (outcome == 3) {
       aCommand.verb = ClaimVerb::Release;
-      this->underWay.push_back(aCommand);
+      this->inFlight.push_back(aCommand);
       return;
     }
     ++this->runs[aCommand.key];
-    if (way != 0) {
-      aCommand.verb = way == 1 ? ClaimVerb::Finish : ClaimVerb::Abandon;
-      this->underWay.push_back(aCommand);
+    if (outcome != 0) {
+      aCommand.verb = outcome == 1 ? ClaimVerb::Finish : ClaimVerb::Abandon;
+      this->inFlight.push_back(aCommand);
     }
   }
 
-  void Act(Step aStep, std::size_t aPick)
+  // A step of an attempt that has no reply yet.
+  void DoForWaitingAttempt(Step aStep, std::size_t aPick)
   {
     if (this->waiting.empty()) {
       return;
     }
     const auto at = std::next(this->waiting.begin(), static_cast<long>(aPick % waiting.size()));
     ClaimCommand command = at->second;
-    if (aStep == Step::Ask) {
-      this->underWay.push_back(command);
+    if (aStep == Step::Resend) {
+      this->inFlight.push_back(command);
       return;
     }
     this->waiting.erase(at);
     if (aStep == Step::GiveUp) {
       command.verb = ClaimVerb::Release;
-      this->underWay.push_back(command);
+      this->inFlight.push_back(command);
     }
   }
 
-  // Rare, as hardly anything is granted afterwards.
-  void LoseAll(std::size_t aPick)
+  // Done for one pick in ten only, because few claims are granted after it.
+  void LoseAllDisks(std::size_t aPick)
   {
     if (aPick % 10 == 0) {
       this->machine = std::make_unique<ClaimStateMachine>();
@@ -182,7 +184,7 @@
 
   std::unique_ptr<ClaimStateMachine> machine = std::make_unique<ClaimStateMachine>();
   ApplyContext context{ GroupId("claims/n"), LogIndex(1), Term(1), kStart, Incarnation(1), {} };
-  std::vector<ClaimCommand> underWay;
+  std::vector<ClaimCommand> inFlight;
   std::map<AttemptId, ClaimCommand> waiting;
   std::map<IdempotencyKey, int> runs;
   int lastAttempt = 0;
@@ -190,8 +192,9 @@
 
 RC_GTEST_PROP(ClaimStateMachineProperty, NoKeyRunsTwiceInAnySchedule, ())
 {
-  ClaimSimulation world;
-  // Full size from the first case on, or the early cases hold only the first few kinds of step.
+  ClaimSimulation simulation;
+  // The nominal size from the first case on: at small sizes, inRange() gives only the first kinds
+  // of step.
   const auto steps = *rc::gen::resize(
     rc::kNominalSize,
     rc::gen::container<std::vector<std::pair<int, std::size_t>>>(
@@ -199,12 +202,12 @@
       rc::gen::pair(rc::gen::inRange(0, static_cast<int>(ClaimSimulation::Step::Count)),
                     rc::gen::inRange<std::size_t>(0, 1000))));
   for (const auto& [step, pick] : steps) {
-    world.Do(static_cast<ClaimSimulation::Step>(step), pick);
+    simulation.Do(static_cast<ClaimSimulation::Step>(step), pick);
   }
-  RC_ASSERT(world.MaxRunsOfAKey() <= 1);
+  RC_ASSERT(simulation.MaxRunsOfAKey() <= 1);
 }
 
-// Replicas that apply the same commands hold the same state, also through a snapshot.
+// Replicas that apply the same commands have the same state, also after loading a snapshot.
 RC_GTEST_PROP(ClaimStateMachineProperty, SnapshotRestoresFullState, ())
 {
   ClaimStateMachine left;
--- a/test/protocol/ConfigCodecTest.cpp
+++ b/test/protocol/ConfigCodecTest.cpp
@@ -20,23 +20,23 @@
 
 TEST(ConfigCodecTest, RoundTripsHeartbeat)
 {
-  Heartbeat beat;
-  beat.incarnation = Incarnation(1'700'000'000'000);
-  beat.sequence = Sequence(9);
-  beat.leaving = true;
-  beat.revision = Revision(3);
-  beat.confirmedAge = std::chrono::milliseconds(7);
-  beat.others = { HostSighting{ 5, Incarnation(4), Sequence(3), true },
-                  HostSighting{ 6, Incarnation(2), Sequence(1), false } };
-  EXPECT_EQ(DecodeHeartbeat(EncodeHeartbeat(beat)).value(), beat);
+  Heartbeat heartbeat;
+  heartbeat.incarnation = Incarnation(1'700'000'000'000);
+  heartbeat.sequence = Sequence(9);
+  heartbeat.leaving = true;
+  heartbeat.revision = Revision(3);
+  heartbeat.confirmedAge = std::chrono::milliseconds(7);
+  heartbeat.others = { HostSighting{ 5, Incarnation(4), Sequence(3), true },
+                       HostSighting{ 6, Incarnation(2), Sequence(1), false } };
+  EXPECT_EQ(DecodeHeartbeat(EncodeHeartbeat(heartbeat)).value(), heartbeat);
 }
 
 RC_GTEST_PROP(ConfigCodecTest, AnyBytesAreDecodedOrRejected, (const std::string& aBytes))
 {
   const auto message = DecodeConfigMessage(aBytes);
-  const auto beat = DecodeHeartbeat(aBytes);
+  const auto heartbeat = DecodeHeartbeat(aBytes);
   RC_ASSERT((message || message.error().kind == ErrorKind::Corrupt));
-  RC_ASSERT((beat || beat.error().kind == ErrorKind::Corrupt));
+  RC_ASSERT((heartbeat || heartbeat.error().kind == ErrorKind::Corrupt));
 }
 
 } // namespace
--- a/test/protocol/ServingCodecTest.cpp
+++ b/test/protocol/ServingCodecTest.cpp
@@ -20,100 +20,100 @@
 
 TEST(ServingCodecTest, RoundTripsServingUpdate)
 {
-  ServingUpdate picture;
-  picture.documentVersion = Revision(12);
-  picture.weights[ModelName("m")] = 3;
-  picture.entryHosts = 9;
-  picture.isolated = true;
-  picture.controlHosts = { { HostId("10.0.0.1"), ZoneId("z1") }, { HostId("10.0.0.2"), ZoneId() } };
-  TargetUpdate& statement = picture.targets.emplace_back();
-  statement.record.id = TargetId("t");
-  statement.record.kind = TargetKind::Engine;
-  statement.record.service = ServiceName("s");
-  statement.record.endpoint = Endpoint{ "10.1.0.9", 8080 };
-  statement.record.zone = ZoneId("z");
-  statement.record.sequence = Sequence(77);
-  statement.record.incarnation = Incarnation(1'790'000'000'000);
-  statement.record.load.slots = 64;
-  statement.record.models = { ServedModel{ ModelName("m"), WeightVersion("3"), {} } };
-  statement.record.leaving = true;
-  statement.standing = TargetAvailability::Leaving;
-  statement.paused = true;
-  statement.record.coldFor = std::chrono::milliseconds(2400);
-  StoreUpdate& store = picture.stores.emplace_back();
+  ServingUpdate update;
+  update.documentVersion = Revision(12);
+  update.weights[ModelName("m")] = 3;
+  update.entryHosts = 9;
+  update.isolated = true;
+  update.controlHosts = { { HostId("10.0.0.1"), ZoneId("z1") }, { HostId("10.0.0.2"), ZoneId() } };
+  TargetUpdate& target = update.targets.emplace_back();
+  target.record.id = TargetId("t");
+  target.record.kind = TargetKind::Engine;
+  target.record.service = ServiceName("s");
+  target.record.endpoint = Endpoint{ "10.1.0.9", 8080 };
+  target.record.zone = ZoneId("z");
+  target.record.sequence = Sequence(77);
+  target.record.incarnation = Incarnation(1'790'000'000'000);
+  target.record.load.slots = 64;
+  target.record.models = { ServedModel{ ModelName("m"), WeightVersion("3"), {} } };
+  target.record.leaving = true;
+  target.standing = TargetAvailability::Leaving;
+  target.paused = true;
+  target.record.coldFor = std::chrono::milliseconds(2400);
+  StoreUpdate& store = update.stores.emplace_back();
   store.store = Endpoint{ "172.20.0.2", 8006 };
   store.live = true;
   store.whole = true;
   store.added = { SizedPart{ PartKey(0xfedcba9876543210U), TokenCount(8610) } };
   store.removed = { PartKey(7) };
   store.reserved = TokenCount(4260);
-  picture.crashing =
+  update.crashing =
     CrashingRequests{ { RequestFingerprint(0xfedcba9876543210U) }, { RequestFingerprint(8) } };
-  picture.evacuated = EvacuatedZones{ 3, { ZoneId("z1"), ZoneId("z2") } };
-  const auto decoded = DecodeServingMessage(EncodeServingMessage(picture));
+  update.evacuated = EvacuatedZones{ 3, { ZoneId("z1"), ZoneId("z2") } };
+  const auto decoded = DecodeServingMessage(EncodeServingMessage(update));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<ServingUpdate>(decoded.value()), picture);
+  EXPECT_EQ(std::get<ServingUpdate>(decoded.value()), update);
 }
 
 TEST(ServingCodecTest, RoundTripsDocumentRequest)
 {
-  DocumentRequest question;
-  question.held = Revision(16);
-  question.transfer = TransferId{ Revision(23), Revision(16), 61'004, 0xfedcba98U };
-  question.offset = 16'384;
-  question.mostBytes = 32'768;
-  const auto decoded = DecodeServingMessage(EncodeServingMessage(question));
+  DocumentRequest request;
+  request.held = Revision(16);
+  request.transfer = TransferId{ Revision(23), Revision(16), 61'004, 0xfedcba98U };
+  request.offset = 16'384;
+  request.mostBytes = 32'768;
+  const auto decoded = DecodeServingMessage(EncodeServingMessage(request));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<DocumentRequest>(decoded.value()), question);
+  EXPECT_EQ(std::get<DocumentRequest>(decoded.value()), request);
 }
 
 TEST(ServingCodecTest, RoundTripsDocumentChunk)
 {
-  DocumentChunk piece;
-  piece.transfer = TransferId{ Revision(23), Revision(), 7, 1 };
-  piece.offset = 3;
-  piece.bytes = std::string("a\0\xff", 3);
-  const auto decoded = DecodeServingMessage(EncodeServingMessage(piece));
+  DocumentChunk chunk;
+  chunk.transfer = TransferId{ Revision(23), Revision(), 7, 1 };
+  chunk.offset = 3;
+  chunk.bytes = std::string("a\0\xff", 3);
+  const auto decoded = DecodeServingMessage(EncodeServingMessage(chunk));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<DocumentChunk>(decoded.value()), piece);
+  EXPECT_EQ(std::get<DocumentChunk>(decoded.value()), chunk);
 }
 
 TEST(ServingCodecTest, RoundTripsLoadReport)
 {
-  LoadReport news;
-  news.host = HostId("10.0.0.7");
-  news.crashes = { CrashReport{ RequestFingerprint(7),
-                                WorkspaceId("w"),
-                                ServiceName("s"),
-                                TargetId("t"),
-                                Incarnation(1'790'000'000'000) } };
-  news.sound = { SuccessfulRun{ RequestFingerprint(9), ServiceName("s") } };
-  news.limitReports = {
+  LoadReport report;
+  report.host = HostId("10.0.0.7");
+  report.crashes = { CrashReport{ RequestFingerprint(7),
+                                  WorkspaceId("w"),
+                                  ServiceName("s"),
+                                  TargetId("t"),
+                                  Incarnation(1'790'000'000'000) } };
+  report.sound = { SuccessfulRun{ RequestFingerprint(9), ServiceName("s") } };
+  report.limitReports = {
     LimitReport{ TargetId("t"), Incarnation(4), RequestRate{ 3.5 } },
     LimitReport{ TargetId("u"), Incarnation(5), std::nullopt },
   };
-  news.limits = { TargetLimit{ TargetId("t"),
-                               Incarnation(4),
-                               RequestRate{ 3.5 },
-                               RequestRate{ 1.75 },
-                               { HostId("10.0.0.7"), HostId("10.0.0.8") } },
-                  TargetLimit{ TargetId("cold"),
-                               Incarnation(5),
-                               std::nullopt,
-                               RequestRate{ 1 },
-                               { HostId("10.0.0.7") },
-                               std::chrono::milliseconds(2900) } };
-  news.last = true;
-  news.findings = { TargetReachabilityReport{ TargetId("t"), 2, 1 } };
-  news.excesses = { StoreFetchDelay{ "172.20.0.2:8006", 3, 41.5 } };
-  news.sends = { InFlightLoad{ TargetId("t"),
-                               3,
-                               TokenCount(12000),
-                               TokenCount(36000),
-                               { SizedPart{ PartKey(9), TokenCount(800) } } } };
-  const auto decoded = DecodeServingMessage(EncodeServingMessage(news));
+  report.limits = { TargetLimit{ TargetId("t"),
+                                 Incarnation(4),
+                                 RequestRate{ 3.5 },
+                                 RequestRate{ 1.75 },
+                                 { HostId("10.0.0.7"), HostId("10.0.0.8") } },
+                    TargetLimit{ TargetId("cold"),
+                                 Incarnation(5),
+                                 std::nullopt,
+                                 RequestRate{ 1 },
+                                 { HostId("10.0.0.7") },
+                                 std::chrono::milliseconds(2900) } };
+  report.last = true;
+  report.findings = { TargetReachabilityReport{ TargetId("t"), 2, 1 } };
+  report.excesses = { StoreFetchDelay{ "172.20.0.2:8006", 3, 41.5 } };
+  report.sends = { InFlightLoad{ TargetId("t"),
+                                 3,
+                                 TokenCount(12000),
+                                 TokenCount(36000),
+                                 { SizedPart{ PartKey(9), TokenCount(800) } } } };
+  const auto decoded = DecodeServingMessage(EncodeServingMessage(report));
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<LoadReport>(decoded.value()), news);
+  EXPECT_EQ(std::get<LoadReport>(decoded.value()), report);
 }
 
 TEST(ServingCodecTest, RoundTripsEntryHostList)
@@ -133,46 +133,46 @@
   EXPECT_FALSE(DecodeServingMessage(cut));
 }
 
-// Hundreds of hosts that connect at once are each told all targets.
+// When hundreds of hosts connect at once, each is sent an update with all targets.
 TEST(ServingCodecTest, CompressesUpdateOfManyTargetsToAThird)
 {
-  ServingUpdate picture;
+  ServingUpdate update;
   for (std::uint64_t number = 0; number < 3'000; ++number) {
-    TargetUpdate& statement = picture.targets.emplace_back();
-    // Ids look random, as those of processes do.
-    statement.record.id = TargetId("i-" + std::to_string(number * 2'654'435'761U % 4'294'967'291U));
-    statement.record.kind = TargetKind::Engine;
-    statement.record.service = ServiceName("model-a");
-    statement.record.endpoint =
+    TargetUpdate& target = update.targets.emplace_back();
+    // Random-looking ids, like those of real targets.
+    target.record.id = TargetId("i-" + std::to_string(number * 2'654'435'761U % 4'294'967'291U));
+    target.record.kind = TargetKind::Engine;
+    target.record.service = ServiceName("model-a");
+    target.record.endpoint =
       Endpoint{ "10.1." + std::to_string(number / 250) + "." + std::to_string(number % 250), 8080 };
-    statement.record.zone = ZoneId("north");
-    statement.record.sequence = Sequence(40 + number % 3);
-    statement.record.load.slots = 16;
-    statement.record.models = { ServedModel{ ModelName("model-a"), WeightVersion("3"), {} } };
+    target.record.zone = ZoneId("north");
+    target.record.sequence = Sequence(40 + number % 3);
+    target.record.load.slots = 16;
+    target.record.models = { ServedModel{ ModelName("model-a"), WeightVersion("3"), {} } };
   }
-  const std::string packed = EncodeCompressed(picture);
-  EXPECT_LT(packed.size() * 3, EncodeServingMessage(picture).size());
-  const auto decoded = DecodeServingMessage(packed);
+  const std::string compressed = EncodeCompressed(update);
+  EXPECT_LT(compressed.size() * 3, EncodeServingMessage(update).size());
+  const auto decoded = DecodeServingMessage(compressed);
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(std::get<ServingUpdate>(decoded.value()), picture);
+  EXPECT_EQ(std::get<ServingUpdate>(decoded.value()), update);
 }
 
 TEST(ServingCodecTest, RejectsDamagedCompressedMessage)
 {
-  ServingUpdate picture;
+  ServingUpdate update;
   for (std::uint64_t number = 0; number < 300; ++number) {
-    picture.targets.emplace_back().record.id = TargetId("target-" + std::to_string(number));
+    update.targets.emplace_back().record.id = TargetId("target-" + std::to_string(number));
   }
-  const std::string message = EncodeCompressed(picture);
-  const std::string packed = PackText(EncodeServingMessage(picture), "");
-  const std::size_t begin = message.find(packed);
+  const std::string message = EncodeCompressed(update);
+  const std::string compressed = PackText(EncodeServingMessage(update), "");
+  const std::size_t begin = message.find(compressed);
   ASSERT_NE(begin, std::string::npos);
-  for (std::size_t place = begin; place < begin + packed.size(); ++place) {
+  for (std::size_t position = begin; position < begin + compressed.size(); ++position) {
     std::string damaged = message;
-    damaged[place] = static_cast<char>(damaged[place] ^ 0x55);
+    damaged[position] = static_cast<char>(damaged[position] ^ 0x55);
     const auto decoded = DecodeServingMessage(damaged);
-    // A byte that no reader looks at changes nothing.
-    EXPECT_TRUE(!decoded || std::get<ServingUpdate>(decoded.value()) == picture);
+    // A byte that the decoder ignores may be damaged without effect.
+    EXPECT_TRUE(!decoded || std::get<ServingUpdate>(decoded.value()) == update);
   }
 }
 
--- a/test/protocol/StoreApiTest.cpp
+++ b/test/protocol/StoreApiTest.cpp
@@ -16,10 +16,10 @@
 TEST(StoreApiTest, RoundTripsImportOrder)
 {
   const ImportOrder order{ { "127.0.0.1", 9 }, std::chrono::milliseconds(1500), { kHeader } };
-  const ImportOrder back = ParseImportOrder(FormatImportOrder(order)).value();
-  EXPECT_EQ(back.store, order.store);
-  EXPECT_EQ(back.valid, order.valid);
-  EXPECT_EQ(back.blocks, order.blocks);
+  const ImportOrder decoded = ParseImportOrder(FormatImportOrder(order)).value();
+  EXPECT_EQ(decoded.store, order.store);
+  EXPECT_EQ(decoded.valid, order.valid);
+  EXPECT_EQ(decoded.blocks, order.blocks);
 }
 
 TEST(StoreApiTest, RoundTripsExportOrderAndResponse)
@@ -28,10 +28,10 @@
                            FencingNumber(3),
                            kHeader.scope,
                            { { Digest("aa"), Generation(1), ByteCount(2) } } };
-  const ExportOrder back = ParseExportOrder(FormatExportOrder(order)).value();
-  EXPECT_EQ(back.fencing, order.fencing);
-  EXPECT_EQ(back.scope, order.scope);
-  EXPECT_EQ(back.blocks.front().generation, Generation(1));
+  const ExportOrder decoded = ParseExportOrder(FormatExportOrder(order)).value();
+  EXPECT_EQ(decoded.fencing, order.fencing);
+  EXPECT_EQ(decoded.scope, order.scope);
+  EXPECT_EQ(decoded.blocks.front().generation, Generation(1));
   const auto exported =
     ParseExported(FormatExported({ { Digest("aa"), Generation(1), ByteCount(2), Checksum(3) } }));
   EXPECT_EQ(exported.value().front().checksum, Checksum(3));
--- a/test/protocol/StoresCodecTest.cpp
+++ b/test/protocol/StoresCodecTest.cpp
@@ -8,7 +8,7 @@
 
 template<typename Message>
 Message
-ThereAndBack(const Message& aMessage)
+RoundTrip(const Message& aMessage)
 {
   return std::get<Message>(DecodeStoresMessage(EncodeStoresMessage(aMessage)).value());
 }
@@ -16,19 +16,19 @@
 TEST(StoresCodecTest, RoundTripsNotices)
 {
   const OwnerNotice owner{ StoreId("s"), HostId("h"), FencingNumber(7) };
-  EXPECT_EQ(ThereAndBack(owner), owner);
+  EXPECT_EQ(RoundTrip(owner), owner);
   const SendsNotice sends{ { TargetId("e"), 3, TokenCount(900) } };
-  EXPECT_EQ(ThereAndBack(sends), sends);
+  EXPECT_EQ(RoundTrip(sends), sends);
   const CacheEvent event{
     TargetId("e"), Incarnation(2), Sequence(5), { Digest("aa") }, { Digest("bb") }
   };
-  EXPECT_EQ(ThereAndBack(event), event);
+  EXPECT_EQ(RoundTrip(event), event);
 }
 
 TEST(StoresCodecTest, RoundTripsCacheSnapshot)
 {
   const CacheSnapshot snapshot{ TargetId("e"), Incarnation(2), Sequence(5), { Digest("aa") } };
-  EXPECT_EQ(ThereAndBack(snapshot).blocks, snapshot.blocks);
+  EXPECT_EQ(RoundTrip(snapshot).blocks, snapshot.blocks);
 }
 
 TEST(StoresCodecTest, RoundTripsStoreQuestion)
@@ -44,14 +44,14 @@
                       800 };
   question.from = 1;
   question.to = 2;
-  const StoreQuestion back = ThereAndBack(question);
-  EXPECT_EQ(back.number, question.number);
-  EXPECT_EQ(back.kind, question.kind);
-  EXPECT_EQ(back.prompt.scope, question.prompt.scope);
-  EXPECT_EQ(back.prompt.blocks, question.prompt.blocks);
-  EXPECT_EQ(back.prompt.objective, question.prompt.objective);
-  EXPECT_TRUE(back.prompt.returning);
-  EXPECT_EQ(back.to, question.to);
+  const StoreQuestion decoded = RoundTrip(question);
+  EXPECT_EQ(decoded.number, question.number);
+  EXPECT_EQ(decoded.kind, question.kind);
+  EXPECT_EQ(decoded.prompt.scope, question.prompt.scope);
+  EXPECT_EQ(decoded.prompt.blocks, question.prompt.blocks);
+  EXPECT_EQ(decoded.prompt.objective, question.prompt.objective);
+  EXPECT_TRUE(decoded.prompt.returning);
+  EXPECT_EQ(decoded.to, question.to);
 }
 
 TEST(StoresCodecTest, RoundTripsGrantedBlocks)
@@ -62,12 +62,12 @@
   answer.grant = GrantId(8);
   answer.valid = std::chrono::seconds(9);
   answer.blocks = { { Digest("aa"), Generation(1), ByteCount(2), Checksum(3) } };
-  const StoreAnswer back = ThereAndBack(answer);
-  EXPECT_EQ(back.grant, answer.grant);
-  EXPECT_EQ(back.valid, answer.valid);
-  EXPECT_EQ(back.blocks.front().generation, Generation(1));
-  EXPECT_EQ(back.blocks.front().length, ByteCount(2));
-  EXPECT_EQ(back.blocks.front().checksum, Checksum(3));
+  const StoreAnswer decoded = RoundTrip(answer);
+  EXPECT_EQ(decoded.grant, answer.grant);
+  EXPECT_EQ(decoded.valid, answer.valid);
+  EXPECT_EQ(decoded.blocks.front().generation, Generation(1));
+  EXPECT_EQ(decoded.blocks.front().length, ByteCount(2));
+  EXPECT_EQ(decoded.blocks.front().checksum, Checksum(3));
 }
 
 RC_GTEST_PROP(StoresCodecProperty, TruncatedMessagesAreDecodedOrRejected, ())
@@ -76,7 +76,7 @@
   std::string bytes = EncodeStoresMessage(event);
   const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
   bytes.resize(cut);
-  // Never reads beyond its bytes; the sanitizer and the verifier both see to it.
+  // Must not read beyond the bytes, which the address sanitizer detects.
   (void)DecodeStoresMessage(bytes);
   RC_ASSERT(cut >= 8 || !DecodeStoresMessage(bytes));
 }
--- a/test/protocol/TargetsCodecTest.cpp
+++ b/test/protocol/TargetsCodecTest.cpp
@@ -15,10 +15,10 @@
   record.endpoint = Endpoint{ "127.0.0.1", 80 };
   record.incarnation = Incarnation(4);
   message.records = { record };
-  TargetKeepalive sign{ 1, 2, Sequence(3), {} };
-  sign.load.runningRequests = 5;
-  sign.load.queuedPrefill = TokenCount(1'000'000);
-  message.keepalives = { sign };
+  TargetKeepalive keepalive{ 1, 2, Sequence(3), {} };
+  keepalive.load.runningRequests = 5;
+  keepalive.load.queuedPrefill = TokenCount(1'000'000);
+  message.keepalives = { keepalive };
   EXPECT_EQ(DecodeTargetsMessage(EncodeTargetsMessage(message)).value(), message);
 }
 
--- a/test/protocol/UntrustedInputTest.cpp
+++ b/test/protocol/UntrustedInputTest.cpp
@@ -1,5 +1,5 @@
-// What callers, targets and peers send: whatever the bytes are, the answer is a value or an error
-// of a kind that the caller of the parser expects, with a message and a remedy.
+// Parsers of bytes from callers, targets and peers: for any bytes, the result is a value, or an
+// error of an expected kind with a message and a remedy.
 #include <set>
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
 }
 
 TargetRecord
-WholeRecord()
+MakeRecord()
 {
   TargetRecord record;
   record.id = TargetId("engine-1");
@@ -63,7 +63,7 @@
 
 RC_GTEST_PROP(UntrustedInputTest, AnnouncementsAreARecordOrAnError, ())
 {
-  ForNearlyValid(FormatTargetRecord(WholeRecord()), [](const std::string& aBody) {
+  ForNearlyValid(FormatTargetRecord(MakeRecord()), [](const std::string& aBody) {
     AssertValueOrError(ParseTargetRecord(aBody), { ErrorKind::InvalidArgument });
   });
 }
@@ -103,10 +103,10 @@
 
 RC_GTEST_PROP(UntrustedInputTest, ServingMessagesAreAMessageOrAnError, ())
 {
-  DocumentChunk piece;
-  piece.transfer = TransferId{ Revision(7), Revision(3), 40, 1 };
-  piece.bytes = std::string(40, 'x');
-  ForNearlyValid(EncodeServingMessage(piece), [](const std::string& aBytes) {
+  DocumentChunk chunk;
+  chunk.transfer = TransferId{ Revision(7), Revision(3), 40, 1 };
+  chunk.bytes = std::string(40, 'x');
+  ForNearlyValid(EncodeServingMessage(chunk), [](const std::string& aBytes) {
     AssertValueOrError(DecodeServingMessage(aBytes), { ErrorKind::Corrupt });
   });
 }
@@ -120,7 +120,8 @@
   });
 }
 
-// A machine that refuses a snapshot, or is given a command that nobody wrote, stays as it was.
+// A state machine that rejects a snapshot keeps its state, and after any command its state can
+// still be saved and loaded.
 template<typename Machine>
 void
 AssertStateStaysValid(const std::string& aSnapshot, const std::string& aCommand)
@@ -143,7 +144,7 @@
 }
 
 ClaimCommand
-WholeCommand()
+MakeClaimCommand()
 {
   ClaimCommand command;
   command.workspace = WorkspaceId("head-office");
@@ -156,7 +157,7 @@
 RC_GTEST_PROP(UntrustedInputTest, ClaimsSurviveAnySnapshotAndCommand, ())
 {
   ClaimStateMachine machine;
-  const std::string command = EncodeClaimCommand(WholeCommand());
+  const std::string command = EncodeClaimCommand(MakeClaimCommand());
   machine.Apply(ApplyContext{}, command);
   AssertStateStaysValid<ClaimStateMachine>(machine.Save(), command);
 }
@@ -171,7 +172,7 @@
 
 RC_GTEST_PROP(UntrustedInputTest, ClaimMessagesAreAValueOrAnError, ())
 {
-  ForNearlyValid(EncodeClaimCommand(WholeCommand()), [](const std::string& aBytes) {
+  ForNearlyValid(EncodeClaimCommand(MakeClaimCommand()), [](const std::string& aBytes) {
     AssertValueOrError(DecodeClaimCommand(aBytes), { ErrorKind::Corrupt });
   });
   const ClaimReply reply{ ClaimVerdict::Kept, Duration(0), KeptAnswer{} };
@@ -190,9 +191,9 @@
   ForNearlyValid(EncodeConfigMessage(message), [](const std::string& aBytes) {
     AssertValueOrError(DecodeConfigMessage(aBytes), { ErrorKind::Corrupt });
   });
-  Heartbeat beat;
-  beat.others.resize(3);
-  ForNearlyValid(EncodeHeartbeat(beat), [](const std::string& aBytes) {
+  Heartbeat heartbeat;
+  heartbeat.others.resize(3);
+  ForNearlyValid(EncodeHeartbeat(heartbeat), [](const std::string& aBytes) {
     AssertValueOrError(DecodeHeartbeat(aBytes), { ErrorKind::Corrupt });
   });
 }
@@ -215,7 +216,7 @@
   });
 }
 
-// However a stream is cut into pieces, the same texts come out.
+// The extracted data does not depend on how the stream is split into chunks.
 RC_GTEST_PROP(UntrustedInputTest, EventsAreIndependentOfChunking, ())
 {
   const auto texts = *rc::gen::container<std::vector<std::string>>(
@@ -227,8 +228,8 @@
     bytes += "data: " + text + "\n\n";
     expected.push_back(text);
   }
-  constexpr std::size_t kMostLine = 4096;
-  SseReader reader(kMostLine);
+  constexpr std::size_t kMaxLineBytes = 4096;
+  SseReader reader(kMaxLineBytes);
   std::vector<std::string> read;
   std::size_t at = 0;
   while (at < bytes.size()) {
@@ -244,13 +245,13 @@
 
 TEST(UntrustedInputTest, RejectsUnterminatedEventAtTheLimit)
 {
-  constexpr std::size_t kMostLine = 1000;
-  SseReader reader(kMostLine);
+  constexpr std::size_t kMaxLineBytes = 1000;
+  SseReader reader(kMaxLineBytes);
   std::size_t fed = 0;
-  const std::string piece(100, 'x');
-  while (reader.Feed(piece)) {
-    fed += piece.size();
-    ASSERT_LE(fed, kMostLine);
+  const std::string chunk(100, 'x');
+  while (reader.Feed(chunk)) {
+    fed += chunk.size();
+    ASSERT_LE(fed, kMaxLineBytes);
     EXPECT_FALSE(reader.Next());
   }
 }
--- a/test/protocol/UseReportTest.cpp
+++ b/test/protocol/UseReportTest.cpp
@@ -10,8 +10,8 @@
   const UseByWorkspace use{ { WorkspaceId("a"), 1 },
                             { WorkspaceId("b"), 3 },
                             { WorkspaceId("c"), 2 } };
-  const UseByWorkspace most{ { WorkspaceId("b"), 3 }, { WorkspaceId("c"), 2 } };
-  EXPECT_EQ(DecodeUseReport(EncodeUseReport(use, 2)).value(), most);
+  const UseByWorkspace costliest{ { WorkspaceId("b"), 3 }, { WorkspaceId("c"), 2 } };
+  EXPECT_EQ(DecodeUseReport(EncodeUseReport(use, 2)).value(), costliest);
 }
 
 TEST(UseReportTest, RejectsInvalidBytesAndNegativeCosts)
