--- a/include/damasklink/protocol/OperatorApi.h
+++ b/include/damasklink/protocol/OperatorApi.h
@@ -66,7 +66,7 @@
 {
   SubtreeName name;
   Revision version;
-  // Canonical YAML; empty if the subtree does not exist.
+  // The canonical text; empty if the subtree does not exist.
   std::string content;
 
   bool operator==(const SubtreeView&) const = default;
@@ -107,6 +107,7 @@
 {
   Revision revision;
   std::vector<HostId> inForce;
+  // Hosts on which the revision is not in force yet, or of which that is not known.
   std::vector<HostId> missing;
 
   bool operator==(const InForceReport&) const = default;
--- a/include/damasklink/protocol/ServingDialect.h
+++ b/include/damasklink/protocol/ServingDialect.h
@@ -43,7 +43,7 @@
   std::string host;
   std::string key;
   // How long the caller waits for the answer; empty if it states no limit.
-  std::optional<Duration> patience;
+  std::optional<Duration> timeout;
   // The last event that the caller received, if it resumes a stream.
   std::optional<std::uint64_t> lastEvent;
   ModelName model;
@@ -111,12 +111,14 @@
   virtual HttpRequestHead MakeTargetRequestHead(const HttpRequestHead& aFromCaller,
                                                 const TargetCall& aCall) const = 0;
 
+  // Reads a target's response. A field that cannot be read is reported in `unreadable`.
   virtual TargetResponseInfo ReadResponse(const HttpResponseHead& aHead) const = 0;
 
   // Returns the response for a call that the program refuses or that failed.
   virtual HttpResponseMessage FailureResponse(const CallerError& aError,
                                               const RequestId& aRequest) const = 0;
 
+  // Returns whether the request asks if this host is ready, so that it is not a call for a target.
   virtual bool IsReadinessProbe(const HttpRequestHead& aHead) const = 0;
 };
 
@@ -200,8 +202,11 @@
   virtual HttpResponseMessage Acknowledgement() const = 0;
   // Returns the response to a ConfigQuery.
   virtual HttpResponseMessage DocumentResponse(std::string_view aDocument) const = 0;
+  // Returns the response to a RefusedRequestsQuery.
   virtual HttpResponseMessage RefusedRequestsResponse(const RefusedRequests& aRefused) const = 0;
+  // Returns the response to an EvacuationQuery.
   virtual HttpResponseMessage EvacuationResponse(const EvacuationRegistry& aEvacuations) const = 0;
+  // Returns the response to a call that failed or could not be read.
   virtual HttpResponseMessage ControlErrorResponse(const Error& aError) const = 0;
 };
 
@@ -219,10 +224,11 @@
 public:
   virtual ~EngineDialect() = default;
 
+  // Asks an engine for its report.
   virtual HttpRequestMessage ReportRequest(const ReadEngine& aEngine) const = 0;
   virtual Result<EngineReport> ReadReport(std::string_view aBody) const = 0;
-  // Runs in progress continue with the new weights. Until the order is complete, the engine refuses
-  // requests that have not started.
+  // Orders an engine to load weights. Runs in progress continue with the new weights. Until the
+  // order is complete, the engine refuses requests that have not started.
   virtual HttpRequestMessage OrderRequest(const WeightsOrder& aOrder) const = 0;
 };
 
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -75,7 +75,7 @@
 {
   const auto read = this->context.dialect.ReadCall(this->request.head);
   const Duration patience =
-    read ? read.value().patience.value_or(Duration::zero()) : Duration::zero();
+    read ? read.value().timeout.value_or(Duration::zero()) : Duration::zero();
   co_await this->context.firstConfiguration.Wait(patience, this->request.body.size());
 }
 
@@ -120,7 +120,7 @@
   const bool resumable = this->route->kind == CallKind::Streaming && this->route->resumable;
   terms.repeatable = this->route->kind == CallKind::Idempotent || resumable;
   terms.mostTargets = std::max<std::uint64_t>(this->route->mostTargets, 1);
-  const Duration patience = this->call.patience.value_or(this->route->timeout);
+  const Duration patience = this->call.timeout.value_or(this->route->timeout);
   terms.endsAt = this->arrived + std::min(this->route->timeout, patience);
   this->plan.emplace(terms);
   this->question.zone = this->context.settings.zone;
--- a/test/platform/DialectTest.cpp
+++ b/test/platform/DialectTest.cpp
@@ -27,7 +27,7 @@
   ASSERT_TRUE(call);
   EXPECT_EQ(call.value().request, RequestId("9c41"));
   EXPECT_EQ(call.value().key, "secret");
-  EXPECT_EQ(call.value().patience, std::chrono::seconds(15));
+  EXPECT_EQ(call.value().timeout, std::chrono::seconds(15));
   EXPECT_EQ(call.value().promptTokens, TokenCount(1460));
   EXPECT_EQ(call.value().maxAnswerTokens, TokenCount(80));
   ASSERT_EQ(call.value().parts.size(), 3U);
