--- a/test/protocol/StoresCodecTest.cpp
+++ b/test/protocol/StoresCodecTest.cpp
@@ -76,7 +76,8 @@
   std::string bytes = EncodeStoresMessage(event);
   const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
   bytes.resize(cut);
-  // Must not read beyond the bytes, which the address sanitizer detects.
+  // Must not read beyond the bytes: the verifier prevents it, and the address sanitizer would
+  // detect it.
   (void)DecodeStoresMessage(bytes);
   RC_ASSERT(cut >= 8 || !DecodeStoresMessage(bytes));
 }
