--- a/src/protocol/ClaimMachine.cpp
+++ b/src/protocol/ClaimStateMachine.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/protocol/ClaimMachine.h"
+#include "damasklink/protocol/ClaimStateMachine.h"
 
 #include <algorithm>
 #include <limits>
@@ -12,16 +12,16 @@
 using flatbuffers::Offset;
 
 constexpr std::uint16_t kWireVersion = 1;
-// A snapshot holds up to two million entries in six or so tables each.
-constexpr flatbuffers::uoffset_t kMostTables = 100'000'000;
-constexpr flatbuffers::uoffset_t kMostDepth = 8;
+// Limit of the verifier. A snapshot has up to two million entries with about six tables each.
+constexpr flatbuffers::uoffset_t kMaxTables = 100'000'000;
+constexpr flatbuffers::uoffset_t kMaxDepth = 8;
 
 Error
 Corrupt(std::string aWhat)
 {
   return Error{ ErrorKind::Corrupt,
-                std::move(aWhat) + " does not verify",
-                "check that all hosts run versions that are next to each other" };
+                std::move(aWhat) + " is malformed",
+                "run the same or adjacent versions on all hosts" };
 }
 
 const std::uint8_t*
@@ -41,7 +41,7 @@
 const Table*
 Verified(std::string_view aBytes)
 {
-  flatbuffers::Verifier verifier(BytesOf(aBytes), aBytes.size(), kMostDepth, kMostTables);
+  flatbuffers::Verifier verifier(BytesOf(aBytes), aBytes.size(), kMaxDepth, kMaxTables);
   if (!verifier.VerifyBuffer<Table>(nullptr)) {
     return nullptr;
   }
@@ -92,6 +92,7 @@
   return answer;
 }
 
+// Returns false if the sizes differ.
 template<std::size_t kSize>
 bool
 UnpackBytes(const flatbuffers::Vector<std::uint8_t>& aFrom, std::array<std::uint8_t, kSize>& aTo)
@@ -128,11 +129,12 @@
                                 answer);
 }
 
+// Returns false if the entry is malformed.
 bool
 UnpackEntry(const wire::ClaimEntry& aFrom, ClaimName& aName, ClaimEntry& aTo)
 {
-  const bool whole = UnpackBytes(*aFrom.name(), aName) && UnpackBytes(*aFrom.body(), aTo.body) &&
-                     UnpackBytes(*aFrom.attempt(), aTo.attempt);
+  const bool complete = UnpackBytes(*aFrom.name(), aName) && UnpackBytes(*aFrom.body(), aTo.body) &&
+                        UnpackBytes(*aFrom.attempt(), aTo.attempt);
   aTo.expiry = TimeOf(aFrom.expiry());
   aTo.leaseEnd = TimeOf(aFrom.lease_end());
   aTo.createdAt = TimeOf(aFrom.birth());
@@ -142,7 +144,7 @@
     aTo.answer =
       std::make_unique<StoredAnswer>(StoredAnswer{ LogIndex(aFrom.stored_at()), *answer });
   }
-  return whole && aTo.state >= ClaimState::Running && aTo.state <= ClaimState::Released;
+  return complete && aTo.state >= ClaimState::Running && aTo.state <= ClaimState::Released;
 }
 
 ClaimRegistry::Header
@@ -236,25 +238,25 @@
 }
 
 std::string
-ClaimMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
+ClaimStateMachine::Apply(const ApplyContext& aContext, std::string_view aCommand)
 {
   auto command = DecodeClaimCommand(aCommand);
   if (!command) {
     return EncodeClaimReply(ClaimReply());
   }
-  return EncodeClaimReply(this->ledger.Apply(aContext, command.value()));
+  return EncodeClaimReply(this->claims.Apply(aContext, command.value()));
 }
 
 std::string
-ClaimMachine::Save() const
+ClaimStateMachine::Save() const
 {
   FlatBufferBuilder builder;
   std::vector<Offset<wire::ClaimEntry>> entries;
-  entries.reserve(this->ledger.Size());
-  this->ledger.Visit([&](const ClaimName& aName, const ClaimEntry& aEntry) {
+  entries.reserve(this->claims.Size());
+  this->claims.Visit([&](const ClaimName& aName, const ClaimEntry& aEntry) {
     entries.push_back(PackEntry(builder, aName, aEntry));
   });
-  const ClaimRegistry::Header& head = this->ledger.GetHeader();
+  const ClaimRegistry::Header& head = this->claims.GetHeader();
   const auto packed = builder.CreateVector(entries);
   builder.Finish(wire::CreateClaimSnapshot(builder,
                                            kWireVersion,
@@ -267,7 +269,7 @@
 }
 
 Result<void>
-ClaimMachine::Load(std::string_view aSnapshot)
+ClaimStateMachine::Load(std::string_view aSnapshot)
 {
   const auto* packed = Verified<wire::ClaimSnapshot>(aSnapshot);
   if (packed == nullptr || packed->version() != kWireVersion || packed->entries() == nullptr) {
@@ -283,7 +285,7 @@
     }
     fresh.Restore(name, std::move(unpacked));
   }
-  this->ledger = std::move(fresh);
+  this->claims = std::move(fresh);
   return Success();
 }
 
--- a/src/protocol/HttpMessage.cpp
+++ b/src/protocol/HttpMessage.cpp
@@ -13,8 +13,8 @@
 namespace damasklink {
 namespace {
 
-// RFC 9110, section 7.6.1, and the fields that state the length of a body.
-constexpr std::array<std::string_view, 8> kConnectionFields{
+// The fields of RFC 9110, section 7.6.1, and those that delimit the body.
+constexpr std::array<std::string_view, 8> kHopByHopFields{
   "Connection", "Keep-Alive",        "Proxy-Connection", "TE",
   "Upgrade",    "Transfer-Encoding", "Content-Length",   "Trailer",
 };
@@ -60,7 +60,7 @@
 }
 
 bool
-HoldsToken(std::string_view aValue, std::string_view aToken)
+ContainsToken(std::string_view aValue, std::string_view aToken)
 {
   for (const absl::string_view item : absl::StrSplit(ForAbsl(aValue), ',')) {
     if (absl::EqualsIgnoreCase(absl::StripAsciiWhitespace(item), ForAbsl(aToken))) {
@@ -128,50 +128,50 @@
 {
   for (const HttpField& field : aHead.fields.All()) {
     if (HasControlCharacter(field.value)) {
-      return Malformed(Concat("field '", field.name, "' holds a control character"));
+      return Malformed(Concat("field '", field.name, "' contains a control character"));
     }
   }
   const std::size_t lengths = aHead.fields.Count("Content-Length");
   const std::size_t codings = aHead.fields.Count("Transfer-Encoding");
   if (lengths + codings > 1) {
-    return Malformed("the length of the body is stated more than once");
+    return Malformed("the body length is stated more than once");
   }
   if (lengths == 1 && !IsDecimal(aHead.fields.Get("Content-Length"))) {
-    return Malformed("Content-Length is not one decimal number");
+    return Malformed("Content-Length is not a decimal number");
   }
   if (codings == 1 && !EqualIgnoringCase(aHead.fields.Get("Transfer-Encoding"), "chunked")) {
     return Malformed("the transfer coding is not 'chunked'");
   }
   if (codings == 1 && aHead.version < 11) {
-    return Malformed("chunks do not exist in HTTP/1.0");
+    return Malformed("HTTP/1.0 has no chunked transfer coding");
   }
   if (aHead.fields.Count("Host") > 1) {
-    return Malformed("there is more than one Host");
+    return Malformed("there is more than one Host field");
   }
   return Success();
 }
 
 void
-RemoveConnectionFields(HttpFields& aFields)
+RemoveHopByHopFields(HttpFields& aFields)
 {
   const std::string named(aFields.Get("Connection"));
   for (const absl::string_view item : absl::StrSplit(named, ',', absl::SkipWhitespace())) {
     const absl::string_view name = absl::StripAsciiWhitespace(item);
     aFields.Remove(std::string_view(name.data(), name.size()));
   }
-  for (const std::string_view name : kConnectionFields) {
+  for (const std::string_view name : kHopByHopFields) {
     aFields.Remove(name);
   }
 }
 
 bool
-AsksToClose(const HttpFields& aFields, int aVersion)
+ClosesConnection(const HttpFields& aFields, int aVersion)
 {
   const std::string_view connection = aFields.Get("Connection");
-  if (HoldsToken(connection, "close")) {
+  if (ContainsToken(connection, "close")) {
     return true;
   }
-  return aVersion < 11 && !HoldsToken(connection, "keep-alive");
+  return aVersion < 11 && !ContainsToken(connection, "keep-alive");
 }
 
 std::optional<std::uint64_t>
@@ -240,14 +240,14 @@
 }
 
 std::string
-FormatAnswerHead(const HttpAnswerHead& aHead,
-                 AnswerFraming aFraming,
-                 std::size_t aBodyBytes,
-                 bool aClose)
+FormatResponseHead(const HttpResponseHead& aHead,
+                   BodyFraming aFraming,
+                   std::size_t aBodyBytes,
+                   bool aClose)
 {
   std::string text = Concat("HTTP/1.1 ", aHead.status, " ", ReasonPhrase(aHead.status), "\r\n");
   AppendFields(text, aHead.fields);
-  if (aFraming == AnswerFraming::Chunks) {
+  if (aFraming == BodyFraming::Chunks) {
     text += "Transfer-Encoding: chunked\r\n";
   } else {
     text += Concat("Content-Length: ", aBodyBytes, "\r\n");
--- a/test/protocol/StoreApiTest.cpp
+++ b/test/protocol/StoreApiTest.cpp
@@ -13,31 +13,31 @@
   Checksum(18'000'000'000'000'000'000ULL),
 };
 
-TEST(StoreApiTest, ImportOrderComesBackAsItWas)
+TEST(StoreApiTest, RoundTripsImportOrder)
 {
   const ImportOrder order{ { "127.0.0.1", 9 }, std::chrono::milliseconds(1500), { kHeader } };
-  const ImportOrder back = ParseImportOrder(FormatImportOrder(order)).value();
-  EXPECT_EQ(back.store, order.store);
-  EXPECT_EQ(back.valid, order.valid);
-  EXPECT_EQ(back.blocks, order.blocks);
+  const ImportOrder decoded = ParseImportOrder(FormatImportOrder(order)).value();
+  EXPECT_EQ(decoded.store, order.store);
+  EXPECT_EQ(decoded.valid, order.valid);
+  EXPECT_EQ(decoded.blocks, order.blocks);
 }
 
-TEST(StoreApiTest, ExportOrderAndItsAnswerComeBack)
+TEST(StoreApiTest, RoundTripsExportOrderAndResponse)
 {
   const ExportOrder order{ { "127.0.0.1", 9 },
                            FencingNumber(3),
                            kHeader.scope,
                            { { Digest("aa"), Generation(1), ByteCount(2) } } };
-  const ExportOrder back = ParseExportOrder(FormatExportOrder(order)).value();
-  EXPECT_EQ(back.fencing, order.fencing);
-  EXPECT_EQ(back.scope, order.scope);
-  EXPECT_EQ(back.blocks.front().generation, Generation(1));
+  const ExportOrder decoded = ParseExportOrder(FormatExportOrder(order)).value();
+  EXPECT_EQ(decoded.fencing, order.fencing);
+  EXPECT_EQ(decoded.scope, order.scope);
+  EXPECT_EQ(decoded.blocks.front().generation, Generation(1));
   const auto exported =
     ParseExported(FormatExported({ { Digest("aa"), Generation(1), ByteCount(2), Checksum(3) } }));
   EXPECT_EQ(exported.value().front().checksum, Checksum(3));
 }
 
-TEST(StoreApiTest, CacheEventAndInventoryComeBack)
+TEST(StoreApiTest, RoundTripsCacheEventAndInventory)
 {
   const CacheEvent event{
     TargetId("e"), Incarnation(2), Sequence(5), { Digest("aa") }, { Digest("bb") }
@@ -46,7 +46,7 @@
   EXPECT_EQ(ParseInventory(FormatInventory({ kHeader })).value(), std::vector{ kHeader });
 }
 
-TEST(StoreApiTest, FaultsNameTheField)
+TEST(StoreApiTest, ErrorsNameTheField)
 {
   const auto noScope = ParseBlockHeader(R"({"block":"aa","scope":{"workspace":"w"}})");
   ASSERT_FALSE(noScope);
--- a/test/protocol/TargetsWireTest.cpp
+++ b/test/protocol/TargetsCodecTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/protocol/TargetsWire.h"
+#include "damasklink/protocol/TargetsCodec.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -6,7 +6,7 @@
 namespace damasklink {
 namespace {
 
-TEST(TargetsWireTest, RecordsAndSignsReadBack)
+TEST(TargetsCodecTest, RoundTripsRecordsAndKeepalives)
 {
   TargetsMessage message;
   message.kind = TargetsMessageKind::Refresh;
@@ -15,14 +15,14 @@
   record.endpoint = Endpoint{ "127.0.0.1", 80 };
   record.incarnation = Incarnation(4);
   message.records = { record };
-  TargetKeepalive sign{ 1, 2, Sequence(3), {} };
-  sign.load.runningRequests = 5;
-  sign.load.queuedPrefill = TokenCount(1'000'000);
-  message.keepalives = { sign };
+  TargetKeepalive keepalive{ 1, 2, Sequence(3), {} };
+  keepalive.load.runningRequests = 5;
+  keepalive.load.queuedPrefill = TokenCount(1'000'000);
+  message.keepalives = { keepalive };
   EXPECT_EQ(DecodeTargetsMessage(EncodeTargetsMessage(message)).value(), message);
 }
 
-RC_GTEST_PROP(TargetsWireTest, AnyBytesAreRefusedOrRead, (const std::string& aBytes))
+RC_GTEST_PROP(TargetsCodecTest, AnyBytesAreDecodedOrRejected, (const std::string& aBytes))
 {
   const auto message = DecodeTargetsMessage(aBytes);
   RC_ASSERT((message || !message.error().message.empty()));
