--- a/bench/ConfigurationHosts.cpp
+++ b/bench/ConfigurationHosts.cpp
@@ -80,10 +80,10 @@
     return allStarted.load();
   }
 
-  Result<HttpAnswer> Call(std::size_t aHost,
-                          const std::string& aMethod,
-                          const std::string& aPath,
-                          const std::string& aBody) const
+  Result<HttpClientResponse> Call(std::size_t aHost,
+                                  const std::string& aMethod,
+                                  const std::string& aPath,
+                                  const std::string& aBody) const
   {
     HttpCall call;
     call.endpoint = this->operators[aHost];
--- a/include/damasklink/transport/CallerChannel.h
+++ b/include/damasklink/transport/CallerConnection.h
@@ -1,6 +1,6 @@
 // The serving side of one HTTP/1.1 connection on the event loop.
 //
-//   CallerChannel channel(std::move(socket));
+//   CallerConnection channel(std::move(socket));
 //   auto request = co_await channel.Read(limits);
 //   if (!request) ...                          // The error says what to answer, or that it left.
 //   co_await channel.WriteWhole(answer, close);
@@ -17,13 +17,13 @@
 
 namespace damasklink {
 
-class CallerChannel
+class CallerConnection
 {
 public:
-  explicit CallerChannel(TcpSocket aSocket);
-  ~CallerChannel();
-  CallerChannel(const CallerChannel&) = delete;
-  CallerChannel& operator=(const CallerChannel&) = delete;
+  explicit CallerConnection(TcpSocket aSocket);
+  ~CallerConnection();
+  CallerConnection(const CallerConnection&) = delete;
+  CallerConnection& operator=(const CallerConnection&) = delete;
 
   // Reads the next request, body included. Fails with
   // - Interrupted when the peer closed, or was idle for too long, between two requests,
@@ -37,12 +37,12 @@
   Awaitable<bool> WriteWhole(HttpAnswerMessage aAnswer, bool aClose);
   // The head of an answer of unknown length, and its first piece with it.
   Awaitable<bool> BeginStream(const HttpAnswerHead& aHead, std::string_view aPiece, bool aClose);
-  Awaitable<bool> WritePiece(std::string_view aPiece);
+  Awaitable<bool> WriteChunk(std::string_view aPiece);
   Awaitable<bool> EndStream();
 
   // Calls aLeft once when the peer closes before StopWatching(). Requires that nothing is read
   // meanwhile.
-  void WatchForLeaving(std::function<void()> aLeft);
+  void WatchForDisconnect(std::function<void()> aLeft);
   void StopWatching();
 
   // Closes when no request has been begun and none waits to be read.
--- a/include/damasklink/transport/ChannelListener.h
+++ b/include/damasklink/transport/ConnectionListener.h
@@ -1,6 +1,6 @@
 // Takes connections on one address and serves each with a coroutine, on the event loop.
 //
-//   ChannelListener listener(loop);
+//   ConnectionListener listener(loop);
 //   auto listening = listener.Listen(endpoint, [this](auto aChannel) { return Serve(aChannel); });
 //   listener.Close();
 #pragma once
@@ -8,17 +8,17 @@
 #include <functional>
 #include <memory>
 
-#include "damasklink/transport/CallerChannel.h"
+#include "damasklink/transport/CallerConnection.h"
 
 namespace damasklink {
 
-class ChannelListener
+class ConnectionListener
 {
 public:
   // The channel is shared with whoever may close it while it is served.
-  using Serve = std::function<Awaitable<void>(std::shared_ptr<CallerChannel>)>;
+  using Serve = std::function<Awaitable<void>(std::shared_ptr<CallerConnection>)>;
 
-  explicit ChannelListener(asio::io_context& aLoop)
+  explicit ConnectionListener(asio::io_context& aLoop)
     : loop(aLoop)
   {
   }
--- a/include/damasklink/transport/DialPace.h
+++ b/include/damasklink/transport/DialBackoff.h
@@ -1,8 +1,8 @@
 // How long a host waits for a connection to a peer, and when it tries again.
 //
-//   DialPace pace(timing);
-//   pace.Patience();    // Give the attempt up after so long,
-//   pace.Pause();       // and begin the next one so long after it.
+//   DialBackoff pace(timing);
+//   pace.ConnectTimeout();    // Give the attempt up after so long,
+//   pace.RetryDelay();       // and begin the next one so long after it.
 //   pace.OnFailed();
 //   pace.OnUp();
 //
@@ -19,28 +19,31 @@
 struct DialTiming
 {
   // Of the first attempts: several times the way there and back between zones.
-  Duration firstPatience = std::chrono::milliseconds(150);
-  Duration firstPause = std::chrono::milliseconds(50);
+  Duration firstConnectTimeout = std::chrono::milliseconds(150);
+  Duration firstRetryDelay = std::chrono::milliseconds(50);
   int firstAttempts = 5;
   // Of all later ones.
   Duration patience = std::chrono::milliseconds(700);
   Duration pause = std::chrono::milliseconds(300);
 };
 
-class DialPace
+class DialBackoff
 {
 public:
-  explicit DialPace(DialTiming aTiming)
+  explicit DialBackoff(DialTiming aTiming)
     : timing(aTiming)
   {
   }
 
-  Duration Patience() const
+  Duration ConnectTimeout() const
   {
-    return this->IsEarly() ? this->timing.firstPatience : this->timing.patience;
+    return this->IsEarly() ? this->timing.firstConnectTimeout : this->timing.patience;
   }
 
-  Duration Pause() const { return this->IsEarly() ? this->timing.firstPause : this->timing.pause; }
+  Duration RetryDelay() const
+  {
+    return this->IsEarly() ? this->timing.firstRetryDelay : this->timing.pause;
+  }
 
   void OnFailed() { ++this->failed; }
 
--- a/include/damasklink/transport/EngineStream.h
+++ b/include/damasklink/transport/EngineStream.h
@@ -45,7 +45,7 @@
                DispatchRecord& aRecord);
 
   Result<void> ReadHeader();
-  Result<void> ReadPiece();
+  Result<void> ReadChunk();
   Result<std::string> TakeFrame(std::string_view aData);
   Result<std::string> Lose(Error aError);
 
--- a/include/damasklink/transport/EventLoop.h
+++ b/include/damasklink/transport/EventLoop.h
@@ -35,7 +35,7 @@
 
 // Returns the address as the library's type. Requires that it was parsed by ParseEndpoint().
 TcpEndpoint
-IoEndpoint(const Endpoint& aEndpoint);
+ToTcpEndpoint(const Endpoint& aEndpoint);
 
 // Opens a listening socket. Fails with Unavailable when the address is taken.
 Result<TcpAcceptor>
--- a/include/damasklink/transport/FrameCodec.h
+++ b/include/damasklink/transport/FrameCodec.h
@@ -11,7 +11,7 @@
 constexpr std::size_t kFramePrefixBytes = 4;
 
 // A longer frame is no frame of ours.
-constexpr std::size_t kMostFrameBytes = 64 * kMebibyte;
+constexpr std::size_t kMaxFrameBytes = 64 * kMebibyte;
 
 using FramePrefix = std::array<unsigned char, kFramePrefixBytes>;
 
--- a/include/damasklink/transport/HttpClient.h
+++ b/include/damasklink/transport/HttpClient.h
@@ -28,7 +28,7 @@
   Duration readTimeout = std::chrono::seconds(30);
 };
 
-struct HttpAnswer
+struct HttpClientResponse
 {
   int status = 0;
   std::vector<std::pair<std::string, std::string>> headers;
@@ -78,7 +78,7 @@
 };
 
 // Makes a whole call and reads an answer of at most aMostBody bytes.
-Result<HttpAnswer>
+Result<HttpClientResponse>
 CallHttp(HttpCall aCall, ByteCount aMostBody);
 
 } // namespace damasklink
--- a/include/damasklink/transport/HttpServer.h
+++ b/include/damasklink/transport/HttpServer.h
@@ -75,8 +75,8 @@
   {
     Endpoint endpoint;
     std::size_t threads = 16;
-    ByteCount mostBody{ kMebibyte };
-    Duration idle = std::chrono::seconds(30);
+    ByteCount maxBody{ kMebibyte };
+    Duration idleTimeout = std::chrono::seconds(30);
   };
 
   explicit HttpServer(Options aOptions);
--- a/include/damasklink/transport/Log.h
+++ b/include/damasklink/transport/Log.h
@@ -42,7 +42,7 @@
 // Lines of one event name that are written in a second; further ones are counted, and the count is
 // written with the first line of the next second. A host that fails 100 calls a second still logs
 // each of them; a storm beyond that costs neither the disk nor the processor.
-constexpr int kMostLinesPerSecond = 100;
+constexpr int kMaxLinesPerSecond = 100;
 
 // One event, written when it goes out of scope. Never pass prompt text or keys.
 //
--- a/include/damasklink/transport/PeerMesh.h
+++ b/include/damasklink/transport/PeerMesh.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "damasklink/transport/DialPace.h"
+#include "damasklink/transport/DialBackoff.h"
 #include "damasklink/transport/EventLoop.h"
 #include "damasklink/transport/PeerNetwork.h"
 
@@ -71,7 +71,7 @@
   void Dial(const HostId& aPeer);
 
   // Ends the connection to the host that this side opened.
-  void Hang(const HostId& aPeer);
+  void Disconnect(const HostId& aPeer);
 
   bool IsDialed(const HostId& aPeer) const { return this->dialed.contains(aPeer); }
 
@@ -103,7 +103,7 @@
   std::unique_ptr<TcpAcceptor> acceptor;
   // By peer; null while the connection is not being opened or up.
   std::map<HostId, std::shared_ptr<Link>> dialed;
-  std::map<HostId, DialPace> paces;
+  std::map<HostId, DialBackoff> paces;
   std::map<HostId, std::shared_ptr<Link>> accepted;
   // Accepted and not yet named.
   std::vector<std::weak_ptr<Link>> unnamed;
--- a/include/damasklink/transport/TargetChannel.h
+++ b/include/damasklink/transport/TargetConnection.h
@@ -1,13 +1,13 @@
 // The calling side of one HTTP/1.1 connection on the event loop, and the pool that keeps them.
 //
-//   std::unique_ptr<TargetChannel> channel = pool.TakeIdle(endpoint);
+//   std::unique_ptr<TargetConnection> channel = pool.TakeIdle(endpoint);
 //   if (channel == nullptr) {
-//     channel = std::make_unique<TargetChannel>(executor, clock);
+//     channel = std::make_unique<TargetConnection>(executor, clock);
 //     auto connected = co_await channel->Connect(endpoint, patience);
 //   }
 //   co_await channel->Send(head, body);
 //   auto answer = co_await channel->ReadHead();
-//   while (auto piece = co_await channel->ReadPiece(); ...)
+//   while (auto piece = co_await channel->ReadChunk(); ...)
 //   pool.Keep(endpoint, std::move(channel));
 //
 // An answer may begin before the request has been read, may have a length, chunks or end with its
@@ -28,13 +28,13 @@
 
 namespace damasklink {
 
-class TargetChannel
+class TargetConnection
 {
 public:
-  TargetChannel(const asio::any_io_executor& aExecutor, const Clock& aClock);
-  ~TargetChannel();
-  TargetChannel(const TargetChannel&) = delete;
-  TargetChannel& operator=(const TargetChannel&) = delete;
+  TargetConnection(const asio::any_io_executor& aExecutor, const Clock& aClock);
+  ~TargetConnection();
+  TargetConnection(const TargetConnection&) = delete;
+  TargetConnection& operator=(const TargetConnection&) = delete;
 
   // Fails with NotFound when nothing listens there and else with Unavailable; then no byte of a
   // request has left this host.
@@ -54,9 +54,9 @@
 
   // Returns the next bytes of the body, valid until the next call, and nothing at its end. Fails
   // with Interrupted when the answer broke off and with Corrupt when its framing is broken.
-  Awaitable<Result<std::optional<std::string_view>>> ReadPiece();
+  Awaitable<Result<std::optional<std::string_view>>> ReadChunk();
 
-  // Reads the whole rest of the body, and tells of each piece that comes in. Fails as ReadPiece()
+  // Reads the whole rest of the body, and tells of each piece that comes in. Fails as ReadChunk()
   // does, and with Overloaded when it is longer than aMost.
   Awaitable<Result<std::string>> ReadRest(std::size_t aMost,
                                           std::function<void()> aOnPiece = nullptr);
@@ -83,22 +83,22 @@
 };
 
 // Keeps idle connections by address, the most recently used first.
-class TargetChannelPool
+class TargetConnectionPool
 {
 public:
   // Idle connections kept to one target; more are closed. A host needs about as many as it has
   // requests at the target at once.
-  static constexpr std::size_t kMostIdle = 64;
+  static constexpr std::size_t kMaxIdle = 64;
 
-  explicit TargetChannelPool(const Clock& aClock)
+  explicit TargetConnectionPool(const Clock& aClock)
     : clock(aClock)
   {
   }
 
   // Returns an idle connection that is still open, or null.
-  std::unique_ptr<TargetChannel> TakeIdle(const Endpoint& aEndpoint);
+  std::unique_ptr<TargetConnection> TakeIdle(const Endpoint& aEndpoint);
 
-  void Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetChannel> aChannel);
+  void Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetConnection> aChannel);
 
   // Closes those that were idle for too long. Requires to be called now and then.
   void CloseExpired();
@@ -110,7 +110,7 @@
 
 private:
   const Clock& clock;
-  absl::flat_hash_map<std::string, std::deque<std::unique_ptr<TargetChannel>>> idle;
+  absl::flat_hash_map<std::string, std::deque<std::unique_ptr<TargetConnection>>> idle;
 };
 
 } // namespace damasklink
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -13,7 +13,7 @@
 #include "damasklink/coordination/SettledWeights.h"
 #include "damasklink/protocol/ServingCodec.h"
 #include "damasklink/state/MetricsRegistry.h"
-#include "damasklink/transport/ChannelListener.h"
+#include "damasklink/transport/ConnectionListener.h"
 #include "damasklink/transport/Log.h"
 #include "damasklink/transport/PeerMesh.h"
 
@@ -147,7 +147,7 @@
                         this->roster, this->crashes,  this->mesh,  this->account };
   MetricsPage metricsPage{ this->loop, this->metrics, this->settings.host };
   ControlCalls calls;
-  ChannelListener callers{ this->loop };
+  ConnectionListener callers{ this->loop };
   ServingSignals signals;
   asio::steady_timer ticker;
   // The version whose services are followed.
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-Exchange::Exchange(EntryContext& aContext, CallerChannel& aCaller, HttpRequestMessage aRequest)
+Exchange::Exchange(EntryContext& aContext, CallerConnection& aCaller, HttpRequestMessage aRequest)
   : context(aContext)
   , caller(aCaller)
   , request(std::move(aRequest))
@@ -63,7 +63,7 @@
   this->ending.emplace(this->context.loop.get_executor(),
                        [this] { this->OnInterrupt(Interrupt::Expired); });
   this->ending->Arm(std::max(this->TimeLeft(), Duration::zero()));
-  this->caller.WatchForLeaving([this] { this->OnInterrupt(Interrupt::CallerLeft); });
+  this->caller.WatchForDisconnect([this] { this->OnInterrupt(Interrupt::CallerLeft); });
   const bool kept = co_await this->Relay();
   this->ending->Disarm();
   this->caller.StopWatching();
@@ -243,15 +243,15 @@
   co_return end;
 }
 
-Awaitable<std::unique_ptr<TargetChannel>>
+Awaitable<std::unique_ptr<TargetConnection>>
 Exchange::Connect(const TargetRecord& aTarget)
 {
-  std::unique_ptr<TargetChannel> idle = this->context.pool.TakeIdle(aTarget.endpoint);
+  std::unique_ptr<TargetConnection> idle = this->context.pool.TakeIdle(aTarget.endpoint);
   if (idle != nullptr) {
     co_return idle;
   }
   auto fresh =
-    std::make_unique<TargetChannel>(this->context.loop.get_executor(), this->context.clock);
+    std::make_unique<TargetConnection>(this->context.loop.get_executor(), this->context.clock);
   const Duration patience =
     std::clamp(this->TimeLeft(), Duration(std::chrono::milliseconds(1)), kConnectPatience);
   auto connected = co_await fresh->Connect(aTarget.endpoint, patience);
@@ -380,7 +380,7 @@
 {
   RemoveConnectionFields(aHead.fields);
   while (true) {
-    auto piece = co_await this->channel->ReadPiece();
+    auto piece = co_await this->channel->ReadChunk();
     if (!piece) {
       LogEvent(LogLevel::Info, "stream_broke")
         .With("request", this->call.request)
@@ -422,7 +422,7 @@
 Exchange::PassEvents(const HttpAnswerHead& aHead, std::string_view aEvents)
 {
   if (this->plan->PassedOn()) {
-    co_return co_await this->caller.WritePiece(aEvents);
+    co_return co_await this->caller.WriteChunk(aEvents);
   }
   this->plan->MarkPassedOn();
   this->context.metrics.Observe(Sample::FirstToken,
--- a/src/program/HostProcess.cpp
+++ b/src/program/HostProcess.cpp
@@ -25,8 +25,8 @@
   HttpServer::Options options;
   options.endpoint = aEndpoint;
   options.threads = aThreads;
-  options.mostBody = aSettings.limits.requestBody;
-  options.idle = aSettings.limits.callerIdle;
+  options.maxBody = aSettings.limits.requestBody;
+  options.idleTimeout = aSettings.limits.callerIdle;
   return options;
 }
 
--- a/src/program/MetricsPage.h
+++ b/src/program/MetricsPage.h
@@ -4,7 +4,7 @@
 #include <memory>
 
 #include "damasklink/state/MetricsRegistry.h"
-#include "damasklink/transport/ChannelListener.h"
+#include "damasklink/transport/ConnectionListener.h"
 
 namespace damasklink {
 
@@ -23,9 +23,9 @@
   Result<void> Listen(const Endpoint& aEndpoint);
 
 private:
-  Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
+  Awaitable<void> Serve(std::shared_ptr<CallerConnection> aChannel);
 
-  ChannelListener listener;
+  ConnectionListener listener;
   const MetricsRegistry& registry;
   const HostId& host;
 };
--- a/src/program/ServiceRelay.cpp
+++ b/src/program/ServiceRelay.cpp
@@ -118,7 +118,7 @@
   return std::nullopt;
 }
 
-Result<HttpAnswer>
+Result<HttpClientResponse>
 ServiceRelay::SendToSomeTarget()
 {
   const std::vector<TargetRecord> targets = this->context.admission.Usable(this->Targets());
@@ -149,7 +149,7 @@
   return wanted && (notRun || harmless) && this->context.state.TakeRetry();
 }
 
-Result<HttpAnswer>
+Result<HttpClientResponse>
 ServiceRelay::SendTo(const TargetRecord& aTarget)
 {
   const std::size_t number = this->record.Attempts().size() + 1;
@@ -179,7 +179,7 @@
 }
 
 // Reads the whole answer within the deadline of the call, however slowly it drips.
-Result<HttpAnswer>
+Result<HttpClientResponse>
 ServiceRelay::Exchange(HttpExchange& aExchange)
 {
   if (auto sent = aExchange.Send(); !sent) {
@@ -189,7 +189,7 @@
   if (auto header = aExchange.ReadHeader(); !header) {
     return Fail(header.error());
   }
-  HttpAnswer answer;
+  HttpClientResponse answer;
   answer.status = aExchange.Status();
   answer.headers.emplace_back("content-type", aExchange.Header("content-type"));
   const std::size_t mostBody = this->context.host.settings.limits.requestBody.Value();
--- a/src/program/ServiceRelay.h
+++ b/src/program/ServiceRelay.h
@@ -42,10 +42,10 @@
 
   // Returns the response when the call must not be sent; else the ticket, if need be, is held.
   std::optional<HttpResponse> ClaimKey();
-  Result<HttpAnswer> SendToSomeTarget();
+  Result<HttpClientResponse> SendToSomeTarget();
   bool MayRepeat() const;
-  Result<HttpAnswer> SendTo(const TargetRecord& aTarget);
-  Result<HttpAnswer> Exchange(HttpExchange& aExchange);
+  Result<HttpClientResponse> SendTo(const TargetRecord& aTarget);
+  Result<HttpClientResponse> Exchange(HttpExchange& aExchange);
   HttpCall MakeCall(const TargetRecord& aTarget, const AttemptId& aAttempt) const;
   HttpResponse Failure(const CallerError& aFailure);
   Duration TimeLeft() const;
--- a/src/program/ServingSetup.cpp
+++ b/src/program/ServingSetup.cpp
@@ -11,7 +11,7 @@
 std::string
 ServingSettingsFile(const std::string& aNamed)
 {
-  return aNamed.empty() ? platform::SettingsFileOfEnvironment() : aNamed;
+  return aNamed.empty() ? platform::SettingsFileFromEnvironment() : aNamed;
 }
 
 // Logs every fault, and returns nothing when there is one.
--- a/src/transport/CallerChannel.cpp
+++ b/src/transport/CallerConnection.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/CallerChannel.h"
+#include "damasklink/transport/CallerConnection.h"
 
 #include <array>
 
@@ -14,7 +14,7 @@
 using RequestParser = http::request_parser<http::string_body>;
 
 // A caller that reads nothing for this long gets nothing more: it holds a target's slot meanwhile.
-constexpr Duration kWritePatience = std::chrono::seconds(10);
+constexpr Duration kWriteTimeout = std::chrono::seconds(10);
 
 // Bytes in one write, after which the caller's patience counts anew; the library's own figure.
 constexpr std::size_t kWriteBytes = std::size_t{ 64 } * 1024;
@@ -71,7 +71,7 @@
 
 } // namespace
 
-class CallerChannel::Impl
+class CallerConnection::Impl
 {
 public:
   explicit Impl(TcpSocket aSocket)
@@ -92,14 +92,14 @@
 
   Awaitable<bool> Write(std::string_view aFirst, std::string_view aSecond = {})
   {
-    this->StartWaiting(kWritePatience);
+    this->StartWaiting(kWriteTimeout);
     const std::array<asio::const_buffer, 2> buffers{ asio::buffer(aFirst), asio::buffer(aSecond) };
     std::size_t written = 0;
     // Bytes that leave show that the caller reads; a large answer to a thin link takes its time.
     const auto more = [this, &written](const IoError& aError, std::size_t aWritten) {
       if (aWritten > written) {
         written = aWritten;
-        this->StartWaiting(kWritePatience);
+        this->StartWaiting(kWriteTimeout);
       }
       return aError ? 0 : kWriteBytes;
     };
@@ -117,20 +117,20 @@
   beast::flat_buffer buffer;
 };
 
-CallerChannel::CallerChannel(TcpSocket aSocket)
+CallerConnection::CallerConnection(TcpSocket aSocket)
   : impl(std::make_unique<Impl>(std::move(aSocket)))
 {
   SetNoDelay(this->impl->socket);
-  SetSendTimeout(this->impl->socket, kWritePatience);
+  SetSendTimeout(this->impl->socket, kWriteTimeout);
 }
 
-CallerChannel::~CallerChannel()
+CallerConnection::~CallerConnection()
 {
   ++*this->impl->watch;
 }
 
 Awaitable<Result<HttpRequestMessage>>
-CallerChannel::Read(const CallerLimits& aLimits)
+CallerConnection::Read(const CallerLimits& aLimits)
 {
   Impl& channel = *this->impl;
   const auto headerTimeout = aLimits.headerTimeout;
@@ -174,7 +174,7 @@
 }
 
 Awaitable<bool>
-CallerChannel::WriteWhole(HttpAnswerMessage aAnswer, bool aClose)
+CallerConnection::WriteWhole(HttpAnswerMessage aAnswer, bool aClose)
 {
   const std::string head =
     FormatAnswerHead(aAnswer.head, AnswerFraming::Length, aAnswer.body.size(), aClose);
@@ -184,7 +184,7 @@
 }
 
 Awaitable<bool>
-CallerChannel::BeginStream(const HttpAnswerHead& aHead, std::string_view aPiece, bool aClose)
+CallerConnection::BeginStream(const HttpAnswerHead& aHead, std::string_view aPiece, bool aClose)
 {
   std::string bytes = FormatAnswerHead(aHead, AnswerFraming::Chunks, 0, aClose);
   bytes += Concat(absl::Hex(aPiece.size()), "\r\n", aPiece, "\r\n");
@@ -192,14 +192,14 @@
 }
 
 Awaitable<bool>
-CallerChannel::WritePiece(std::string_view aPiece)
+CallerConnection::WriteChunk(std::string_view aPiece)
 {
   const std::string bytes = Concat(absl::Hex(aPiece.size()), "\r\n", aPiece, "\r\n");
   co_return co_await this->impl->Write(bytes);
 }
 
 Awaitable<bool>
-CallerChannel::EndStream()
+CallerConnection::EndStream()
 {
   constexpr std::string_view kLastChunk = "0\r\n\r\n";
   const bool written = co_await this->impl->Write(kLastChunk);
@@ -208,7 +208,7 @@
 }
 
 void
-CallerChannel::WatchForLeaving(std::function<void()> aLeft)
+CallerConnection::WatchForDisconnect(std::function<void()> aLeft)
 {
   Impl* channel = this->impl.get();
   const std::uint64_t number = ++*channel->watch;
@@ -230,7 +230,7 @@
 }
 
 void
-CallerChannel::StopWatching()
+CallerConnection::StopWatching()
 {
   ++*this->impl->watch;
   IoError ignored;
@@ -238,7 +238,7 @@
 }
 
 void
-CallerChannel::CloseIfIdle()
+CallerConnection::CloseIfIdle()
 {
   IoError error;
   if (this->idle && this->impl->socket.available(error) == 0) {
@@ -247,7 +247,7 @@
 }
 
 void
-CallerChannel::Close()
+CallerConnection::Close()
 {
   IoError ignored;
   this->impl->socket.close(ignored);
--- a/src/transport/ChannelListener.cpp
+++ b/src/transport/ConnectionListener.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/transport/ChannelListener.h"
+#include "damasklink/transport/ConnectionListener.h"
 
 #include "damasklink/transport/Log.h"
 
 namespace damasklink {
 
 Result<void>
-ChannelListener::Listen(const Endpoint& aEndpoint, Serve aServe)
+ConnectionListener::Listen(const Endpoint& aEndpoint, Serve aServe)
 {
   auto opened = ListenOn(this->loop, aEndpoint);
   if (!opened) {
@@ -18,7 +18,7 @@
 }
 
 void
-ChannelListener::Close()
+ConnectionListener::Close()
 {
   if (this->acceptor != nullptr) {
     IoError ignored;
@@ -27,7 +27,7 @@
 }
 
 void
-ChannelListener::Accept()
+ConnectionListener::Accept()
 {
   this->acceptor->async_accept([this](const IoError& aError, TcpSocket aSocket) {
     if (aError == asio::error::operation_aborted) {
@@ -36,7 +36,7 @@
     if (aError) {
       LogEvent(LogLevel::Warning, "accept_failed").With("reason", aError.message());
     } else {
-      auto channel = std::make_shared<CallerChannel>(std::move(aSocket));
+      auto channel = std::make_shared<CallerConnection>(std::move(aSocket));
       asio::co_spawn(this->loop, this->serve(channel), asio::detached);
     }
     this->Accept();
--- a/src/transport/ConnectionThreads.cpp
+++ b/src/transport/ConnectionThreads.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Refusing takes no time, so a few threads do.
-constexpr std::size_t kRefusingThreads = 4;
+constexpr std::size_t kRefusalThreads = 4;
 
 thread_local bool mustRefuse = false;
 
@@ -15,7 +15,7 @@
 ConnectionThreads::ConnectionThreads(std::size_t aMost)
 {
   this->serving.most = aMost;
-  this->refusing.most = kRefusingThreads;
+  this->refusing.most = kRefusalThreads;
 }
 
 ConnectionThreads::~ConnectionThreads()
--- a/src/transport/EngineStream.cpp
+++ b/src/transport/EngineStream.cpp
@@ -5,7 +5,7 @@
 namespace damasklink {
 namespace {
 
-constexpr std::size_t kMostEventBytes = kMebibyte;
+constexpr std::size_t kMaxEventBytes = kMebibyte;
 constexpr int kStatusOk = 200;
 // Statuses with which an engine says that it did not begin.
 constexpr int kStatusTooMany = 429;
@@ -48,7 +48,7 @@
   : exchange(std::move(aExchange))
   , record(aRecord)
   , assembler(aPrompt.attempt, aPrompt.offset)
-  , reader(kMostEventBytes)
+  , reader(kMaxEventBytes)
 {
 }
 
@@ -59,7 +59,7 @@
     return this->TakeFrame(*data);
   }
   this->exchange->SetReadTimeout(aPatience);
-  auto read = this->headerRead ? this->ReadPiece() : this->ReadHeader();
+  auto read = this->headerRead ? this->ReadChunk() : this->ReadHeader();
   if (!read && read.error().kind == ErrorKind::DeadlineExceeded) {
     return std::string();
   }
@@ -94,7 +94,7 @@
 }
 
 Result<void>
-EngineStream::ReadPiece()
+EngineStream::ReadChunk()
 {
   auto piece = this->exchange->ReadSome();
   if (!piece) {
--- a/src/transport/EventLoop.cpp
+++ b/src/transport/EventLoop.cpp
@@ -8,7 +8,7 @@
 namespace damasklink {
 
 TcpEndpoint
-IoEndpoint(const Endpoint& aEndpoint)
+ToTcpEndpoint(const Endpoint& aEndpoint)
 {
   return TcpEndpoint(asio::ip::make_address(aEndpoint.address), aEndpoint.port);
 }
@@ -16,7 +16,7 @@
 Result<TcpAcceptor>
 ListenOn(asio::io_context& aContext, const Endpoint& aEndpoint)
 {
-  const TcpEndpoint endpoint = IoEndpoint(aEndpoint);
+  const TcpEndpoint endpoint = ToTcpEndpoint(aEndpoint);
   TcpAcceptor acceptor(aContext);
   IoError error;
   acceptor.open(endpoint.protocol(), error);
--- a/src/transport/HttpClient.cpp
+++ b/src/transport/HttpClient.cpp
@@ -283,7 +283,7 @@
   this->impl->socket.SetTimeout(aTimeout);
 }
 
-Result<HttpAnswer>
+Result<HttpClientResponse>
 CallHttp(HttpCall aCall, ByteCount aMostBody)
 {
   auto connected = HttpExchange::Connect(std::move(aCall));
@@ -297,7 +297,7 @@
   if (auto header = exchange.ReadHeader(); !header) {
     return Fail(header.error());
   }
-  HttpAnswer answer;
+  HttpClientResponse answer;
   answer.status = exchange.Status();
   answer.headers.emplace_back("content-type", exchange.Header("content-type"));
   while (true) {
--- a/src/transport/HttpServer.cpp
+++ b/src/transport/HttpServer.cpp
@@ -162,8 +162,9 @@
     const std::size_t threads = this->options.threads;
     this->server.new_task_queue = [threads] { return new ConnectionQueue(threads); };
     this->server.set_pre_routing_handler(RefuseBeyondLimit);
-    this->server.set_payload_max_length(this->options.mostBody.Value());
-    const auto idle = std::chrono::duration_cast<std::chrono::microseconds>(this->options.idle);
+    this->server.set_payload_max_length(this->options.maxBody.Value());
+    const auto idle =
+      std::chrono::duration_cast<std::chrono::microseconds>(this->options.idleTimeout);
     constexpr std::int64_t kMicros = 1'000'000;
     this->server.set_read_timeout(idle.count() / kMicros, idle.count() % kMicros);
     this->server.set_write_timeout(idle.count() / kMicros, idle.count() % kMicros);
@@ -183,16 +184,16 @@
   {
     const char* address = aEndpoint.address.c_str();
     if (aEndpoint.port != 0) {
-      return this->server.bind_to_port(address, aEndpoint.port) && this->DeepenBacklog();
+      return this->server.bind_to_port(address, aEndpoint.port) && this->RaiseBacklog();
     }
     const int port = this->server.bind_to_any_port(address);
     aEndpoint.port = static_cast<std::uint16_t>(port);
-    return port > 0 && this->DeepenBacklog();
+    return port > 0 && this->RaiseBacklog();
   }
 
   // The library listens with a backlog of 5, so that a burst of callers would lose connections and
   // wait a second for TCP to try again; listening once more replaces it.
-  bool DeepenBacklog() const { return ::listen(this->listening, kBacklog) == 0; }
+  bool RaiseBacklog() const { return ::listen(this->listening, kBacklog) == 0; }
 
   int listening = -1;
 
--- a/src/transport/Log.cpp
+++ b/src/transport/Log.cpp
@@ -92,7 +92,7 @@
       count.second = aSecond;
       count.lines = 0;
     }
-    if (++count.lines > kMostLinesPerSecond) {
+    if (++count.lines > kMaxLinesPerSecond) {
       ++count.leftOut;
       return std::nullopt;
     }
--- a/src/transport/PeerMesh.cpp
+++ b/src/transport/PeerMesh.cpp
@@ -13,7 +13,7 @@
 
 // What waits for a peer that does not read: enough for a large configuration and a snapshot piece,
 // little beside the memory of a control host.
-constexpr std::size_t kMostQueuedBytes = 8 * kMebibyte;
+constexpr std::size_t kMaxQueuedBytes = 8 * kMebibyte;
 
 } // namespace
 
@@ -39,7 +39,7 @@
   void Connect(const TcpEndpoint& aEndpoint, Duration aPatience)
   {
     this->silenceTimer.expires_after(aPatience);
-    this->WatchSilence();
+    this->StartSilenceTimer();
     auto self = this->shared_from_this();
     this->socket.async_connect(aEndpoint, [self](const IoError& aError) {
       if (aError) {
@@ -72,7 +72,7 @@
     if (!this->IsUp()) {
       return;
     }
-    if (this->queuedBytes > 0 && this->queuedBytes + aFrame.size() > kMostQueuedBytes) {
+    if (this->queuedBytes > 0 && this->queuedBytes + aFrame.size() > kMaxQueuedBytes) {
       // The peer would go on without what was in it and never know; on a new connection it is told
       // everything anew.
       LogEvent(LogLevel::Warning, "peer_message_dropped")
@@ -113,7 +113,7 @@
   bool WasUp() const { return this->up; }
 
   // Tells why the connection was closed and what was under way on it.
-  void LogLoss() const
+  void LogDisconnect() const
   {
     LogEvent(LogLevel::Warning, "peer_lost")
       .With("peer", this->peer)
@@ -127,10 +127,10 @@
   void Heard()
   {
     this->silenceTimer.expires_after(this->mesh.timing.silence);
-    this->WatchSilence();
+    this->StartSilenceTimer();
   }
 
-  void WatchSilence()
+  void StartSilenceTimer()
   {
     auto self = this->shared_from_this();
     this->silenceTimer.async_wait([self](const IoError& aError) {
@@ -175,7 +175,7 @@
   void ReadBody()
   {
     const std::size_t length = DecodeFrameLength(this->prefix);
-    if (length > kMostFrameBytes) {
+    if (length > kMaxFrameBytes) {
       LogEvent(LogLevel::Warning, "peer_frame_too_large").With("bytes", length);
       this->Close("a frame was too large");
       return;
@@ -311,7 +311,7 @@
     return;
   }
   this->dialed[aPeer] = nullptr;
-  this->paces.insert_or_assign(aPeer, DialPace(this->timing.dial));
+  this->paces.insert_or_assign(aPeer, DialBackoff(this->timing.dial));
   this->Open(aPeer);
 }
 
@@ -325,12 +325,12 @@
   auto link = std::make_shared<Link>(*this, TcpSocket(this->context), LinkSide::Dialed);
   link->Name(aPeer);
   found->second = link;
-  link->Connect(IoEndpoint(Endpoint{ aPeer.Value(), this->port }),
-                this->paces.at(aPeer).Patience());
+  link->Connect(ToTcpEndpoint(Endpoint{ aPeer.Value(), this->port }),
+                this->paces.at(aPeer).ConnectTimeout());
 }
 
 void
-PeerMesh::Hang(const HostId& aPeer)
+PeerMesh::Disconnect(const HostId& aPeer)
 {
   const auto found = this->dialed.find(aPeer);
   if (found == this->dialed.end()) {
@@ -422,13 +422,13 @@
       links.erase(found);
     } else {
       found->second = nullptr;
-      DialPace& pace = this->paces.at(peer);
+      DialBackoff& pace = this->paces.at(peer);
       if (aLink->WasUp()) {
         pace.OnUp();
       } else {
         pace.OnFailed();
       }
-      auto timer = std::make_shared<asio::steady_timer>(this->context, pace.Pause());
+      auto timer = std::make_shared<asio::steady_timer>(this->context, pace.RetryDelay());
       timer->async_wait([this, peer, timer](const IoError& aError) {
         if (!aError) {
           this->Open(peer);
@@ -437,7 +437,7 @@
     }
   }
   if (aLink->WasUp() && !peer.Empty()) {
-    aLink->LogLoss();
+    aLink->LogDisconnect();
     this->handler.OnPeerDown(peer, aLink->Side());
   }
 }
--- a/src/transport/PeerNetwork.cpp
+++ b/src/transport/PeerNetwork.cpp
@@ -19,7 +19,7 @@
 using Tcp = asio::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-constexpr std::size_t kMostQueuedBytes = 64 * kMebibyte;
+constexpr std::size_t kMaxQueuedBytes = 64 * kMebibyte;
 constexpr Duration kReconnectDelay = std::chrono::milliseconds(200);
 
 Tcp::endpoint
@@ -54,7 +54,7 @@
   void ReadBody()
   {
     const std::size_t length = DecodeFrameLength(this->prefix);
-    if (length > kMostFrameBytes) {
+    if (length > kMaxFrameBytes) {
       LogEvent(LogLevel::Warning, "peer_frame_too_large").With("bytes", length);
       return;
     }
@@ -107,7 +107,7 @@
 
   void Send(std::string aFrame)
   {
-    if (this->queuedBytes + aFrame.size() > kMostQueuedBytes) {
+    if (this->queuedBytes + aFrame.size() > kMaxQueuedBytes) {
       return;
     }
     if (!this->connected && !this->connecting) {
--- a/src/transport/TargetChannel.cpp
+++ b/src/transport/TargetConnection.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/TargetChannel.h"
+#include "damasklink/transport/TargetConnection.h"
 
 #include <array>
 
@@ -14,15 +14,15 @@
 using AnswerParser = http::response_parser<http::buffer_body>;
 
 constexpr std::size_t kPieceBytes = std::size_t{ 16 } * 1024;
-constexpr std::uint64_t kMostAnswerBytes = std::uint64_t{ 1 } << 30U;
-constexpr std::uint32_t kMostHeadBytes = 64 * 1024;
+constexpr std::uint64_t kMaxResponseBytes = std::uint64_t{ 1 } << 30U;
+constexpr std::uint32_t kMaxHeadBytes = 64 * 1024;
 
 // A target that was cut off or lost power acknowledges nothing. Longer than a few retransmissions
 // on a link that loses packets, shorter than callers wait for a first event.
 constexpr Duration kSendTimeout = std::chrono::milliseconds(900);
 
 // What a target that names no time is assumed to keep an idle connection for.
-constexpr Duration kUnstatedIdle = std::chrono::seconds(4);
+constexpr Duration kDefaultIdleTimeout = std::chrono::seconds(4);
 // Left unused of the time that a target names, so that a request does not cross its close.
 constexpr Duration kIdleMargin = std::chrono::milliseconds(700);
 
@@ -46,7 +46,7 @@
 
 } // namespace
 
-class TargetChannel::Impl
+class TargetConnection::Impl
 {
 public:
   explicit Impl(const asio::any_io_executor& aExecutor)
@@ -64,16 +64,16 @@
   bool closes = false;
 };
 
-TargetChannel::TargetChannel(const asio::any_io_executor& aExecutor, const Clock& aClock)
+TargetConnection::TargetConnection(const asio::any_io_executor& aExecutor, const Clock& aClock)
   : clock(aClock)
   , impl(std::make_unique<Impl>(aExecutor))
 {
 }
 
-TargetChannel::~TargetChannel() = default;
+TargetConnection::~TargetConnection() = default;
 
 Awaitable<Result<void>>
-TargetChannel::Connect(const Endpoint& aEndpoint, Duration aPatience)
+TargetConnection::Connect(const Endpoint& aEndpoint, Duration aPatience)
 {
   bool late = false;
   Watchdog watchdog(this->impl->socket.get_executor(), [this, &late] {
@@ -81,7 +81,8 @@
     this->Close();
   });
   watchdog.Arm(aPatience);
-  const auto [error] = co_await this->impl->socket.async_connect(IoEndpoint(aEndpoint), kAsValue);
+  const auto [error] =
+    co_await this->impl->socket.async_connect(ToTcpEndpoint(aEndpoint), kAsValue);
   watchdog.Disarm();
   if (error || late) {
     const std::string reason = late ? std::string("no answer in time") : error.message();
@@ -96,7 +97,7 @@
 }
 
 Awaitable<bool>
-TargetChannel::StaysOpen(Duration aFor)
+TargetConnection::StaysOpen(Duration aFor)
 {
   TcpSocket& socket = this->impl->socket;
   bool late = false;
@@ -122,7 +123,7 @@
 }
 
 Awaitable<Result<void>>
-TargetChannel::Send(const HttpRequestHead& aHead, std::string_view aBody)
+TargetConnection::Send(const HttpRequestHead& aHead, std::string_view aBody)
 {
   Impl& channel = *this->impl;
   channel.bodyless = aHead.method == "HEAD";
@@ -139,13 +140,13 @@
 }
 
 Awaitable<Result<HttpAnswerHead>>
-TargetChannel::ReadHead()
+TargetConnection::ReadHead()
 {
   Impl& channel = *this->impl;
   while (true) {
     channel.parser.emplace();
-    channel.parser->header_limit(kMostHeadBytes);
-    channel.parser->body_limit(kMostAnswerBytes);
+    channel.parser->header_limit(kMaxHeadBytes);
+    channel.parser->body_limit(kMaxResponseBytes);
     channel.parser->skip(channel.bodyless);
     const auto [error, bytes] =
       co_await http::async_read_header(channel.socket, channel.buffer, *channel.parser, kAsValue);
@@ -166,13 +167,13 @@
   }
   channel.closes = !channel.parser->keep_alive();
   const auto seconds = KeepAliveSeconds(head.fields);
-  const Duration kept = seconds ? Duration(std::chrono::seconds(*seconds)) : kUnstatedIdle;
+  const Duration kept = seconds ? Duration(std::chrono::seconds(*seconds)) : kDefaultIdleTimeout;
   this->idleUntil = this->clock.MonotonicNow() + kept - kIdleMargin;
   co_return head;
 }
 
 Awaitable<Result<std::optional<std::string_view>>>
-TargetChannel::ReadPiece()
+TargetConnection::ReadChunk()
 {
   Impl& channel = *this->impl;
   while (!channel.parser->is_done()) {
@@ -196,11 +197,11 @@
 }
 
 Awaitable<Result<std::string>>
-TargetChannel::ReadRest(std::size_t aMost, std::function<void()> aOnPiece)
+TargetConnection::ReadRest(std::size_t aMost, std::function<void()> aOnPiece)
 {
   std::string whole;
   while (true) {
-    auto piece = co_await this->ReadPiece();
+    auto piece = co_await this->ReadChunk();
     if (!piece) {
       co_return Fail(piece.error());
     }
@@ -221,7 +222,7 @@
 }
 
 bool
-TargetChannel::IsReusable() const
+TargetConnection::IsReusable() const
 {
   const Impl& channel = *this->impl;
   const bool over = channel.parser && channel.parser->is_done() && !channel.sending;
@@ -229,7 +230,7 @@
 }
 
 bool
-TargetChannel::IsClean()
+TargetConnection::IsClean()
 {
   Impl& channel = *this->impl;
   if (!channel.socket.is_open() || channel.buffer.size() > 0) {
@@ -243,15 +244,15 @@
 }
 
 void
-TargetChannel::Close()
+TargetConnection::Close()
 {
   IoError ignored;
   this->impl->broken = true;
   this->impl->socket.close(ignored);
 }
 
-std::unique_ptr<TargetChannel>
-TargetChannelPool::TakeIdle(const Endpoint& aEndpoint)
+std::unique_ptr<TargetConnection>
+TargetConnectionPool::TakeIdle(const Endpoint& aEndpoint)
 {
   const auto found = this->idle.find(FormatEndpoint(aEndpoint));
   if (found == this->idle.end()) {
@@ -259,7 +260,7 @@
   }
   auto& channels = found->second;
   while (!channels.empty()) {
-    std::unique_ptr<TargetChannel> channel = std::move(channels.back());
+    std::unique_ptr<TargetConnection> channel = std::move(channels.back());
     channels.pop_back();
     if (this->clock.MonotonicNow() < channel->IdleUntil() && channel->IsClean()) {
       return channel;
@@ -269,20 +270,20 @@
 }
 
 void
-TargetChannelPool::Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetChannel> aChannel)
+TargetConnectionPool::Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetConnection> aChannel)
 {
   if (!aChannel->IsReusable() || this->clock.MonotonicNow() >= aChannel->IdleUntil()) {
     return;
   }
   auto& channels = this->idle[FormatEndpoint(aEndpoint)];
   channels.push_back(std::move(aChannel));
-  if (channels.size() > kMostIdle) {
+  if (channels.size() > kMaxIdle) {
     channels.pop_front();
   }
 }
 
 void
-TargetChannelPool::CloseExpired()
+TargetConnectionPool::CloseExpired()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   for (auto& [endpoint, channels] : this->idle) {
--- a/standin/Main.cpp
+++ b/standin/Main.cpp
@@ -108,7 +108,7 @@
   HttpServer::Options options;
   options.endpoint = EndpointsOf(aArguments, "--listen").front();
   options.threads = aThreads;
-  options.mostBody = ByteCount(64 * kMebibyte);
+  options.maxBody = ByteCount(64 * kMebibyte);
   HttpServer server(options);
   aTarget.AddRoutes(server);
   if (auto started = server.Start(); !started) {
--- a/test/platform/DialectTest.cpp
+++ b/test/platform/DialectTest.cpp
@@ -21,7 +21,7 @@
   return head;
 }
 
-TEST(DialectTest, CallIsReadIntoWhatItSays)
+TEST(DialectTest, ReadsCallHeaders)
 {
   const auto call = Dialect().ReadCall(CallerHead());
   ASSERT_TRUE(call);
@@ -34,7 +34,7 @@
   EXPECT_EQ(call.value().parts[1], (PromptPart{ PartId("91bd3f06"), TokenCount(410) }));
 }
 
-TEST(DialectTest, MalformedHeadersAreNamed)
+TEST(DialectTest, MalformedHeaderIsNamedInError)
 {
   for (const char* name : { "X-Token-Usage", "X-Prompt-Prefix", "X-Deadline-Ms" }) {
     HttpRequestHead head = CallerHead();
@@ -45,14 +45,14 @@
   }
 }
 
-TEST(DialectTest, CallWithoutIdIsRefused)
+TEST(DialectTest, RefusesCallWithoutRequestId)
 {
   HttpRequestHead head = CallerHead();
   head.fields.Remove("X-Request-Id");
   EXPECT_FALSE(Dialect().ReadCall(head));
 }
 
-TEST(DialectTest, KeyNeverPassesOnAndTheWorkspaceIsOurs)
+TEST(DialectTest, RemovesCredentialAndReplacesForgedWorkspace)
 {
   HttpRequestHead head = CallerHead();
   head.fields.Add("X-Tenant", "forged");
@@ -70,7 +70,7 @@
   EXPECT_EQ(sent.target, "/puxa400/2f?x=1");
 }
 
-TEST(DialectTest, WhatIsNotTheCallersToSayIsRemoved)
+TEST(DialectTest, RemovesReservedHeadersOfCaller)
 {
   HttpRequestHead head = CallerHead();
   const std::vector<std::string> names{
@@ -86,7 +86,7 @@
   }
 }
 
-TEST(DialectTest, MovesOfPartsAreListedInOrder)
+TEST(DialectTest, ListsPartMovesInPromptOrder)
 {
   TargetCall call;
   call.scope = CacheScope("m/1/");
@@ -97,7 +97,7 @@
   EXPECT_EQ(sent.fields.Find("X-Kv-Save"), nullptr);
 }
 
-TEST(DialectTest, PromiseOfATargetIsRead)
+TEST(DialectTest, ReadsNotExecutedPromiseAndWrongTarget)
 {
   HttpAnswerHead head;
   head.status = 503;
@@ -110,7 +110,7 @@
   EXPECT_EQ(Dialect().ReadAnswer(head).target, TargetId("i-2"));
 }
 
-TEST(DialectTest, RefusedRequestsAreListedAndReleasedByTheirFingerprint)
+TEST(DialectTest, ListsAndReleasesRefusedRequestsByFingerprint)
 {
   const RequestFingerprint request(0xfedcba9876543210U);
   const std::chrono::milliseconds since(1'790'000'000'000);
@@ -130,7 +130,7 @@
   EXPECT_TRUE(std::holds_alternative<RefusedQuestion>(Dialect().ReadControlCall(release).value()));
 }
 
-TEST(DialectTest, LimitOfATargetIsReadAndWhatIsNoNumberIsSaidSo)
+TEST(DialectTest, ReadsRateLimitOfTargetAndReportsUnreadableOne)
 {
   const auto read = [](const std::string& aText) {
     HttpAnswerHead head;
@@ -148,7 +148,7 @@
   EXPECT_FALSE(Dialect().ReadAnswer(HttpAnswerHead()).limit);
 }
 
-TEST(DialectTest, PromisesAreOnlyGivenForWhatDidNotRun)
+TEST(DialectTest, AnswersUnavailableOnlyWhenCallDidNotRun)
 {
   const Error full{ ErrorKind::Unavailable, "full", "come back" };
   const CallerError notRun{ full, RunOutcome::NotRun, std::chrono::milliseconds(250) };
@@ -159,7 +159,7 @@
   EXPECT_EQ(Dialect().FailureAnswer(mayHaveRun, RequestId("r")).head.status, 502);
 }
 
-TEST(DialectTest, HeartbeatIsRead)
+TEST(DialectTest, ReadsHeartbeat)
 {
   HttpRequestMessage request;
   request.head.method = "PUT";
@@ -188,7 +188,7 @@
   return request;
 }
 
-TEST(DialectTest, StartOfATargetIsReadWhereItIsSaid)
+TEST(DialectTest, ReadsIncarnationWhenPresent)
 {
   const auto call = Dialect().ReadControlCall(
     Heartbeat(R"({"service":"s","address":"10.1.0.9:80","zone":"z","state":"ready","sequence":1,)"
@@ -203,7 +203,7 @@
   EXPECT_EQ(std::get<TargetDeparture>(left.value()).incarnation, Incarnation(1'790'000'000'000));
 }
 
-TEST(DialectTest, HeartbeatsOfAnotherWriterNameNoTarget)
+TEST(DialectTest, RefusesMalformedHeartbeats)
 {
   const std::vector<std::string> bodies{
     R"({"service":"s","address":"10.1.0.9:80","zone":"z","sequence":1})",
@@ -224,7 +224,7 @@
   }
 }
 
-TEST(DialectTest, RowsOfAnotherWriterSpoilNoList)
+TEST(DialectTest, SkipsAndCountsUnreadableRowsOfStoreList)
 {
   const auto list = Dialect().ReadList(
     R"({"boot-epoch":7,"next":9,"held":[["s1","a",800,"m"],["s1","b"],17,["s1",4,800,"m"],)"
@@ -234,7 +234,7 @@
   EXPECT_EQ(list.value().unreadable, 5U);
 }
 
-TEST(DialectTest, PartsThatAreNotWholeAreReadApart)
+TEST(DialectTest, ReadsUnfinishedPartsSeparately)
 {
   const auto list = Dialect().ReadList(
     R"({"boot-epoch":7,"next":9,"held":[],"partial":[["s1","a",16,800],["s1","b",16]]})");
@@ -244,7 +244,7 @@
   EXPECT_EQ(list.value().unreadable, 1U);
 }
 
-TEST(DialectTest, EventsOfAnotherWriterSpoilNoBatch)
+TEST(DialectTest, SkipsAndCountsUnreadableStoreEvents)
 {
   const auto events = Dialect().ReadEvents(
     R"({"boot-epoch":7,"next":9,"lost":false,"events":[[1,"+","s1","a",800,"m"],)"
@@ -255,7 +255,7 @@
   EXPECT_EQ(events.value().unreadable, 3U);
 }
 
-TEST(DialectTest, OtherCallsOfControlAreRead)
+TEST(DialectTest, ReadsDepartureAndWeightsCalls)
 {
   HttpRequestMessage request;
   request.head.method = "DELETE";
@@ -285,7 +285,7 @@
   R"("idle-timeout-ms":15000},"tenants":[{"name":"w","api-keys":["k1","k2"],"priority":1,)"
   R"("isolated":true}],"later":1})";
 
-TEST(DialectTest, ConfigurationIsRead)
+TEST(DialectTest, ReadsConfiguration)
 {
   const auto config = Dialect().ReadConfig(kConfig);
   ASSERT_TRUE(config) << config.error();
@@ -307,14 +307,14 @@
   EXPECT_EQ(config.value().limits.idleTimeout, std::chrono::seconds(15));
 }
 
-TEST(DialectTest, ConfigurationThatIsCutShortIsRefused)
+TEST(DialectTest, RefusesTruncatedConfiguration)
 {
   for (std::size_t length = 0; length < kConfig.size(); length += 7) {
     EXPECT_FALSE(Dialect().ReadConfig(kConfig.substr(0, length))) << length;
   }
 }
 
-TEST(DialectTest, WrongTypeInAConfigurationNamesTheField)
+TEST(DialectTest, WrongTypeInConfigurationIsReportedWithFieldName)
 {
   std::string wrong = kConfig;
   wrong.replace(wrong.find("15000"), 5, "\"abc\"");
@@ -323,7 +323,7 @@
   EXPECT_NE(config.error().message.find("timeout-ms"), std::string::npos);
 }
 
-TEST(DialectTest, ColdTraitsAndHomesOfAConfigurationAreRead)
+TEST(DialectTest, ReadsColdStartAndAllowedRegionsOfConfiguration)
 {
   std::string text = kConfig;
   text.replace(text.find(R"("tls":false,)"), 12, R"("cold-start-s":3.0,"cold-per-s":16.0,)");
@@ -338,7 +338,7 @@
   EXPECT_EQ(config.value().workspaces[0].allowedRegions.size(), 2U);
 }
 
-TEST(DialectTest, ColdTargetSaysSoInHeartbeatsAndAnswers)
+TEST(DialectTest, ReadsRemainingColdTimeOfHeartbeatsAndAnswers)
 {
   HttpRequestMessage request;
   request.head.method = "PUT";
@@ -357,7 +357,7 @@
   EXPECT_TRUE(Dialect().ReadAnswer(head).unreadable);
 }
 
-TEST(DialectTest, EvacuationIsOrderedWithdrawnAndListed)
+TEST(DialectTest, ReadsEvacuationCallsAndListsZones)
 {
   HttpRequestMessage request;
   request.head.method = "POST";
--- a/test/platform/SettingsTest.cpp
+++ b/test/platform/SettingsTest.cpp
@@ -12,7 +12,7 @@
                            "heartbeat-ms=1200\nbounds.grace-s=8\nbounds.retry-budget-ratio=0.2\n"
                            "bounds.retry-budget-slack=58\nsomething.new=1\n";
 
-TEST(PlatformSettingsTest, EntryHostIsRead)
+TEST(PlatformSettingsTest, ReadsSettingsOfEntryHost)
 {
   const auto parsed = ParseSettings(kEntry, "file");
   ASSERT_TRUE(parsed.Ok()) << FormatFault(parsed.faults.front());
@@ -27,7 +27,7 @@
   EXPECT_DOUBLE_EQ(parsed.value.retries.reserve, 58);
 }
 
-TEST(PlatformSettingsTest, MissingKeysAreAllNamed)
+TEST(PlatformSettingsTest, ReportsEveryMissingKey)
 {
   const auto parsed = ParseSettings("node=x\n", "file");
   std::vector<std::string> keys;
@@ -37,7 +37,7 @@
   EXPECT_EQ(keys, (std::vector<std::string>{ "ip", "zone", "internal-ports", "internal-ports" }));
 }
 
-TEST(PlatformSettingsTest, UnreadableValueNamesItsLineAndKey)
+TEST(PlatformSettingsTest, UnreadableValueIsReportedWithLineAndKey)
 {
   const auto parsed = ParseSettings(kEntry + "listen.control=nowhere\n", "file");
   ASSERT_EQ(parsed.faults.size(), 1U);
@@ -45,7 +45,7 @@
   EXPECT_EQ(parsed.faults.front().line, 14);
 }
 
-TEST(PlatformSettingsTest, BootstrapIsOffUnlessItIsTrue)
+TEST(PlatformSettingsTest, BootstrapIsOffUnlessTrue)
 {
   std::string text = kEntry;
   text.replace(text.find("bootstrap=true"), 14, "bootstrap=false");
@@ -57,7 +57,7 @@
   EXPECT_EQ(LoadSettings("/nonexistent/settings").faults.size(), 1U);
 }
 
-TEST(PlatformSettingsTest, ZonesAreReadWithTheirRegions)
+TEST(PlatformSettingsTest, ReadsRegionsOfZones)
 {
   const auto parsed =
     ParseSettings(kEntry + "zones.z1=north\nzones.z2=south\nzonesless=x\n", "file");
--- a/test/program/CallerErrorsTest.cpp
+++ b/test/program/CallerErrorsTest.cpp
@@ -101,7 +101,9 @@
     return settings;
   }
 
-  HttpAnswer Post(std::string aPath, std::string aBody, const std::string& aKey = kCallerKey)
+  HttpClientResponse Post(std::string aPath,
+                          std::string aBody,
+                          const std::string& aKey = kCallerKey)
   {
     return Call(this->callers, "POST", std::move(aPath), aKey, std::move(aBody)).value();
   }
@@ -155,7 +157,7 @@
 
 // Expects an error body of OpenAI's shape that says "not run" and names a remedy.
 void
-ExpectRefusal(const HttpAnswer& aAnswer, int aStatus, const std::string& aInMessage)
+ExpectRefusal(const HttpClientResponse& aAnswer, int aStatus, const std::string& aInMessage)
 {
   EXPECT_EQ(aAnswer.status, aStatus) << aAnswer.body;
   const Json body = Json::parse(aAnswer.body, nullptr, false);
--- a/test/program/CompletionRelayTest.cpp
+++ b/test/program/CompletionRelayTest.cpp
@@ -113,7 +113,7 @@
 class CompletionRelayTest : public TrafficFixture
 {
 protected:
-  HttpAnswer Prompt(const std::string& aKey = "")
+  HttpClientResponse Prompt(const std::string& aKey = "")
   {
     return this->Post("/v1/completions", R"({"model":"plates-7b","prompt":"x"})", aKey);
   }
@@ -143,7 +143,7 @@
     this->StartHost();
   }
 
-  static bool HoldsWhole(const HttpAnswer& aAnswer)
+  static bool HoldsWhole(const HttpClientResponse& aAnswer)
   {
     return aAnswer.body.find("\"text\":\"" + kWhole + "\"") != std::string::npos;
   }
@@ -186,7 +186,7 @@
   TargetRecord newer = other.Record("e-2");
   newer.models[0].version = WeightVersion("v2");
   this->StartWith(dying, newer);
-  const HttpAnswer answer = this->Prompt();
+  const HttpClientResponse answer = this->Prompt();
   EXPECT_EQ(answer.status, 502);
   EXPECT_TRUE(other.Prompts().empty());
 }
@@ -249,7 +249,7 @@
   const ScriptedEngine other({ Behaviour{ 0 } });
   this->SetTargets({ dying.Record("e-1"), other.Record("e-2") });
   this->StartHost();
-  const HttpAnswer answer = this->Prompt("note-1");
+  const HttpClientResponse answer = this->Prompt("note-1");
   EXPECT_NE(answer.body.find("\"outcome\":\"may_have_run\""), std::string::npos);
   EXPECT_EQ(dying.Prompts().size() + other.Prompts().size(), 1U);
 }
@@ -259,8 +259,8 @@
   const ScriptedEngine engine({ Behaviour() });
   this->SetTargets({ engine.Record("e-1") });
   this->StartHost();
-  const HttpAnswer first = this->Prompt("note-1");
-  HttpAnswer second = this->Prompt("note-1");
+  const HttpClientResponse first = this->Prompt("note-1");
+  HttpClientResponse second = this->Prompt("note-1");
   while (second.status == 409) {
     second = this->Prompt("note-1");
   }
--- a/test/program/ConfigurationApiTest.cpp
+++ b/test/program/ConfigurationApiTest.cpp
@@ -33,16 +33,16 @@
   void SetUp() override { ASSERT_TRUE(this->host.Start()); }
   void TearDown() override { this->host.Stop(); }
 
-  HttpAnswer Ask(const std::string& aMethod,
-                 const std::string& aPath,
-                 const std::string& aBody = "",
-                 const std::string& aKey = kOperatorKey) const
+  HttpClientResponse Ask(const std::string& aMethod,
+                         const std::string& aPath,
+                         const std::string& aBody = "",
+                         const std::string& aKey = kOperatorKey) const
   {
     return Call(this->host.Addresses().operators, aMethod, "/v1/config/" + aPath, aKey, aBody)
       .value();
   }
 
-  HttpAnswer Apply(const ChangeRequest& aRequest) const
+  HttpClientResponse Apply(const ChangeRequest& aRequest) const
   {
     return this->Ask("POST", "changes", FormatChangeRequest(aRequest));
   }
@@ -58,7 +58,7 @@
 TEST_F(ConfigurationApiTest, AcceptedChangeIsReadBackWithItsHistory)
 {
   const SubtreeView before = this->Office();
-  const HttpAnswer answer = this->Apply(ShareChange("c1", before.version.Value()));
+  const HttpClientResponse answer = this->Apply(ShareChange("c1", before.version.Value()));
   ASSERT_EQ(answer.status, kOk) << answer.body;
   const Revision revision = ParseAccepted(answer.body).value();
   EXPECT_EQ(this->Office().version, revision);
@@ -73,7 +73,7 @@
 
 TEST_F(ConfigurationApiTest, ChangeFromAnOldVersionConflictsWithTheRemedy)
 {
-  const HttpAnswer answer = this->Apply(ShareChange("c1", 77));
+  const HttpClientResponse answer = this->Apply(ShareChange("c1", 77));
   EXPECT_EQ(answer.status, kConflict);
   EXPECT_THAT(answer.body, HasSubstr("not applied"));
   EXPECT_THAT(answer.body, HasSubstr("get the version in force"));
@@ -84,7 +84,7 @@
 {
   ChangeRequest request = ShareChange("c1", 0);
   request.content = "workspaces:\n  head-office:\n    colour: red\n";
-  const HttpAnswer answer = this->Apply(request);
+  const HttpClientResponse answer = this->Apply(request);
   EXPECT_EQ(answer.status, kBadRequest);
   EXPECT_THAT(answer.body, HasSubstr("content:3"));
   request.content = "workspaces:\n  other:\n    share: 3\n";
@@ -131,12 +131,12 @@
     ParseHostStatus(Call(operators, "GET", "/v1/config/status", kOperatorKey).value().body);
   EXPECT_EQ(status.value().revision, Revision(9));
   EXPECT_TRUE(status.value().stale);
-  const HttpAnswer refused = Call(operators,
-                                  "POST",
-                                  "/v1/config/changes",
-                                  kOperatorKey,
-                                  FormatChangeRequest(ShareChange("c1", 9)))
-                               .value();
+  const HttpClientResponse refused = Call(operators,
+                                          "POST",
+                                          "/v1/config/changes",
+                                          kOperatorKey,
+                                          FormatChangeRequest(ShareChange("c1", 9)))
+                                       .value();
   EXPECT_EQ(refused.status, kUnavailable) << refused.body;
   EXPECT_THAT(refused.body, HasSubstr("not applied"));
   EXPECT_EQ(Call(host.Addresses().callers, "GET", "/v1/models", "key").value().status, kOk);
--- a/test/program/DrainTest.cpp
+++ b/test/program/DrainTest.cpp
@@ -77,7 +77,7 @@
   this->StartHost();
   this->OpenStream();
   std::thread draining([this] { this->traffic.Drain(); });
-  HttpAnswer refused = this->Post("/services/plates/x", "17");
+  HttpClientResponse refused = this->Post("/services/plates/x", "17");
   while (refused.body.find("leaving") == std::string::npos) {
     refused = this->Post("/services/plates/x", "17");
   }
--- a/test/program/OperatorPartTest.cpp
+++ b/test/program/OperatorPartTest.cpp
@@ -32,10 +32,10 @@
   }
   void TearDown() override { this->host.Stop(); }
 
-  HttpAnswer Ask(std::string aMethod,
-                 std::string aPath,
-                 const std::string& aKey,
-                 std::string aBody = "")
+  HttpClientResponse Ask(std::string aMethod,
+                         std::string aPath,
+                         const std::string& aKey,
+                         std::string aBody = "")
   {
     return Call(this->operators, std::move(aMethod), std::move(aPath), aKey, std::move(aBody))
       .value();
--- a/test/program/ServiceRelayTest.cpp
+++ b/test/program/ServiceRelayTest.cpp
@@ -46,7 +46,7 @@
       { one.Record("s-1", TargetKind::Service), other.Record("s-2", TargetKind::Service) });
     this->StartHost();
     for (int index = 0; index < aCalls; ++index) {
-      const HttpAnswer answer = this->Post("/services/plates/jobs", "17", aKey);
+      const HttpClientResponse answer = this->Post("/services/plates/jobs", "17", aKey);
       EXPECT_NE(answer.body.find("may_have_run"), std::string::npos) << answer.body;
     }
   }
@@ -62,7 +62,7 @@
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
   EXPECT_EQ(this->Post("/services/plates/jobs", "17", "order-17").body, "pressed");
-  HttpAnswer second = this->Post("/services/plates/jobs", "17", "order-17");
+  HttpClientResponse second = this->Post("/services/plates/jobs", "17", "order-17");
   // The end of the first run is committed without its caller waiting for it.
   while (second.status == kConflict) {
     second = this->Post("/services/plates/jobs", "17", "order-17");
@@ -105,11 +105,11 @@
   gone.Stop();
   this->SetTargets({ record });
   this->StartHost();
-  const HttpAnswer refused = this->Post("/services/plates/jobs", "17", "order-17");
+  const HttpClientResponse refused = this->Post("/services/plates/jobs", "17", "order-17");
   EXPECT_NE(refused.body.find("\"not_run\""), std::string::npos) << refused.body;
   const ScriptedTarget back(this->Counting(Pressed));
   this->control.Post([&] { this->SetTargets({ back.Record("s-2", TargetKind::Service) }); });
-  HttpAnswer answer;
+  HttpClientResponse answer;
   while (answer.body != "pressed") {
     answer = this->Post("/services/plates/jobs", "17", "order-17");
   }
--- a/test/program/TestHost.h
+++ b/test/program/TestHost.h
@@ -44,7 +44,7 @@
   return settings;
 }
 
-inline Result<HttpAnswer>
+inline Result<HttpClientResponse>
 Call(const Endpoint& aHost,
      std::string aMethod,
      std::string aPath,
--- a/test/program/TrafficFixture.h
+++ b/test/program/TrafficFixture.h
@@ -96,7 +96,9 @@
     return call;
   }
 
-  HttpAnswer Post(const std::string& aPath, const std::string& aBody, const std::string& aKey = "")
+  HttpClientResponse Post(const std::string& aPath,
+                          const std::string& aBody,
+                          const std::string& aKey = "")
   {
     HttpCall call = this->MakeCall(aPath, aBody);
     if (!aKey.empty()) {
@@ -104,7 +106,7 @@
     }
     auto answer = CallHttp(std::move(call), ByteCount(1 << 20));
     EXPECT_TRUE(answer) << answer.error();
-    return answer ? answer.value() : HttpAnswer();
+    return answer ? answer.value() : HttpClientResponse();
   }
 
   // Two workspaces with one key each, "office-key" and "branch-key".
--- a/test/support/Calls.h
+++ b/test/support/Calls.h
@@ -17,7 +17,7 @@
   asio::io_context context;
   TcpSocket socket(context);
   IoError error;
-  socket.connect(IoEndpoint(aTo), error);
+  socket.connect(ToTcpEndpoint(aTo), error);
   if (error) {
     return "";
   }
--- a/test/support/SlowLink.h
+++ b/test/support/SlowLink.h
@@ -39,8 +39,8 @@
   // Passes connections to one endpoint on to another one. Call before Start().
   void Relay(const Endpoint& aFrom, const Endpoint& aTo)
   {
-    auto acceptor = std::make_shared<TcpAcceptor>(this->loop, IoEndpoint(aFrom));
-    this->Accept(acceptor, IoEndpoint(aTo));
+    auto acceptor = std::make_shared<TcpAcceptor>(this->loop, ToTcpEndpoint(aFrom));
+    this->Accept(acceptor, ToTcpEndpoint(aTo));
   }
 
   void Start()
--- a/test/transport/CallerChannelTest.cpp
+++ b/test/transport/CallerConnectionTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/CallerChannel.h"
+#include "damasklink/transport/CallerConnection.h"
 
 #include <thread>
 
@@ -10,14 +10,14 @@
 namespace {
 
 // Reads requests from one connection to which the test has written.
-class CallerChannelTest : public ::testing::Test
+class CallerConnectionTest : public ::testing::Test
 {
 protected:
-  CallerChannelTest()
+  CallerConnectionTest()
     : acceptor(this->loop, TcpEndpoint(asio::ip::make_address("127.0.0.1"), 0))
   {
     this->caller.connect(this->acceptor.local_endpoint());
-    this->channel = std::make_unique<CallerChannel>(this->acceptor.accept());
+    this->channel = std::make_unique<CallerConnection>(this->acceptor.accept());
   }
 
   void Send(const std::string& aBytes) { asio::write(this->caller, asio::buffer(aBytes)); }
@@ -47,11 +47,11 @@
   asio::io_context loop;
   TcpAcceptor acceptor;
   TcpSocket caller{ this->loop };
-  std::unique_ptr<CallerChannel> channel;
+  std::unique_ptr<CallerConnection> channel;
   CallerLimits limits;
 };
 
-TEST_F(CallerChannelTest, BodyWithLengthIsRead)
+TEST_F(CallerConnectionTest, ReadsBodyWithContentLength)
 {
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
   const auto request = this->Read();
@@ -60,7 +60,7 @@
   EXPECT_EQ(request.value().body, "abc");
 }
 
-TEST_F(CallerChannelTest, BodyInChunksIsRead)
+TEST_F(CallerConnectionTest, ReadsChunkedBody)
 {
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
              "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
@@ -69,66 +69,66 @@
   EXPECT_EQ(request.value().body, "abcde");
 }
 
-TEST_F(CallerChannelTest, RequestsThatFollowEachOtherAreReadOneByOne)
+TEST_F(CallerConnectionTest, ReadsPipelinedRequestsOneByOne)
 {
   this->Send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   EXPECT_EQ(this->Read().value().head.target, "/1");
   EXPECT_EQ(this->Read().value().head.target, "/2");
 }
 
-TEST_F(CallerChannelTest, LengthBesideChunksIsRefused)
+TEST_F(CallerConnectionTest, RefusesContentLengthBesideChunkedEncoding)
 {
   EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
                          "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n"),
             ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, DoubledLengthsAreRefused)
+TEST_F(CallerConnectionTest, RefusesRepeatedContentLength)
 {
   EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
                          "Content-Length: 3\r\n\r\nabc"),
             ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, BareLineFeedIsRefused)
+TEST_F(CallerConnectionTest, RefusesBareLineFeed)
 {
   EXPECT_EQ(this->KindOf("GET /a HTTP/1.1\nHost: h\n\n"), ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, SpaceBeforeTheColonIsRefused)
+TEST_F(CallerConnectionTest, RefusesSpaceBeforeColon)
 {
   EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\nabc"),
             ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, HeadBeyondTheLimitIsRefused)
+TEST_F(CallerConnectionTest, RefusesHeadAboveLimit)
 {
   this->limits.headerBytes = 100;
   EXPECT_EQ(this->KindOf("GET /a HTTP/1.1\r\nHost: " + std::string(200, 'h') + "\r\n\r\n"),
             ErrorKind::Overloaded);
 }
 
-TEST_F(CallerChannelTest, BodyBeyondTheLimitIsRefusedBeforeItIsRead)
+TEST_F(CallerConnectionTest, RefusesBodyAboveLimitBeforeReadingIt)
 {
   this->limits.bodyBytes = 10;
   EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"),
             ErrorKind::NotPermitted);
 }
 
-TEST_F(CallerChannelTest, SlowHeadIsCutOff)
+TEST_F(CallerConnectionTest, SlowHeadExceedsDeadline)
 {
   this->limits.headerTimeout = std::chrono::milliseconds(20);
   EXPECT_EQ(this->KindOf("GET /a HTT"), ErrorKind::DeadlineExceeded);
 }
 
-TEST_F(CallerChannelTest, IdleChannelEndsWithoutAnAnswer)
+TEST_F(CallerConnectionTest, IdleTimeoutIsInterrupted)
 {
   this->limits.idleTimeout = std::chrono::milliseconds(20);
   EXPECT_EQ(this->KindOf(""), ErrorKind::Interrupted);
   EXPECT_TRUE(this->channel->IsIdle());
 }
 
-TEST_F(CallerChannelTest, CallerThatClosesBetweenRequestsIsNoFault)
+TEST_F(CallerConnectionTest, CloseBetweenRequestsIsInterrupted)
 {
   this->caller.close();
   const auto read = this->Read();
@@ -136,14 +136,14 @@
   EXPECT_EQ(read.error().kind, ErrorKind::Interrupted);
 }
 
-TEST_F(CallerChannelTest, ChannelWithAWaitingRequestIsNotClosedAsIdle)
+TEST_F(CallerConnectionTest, CloseIfIdleKeepsConnectionWithWaitingRequest)
 {
   this->Send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
   this->channel->CloseIfIdle();
   EXPECT_EQ(this->Read().value().head.target, "/a");
 }
 
-TEST_F(CallerChannelTest, IdleChannelIsClosedAsIdle)
+TEST_F(CallerConnectionTest, CloseIfIdleClosesIdleConnection)
 {
   this->channel->CloseIfIdle();
   char byte = 0;
@@ -153,7 +153,7 @@
 }
 
 // The time a caller may be idle is no time for a whole body: one over a thin link takes longer.
-TEST_F(CallerChannelTest, BodyThatKeepsComingIsReadHoweverLongItTakes)
+TEST_F(CallerConnectionTest, ReadsSlowBodyThatKeepsArriving)
 {
   this->limits.idleTimeout = std::chrono::seconds(1);
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n");
@@ -169,7 +169,7 @@
   EXPECT_EQ(request.value().body.size(), 40U);
 }
 
-TEST_F(CallerChannelTest, BodyThatStopsComingIsGivenUp)
+TEST_F(CallerConnectionTest, StalledBodyExceedsDeadline)
 {
   this->limits.idleTimeout = std::chrono::milliseconds(100);
   EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\nx"),
@@ -177,7 +177,7 @@
 }
 
 // A ready answer goes on for as long as its caller takes bytes of it.
-TEST_F(CallerChannelTest, AnswerThatKeepsLeavingIsWrittenHoweverLongItTakes)
+TEST_F(CallerConnectionTest, WritesLargeAnswerToSlowReader)
 {
   HttpAnswerMessage answer;
   answer.head.status = 200;
--- a/test/transport/ConnectionThreadsTest.cpp
+++ b/test/transport/ConnectionThreadsTest.cpp
@@ -34,7 +34,7 @@
   EXPECT_TRUE(secondRefused);
 }
 
-TEST(ConnectionThreadsTest, ShutdownRunsWhatWasGiven)
+TEST(ConnectionThreadsTest, ShutdownRunsQueuedTasks)
 {
   constexpr int kTasks = 100;
   std::atomic<int> ran = 0;
--- a/test/transport/DialPaceTest.cpp
+++ b/test/transport/DialBackoffTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/DialPace.h"
+#include "damasklink/transport/DialBackoff.h"
 
 #include <gtest/gtest.h>
 
@@ -10,55 +10,55 @@
 Duration
 ConnectedAt(Duration aUpAt)
 {
-  DialPace pace{ DialTiming() };
+  DialBackoff pace{ DialTiming() };
   Duration begun{ 0 };
   while (begun < aUpAt) {
-    begun += pace.Patience();
+    begun += pace.ConnectTimeout();
     pace.OnFailed();
-    begun += pace.Pause();
+    begun += pace.RetryDelay();
   }
   return begun;
 }
 
 // The load: all hosts lost power and come back within half a second of each other. Whoever came
 // first must not wait long for those that came last, since nobody is served before they have met.
-TEST(DialPaceTest, HostsThatStartTogetherMeetSoonAfterTheLastOne)
+TEST(DialBackoffTest, ConnectsSoonAfterPeerStarts)
 {
   for (Duration up{ 0 }; up < std::chrono::milliseconds(800); up += std::chrono::milliseconds(10)) {
     EXPECT_LE(ConnectedAt(up), up + std::chrono::milliseconds(200));
   }
 }
 
-TEST(DialPaceTest, HostThatStaysAwayIsAskedOnceASecond)
+TEST(DialBackoffTest, DialsUnreachablePeerAboutOncePerSecond)
 {
-  DialPace pace{ DialTiming() };
+  DialBackoff pace{ DialTiming() };
   Duration passed{ 0 };
   int attempts = 0;
   for (; passed < std::chrono::minutes(1); ++attempts) {
-    passed += pace.Patience() + pace.Pause();
+    passed += pace.ConnectTimeout() + pace.RetryDelay();
     pace.OnFailed();
   }
   EXPECT_LE(attempts, 65);
 }
 
 // On a full link packets wait for half a second.
-TEST(DialPaceTest, HostBehindAFullLinkIsGivenTime)
+TEST(DialBackoffTest, LaterAttemptsAllowForCongestedLink)
 {
-  DialPace pace{ DialTiming() };
+  DialBackoff pace{ DialTiming() };
   for (int attempt = 0; attempt < DialTiming().firstAttempts; ++attempt) {
     pace.OnFailed();
   }
-  EXPECT_GE(pace.Patience(), std::chrono::milliseconds(600));
+  EXPECT_GE(pace.ConnectTimeout(), std::chrono::milliseconds(600));
 }
 
-TEST(DialPaceTest, LostConnectionIsTriedAnewAtOnce)
+TEST(DialBackoffTest, RedialsSoonAfterLostConnection)
 {
-  DialPace pace{ DialTiming() };
+  DialBackoff pace{ DialTiming() };
   for (int attempt = 0; attempt < 20; ++attempt) {
     pace.OnFailed();
   }
   pace.OnUp();
-  EXPECT_EQ(pace.Pause(), DialTiming().firstPause);
+  EXPECT_EQ(pace.RetryDelay(), DialTiming().firstRetryDelay);
 }
 
 } // namespace
--- a/test/transport/HttpClientTest.cpp
+++ b/test/transport/HttpClientTest.cpp
@@ -33,7 +33,7 @@
   std::unique_ptr<HttpServer> server;
 };
 
-TEST_F(HttpClientTest, ReadsAnAnswerOfKnownLength)
+TEST_F(HttpClientTest, ReadsAnswerWithContentLength)
 {
   this->Serve([](const HttpRequest& aRequest) {
     HttpResponse response;
@@ -45,7 +45,7 @@
   EXPECT_EQ(answer.value().body, "answer to question");
 }
 
-TEST_F(HttpClientTest, StreamCutBeforeItsEndIsNotWhole)
+TEST_F(HttpClientTest, TruncatedStreamIsInterrupted)
 {
   this->Serve([](const HttpRequest&) {
     HttpResponse response;
--- a/test/transport/HttpServerTest.cpp
+++ b/test/transport/HttpServerTest.cpp
@@ -13,7 +13,7 @@
   return options;
 }
 
-TEST(HttpServerTest, AddressThatIsTakenIsRefused)
+TEST(HttpServerTest, StartFailsWhenAddressIsInUse)
 {
   HttpServer first(AnyPort());
   ASSERT_TRUE(first.Start());
--- a/test/transport/LogTest.cpp
+++ b/test/transport/LogTest.cpp
@@ -54,7 +54,7 @@
   return count;
 }
 
-TEST(LogTest, ReaderThatHasStoppedHoldsUpNobody)
+TEST(LogTest, StalledReaderDoesNotBlockLogging)
 {
   PipeOutput output;
   LogToStandardOutput();
@@ -72,21 +72,21 @@
   EXPECT_EQ(CountOf(then, "event=afterwards"), 1U);
 }
 
-TEST(LogTest, StormOfOneEventIsBoundedAndCounted)
+TEST(LogTest, LimitsLinesOfOneEventPerSecond)
 {
   PipeOutput output;
   LogToStandardOutput();
   // Few enough for the pipe to hold them all, were they written.
-  constexpr int kLines = 4 * kMostLinesPerSecond;
+  constexpr int kLines = 4 * kMaxLinesPerSecond;
   const std::time_t begun = std::time(nullptr);
   for (int number = 0; number < kLines; ++number) {
     LogEvent(LogLevel::Info, "storm");
   }
   const std::time_t seconds = std::time(nullptr) - begun + 1;
   const std::string written = output.Read();
-  EXPECT_GE(CountOf(written, "event=storm"), static_cast<std::size_t>(kMostLinesPerSecond));
+  EXPECT_GE(CountOf(written, "event=storm"), static_cast<std::size_t>(kMaxLinesPerSecond));
   EXPECT_LE(CountOf(written, "event=storm"),
-            static_cast<std::size_t>(seconds) * kMostLinesPerSecond);
+            static_cast<std::size_t>(seconds) * kMaxLinesPerSecond);
 }
 
 } // namespace
--- a/test/transport/OwnAddressTest.cpp
+++ b/test/transport/OwnAddressTest.cpp
@@ -9,7 +9,7 @@
 
 // A host of a test that was given one port for two of its listeners ended at its start, while its
 // other listener, still open, took connections that nobody answered: the test waited for ever.
-TEST(OwnAddressTest, NoPortIsGivenTwice)
+TEST(OwnAddressTest, NeverReturnsSamePortTwice)
 {
   constexpr int kEndpoints = 2'000;
   std::set<std::uint16_t> ports;
--- a/test/transport/PeerMeshTest.cpp
+++ b/test/transport/PeerMeshTest.cpp
@@ -45,7 +45,7 @@
     PeerMeshTiming timing;
     timing.alive = std::chrono::milliseconds(20);
     timing.silence = std::chrono::minutes(10);
-    timing.dial.firstPause = std::chrono::milliseconds(10);
+    timing.dial.firstRetryDelay = std::chrono::milliseconds(10);
     timing.dial.pause = std::chrono::milliseconds(10);
     return timing;
   }
@@ -88,7 +88,7 @@
   Notes secondNotes;
 };
 
-TEST_F(PeerMeshTest, BothSidesMaySendOnOneConnection)
+TEST_F(PeerMeshTest, BothSidesSendOnOneConnection)
 {
   PeerMesh dialer(this->loop, this->first, this->port, this->firstNotes, Patient());
   PeerMesh listener(this->loop, this->second, this->port, this->secondNotes, Patient());
@@ -104,7 +104,7 @@
   EXPECT_EQ(this->secondNotes.ups.front(), std::pair(this->first, LinkSide::Accepted));
 }
 
-TEST_F(PeerMeshTest, HostThatIsNotThereYetIsDialedUntilItIs)
+TEST_F(PeerMeshTest, RedialsUntilPeerListens)
 {
   PeerMesh dialer(this->loop, this->first, this->port, this->firstNotes, Patient());
   dialer.Dial(this->second);
@@ -115,7 +115,7 @@
   this->RunUntil([&] { return dialer.IsUp(this->second); });
 }
 
-TEST_F(PeerMeshTest, ConnectionThatFallsSilentIsGivenUpAndDialedAnew)
+TEST_F(PeerMeshTest, ClosesAndRedialsSilentConnection)
 {
   // Takes connections and says nothing on them, as a host behind a cut does.
   TcpAcceptor silent(this->loop,
@@ -136,7 +136,7 @@
   this->RunUntil([&] { return taken.size() >= 2; });
 }
 
-TEST_F(PeerMeshTest, HostWithNothingToSaySaysThatItIsAlive)
+TEST_F(PeerMeshTest, SendsKeepalivesWhenIdle)
 {
   TcpAcceptor acceptor(this->loop,
                        TcpEndpoint(asio::ip::make_address(this->second.Value()), this->port));
@@ -160,7 +160,7 @@
 }
 
 // A message that takes longer to come in than silence is borne, on a connection that is well.
-TEST_F(PeerMeshTest, MessageThatTakesLongerThanSilenceIsBorneArrives)
+TEST_F(PeerMeshTest, ReceivesMessageThatTakesLongerThanSilenceTimeout)
 {
   testing::SlowLink link(1'000'000);
   const std::uint16_t relayed = FreeEndpoint(this->second.Value()).port;
@@ -180,7 +180,7 @@
   EXPECT_EQ(this->firstNotes.payloads.front(), large);
 }
 
-TEST_F(PeerMeshTest, PeerThatDoesNotReadLosesItsConnectionAndNotAMessageInBetween)
+TEST_F(PeerMeshTest, ClosesConnectionWhenPeerDoesNotRead)
 {
   TcpAcceptor acceptor(this->loop,
                        TcpEndpoint(asio::ip::make_address(this->second.Value()), this->port));
@@ -208,7 +208,7 @@
   EXPECT_EQ(this->secondNotes.payloads.front().size(), 12 * kMebibyte);
 }
 
-TEST_F(PeerMeshTest, BytesThatAreNoFrameEndTheConnection)
+TEST_F(PeerMeshTest, InvalidFrameClosesConnection)
 {
   PeerMesh listener(this->loop, this->second, this->port, this->secondNotes, Patient());
   ASSERT_TRUE(listener.Listen());
--- a/test/transport/PeerNetworkTest.cpp
+++ b/test/transport/PeerNetworkTest.cpp
@@ -12,7 +12,7 @@
   }
 }
 
-TEST(PeerNetworkTest, SendingToAnUnknownHostIsDropped)
+TEST(PeerNetworkTest, DropsMessageToUnknownHost)
 {
   HostSettings settings;
   settings.host = HostId("a");
@@ -21,7 +21,7 @@
   network.Send(HostId("nobody"), PeerMessage{ Channel::Claims, GroupId("g"), "x" });
 }
 
-TEST(PeerNetworkTest, AddressThatCannotBeBoundIsANamedError)
+TEST(PeerNetworkTest, StartFailsWhenAddressCannotBeBound)
 {
   HostSettings settings;
   settings.host = HostId("a");
