--- a/include/damasklink/transport/CallerConnection.h
+++ b/include/damasklink/transport/CallerConnection.h
@@ -1,11 +1,12 @@
-// The serving side of one HTTP/1.1 connection on the event loop.
+// The server side of one HTTP/1.1 connection, on the event loop.
 //
-//   CallerConnection channel(std::move(socket));
-//   auto request = co_await channel.Read(limits);
-//   if (!request) ...                          // The error says what to answer, or that it left.
-//   co_await channel.WriteWhole(answer, close);
+//   CallerConnection connection(std::move(socket));
+//   auto request = co_await connection.Read(limits);
+//   if (!request) ...   // The error says how to respond, or that the caller closed.
+//   co_await connection.WriteWhole(response, close);
 //
-// One request at a time. Bytes that come before the answer is written wait in the socket.
+// Handles one request at a time. Bytes that arrive before the response has been written stay in the
+// socket. Not thread-safe: belongs to one event loop.
 #pragma once
 
 #include <functional>
@@ -26,32 +27,33 @@
   CallerConnection& operator=(const CallerConnection&) = delete;
 
   // Reads the next request, body included. Fails with
-  // - Interrupted when the peer closed, or was idle for too long, between two requests,
-  // - DeadlineExceeded when the head or the body came too slowly,
-  // - Overloaded when the head is larger than the limit, NotPermitted when the body is,
-  // - InvalidArgument when the bytes are no request or could be read in two ways.
-  // After any of them the connection must be closed once the failure has been answered.
+  // - Interrupted when the caller closed the connection, or was idle for too long between requests,
+  // - DeadlineExceeded when the head or the body arrived too slowly,
+  // - Overloaded when the head exceeds its limit, NotPermitted when the body does,
+  // - InvalidArgument when the bytes are not a valid request or their framing is ambiguous.
+  // After a failure the connection must be closed, once the error response has been written.
   Awaitable<Result<HttpRequestMessage>> Read(const CallerLimits& aLimits);
 
-  // Each returns whether the bytes were taken; a peer that left or does not read makes it false.
-  Awaitable<bool> WriteWhole(HttpAnswerMessage aAnswer, bool aClose);
-  // The head of an answer of unknown length, and its first piece with it.
-  Awaitable<bool> BeginStream(const HttpAnswerHead& aHead, std::string_view aPiece, bool aClose);
-  Awaitable<bool> WriteChunk(std::string_view aPiece);
+  // Writes a response of known length. This and the three methods below return false when the
+  // bytes could not be written, because the caller disconnected or does not read.
+  Awaitable<bool> WriteWhole(HttpAnswerMessage aResponse, bool aClose);
+  // Writes the head of a response of unknown length, together with its first chunk.
+  Awaitable<bool> BeginStream(const HttpAnswerHead& aHead, std::string_view aChunk, bool aClose);
+  Awaitable<bool> WriteChunk(std::string_view aChunk);
   Awaitable<bool> EndStream();
 
-  // Calls aLeft once when the peer closes before StopWatching(). Requires that nothing is read
-  // meanwhile.
-  void WatchForDisconnect(std::function<void()> aLeft);
+  // Calls aOnDisconnect once if the caller closes the connection before StopWatching(). Requires
+  // that no Read() is pending meanwhile.
+  void WatchForDisconnect(std::function<void()> aOnDisconnect);
   void StopWatching();
 
-  // Closes when no request has been begun and none waits to be read.
+  // Closes the connection unless a request is in progress or waits to be read.
   void CloseIfIdle();
 
-  // Whether no request has been begun on the connection since the last answer.
+  // Returns whether no request has begun since the last response.
   bool IsIdle() const { return this->idle; }
 
-  // Closes at once; pending operations fail. The peer sees a reset when it has sent more.
+  // Closes immediately; pending operations fail. The caller sees a reset if it has sent more.
   void Close();
 
 private:
--- a/include/damasklink/transport/ConnectionListener.h
+++ b/include/damasklink/transport/ConnectionListener.h
@@ -1,7 +1,7 @@
-// Takes connections on one address and serves each with a coroutine, on the event loop.
+// Accepts connections on one address and serves each with a coroutine, on the event loop.
 //
 //   ConnectionListener listener(loop);
-//   auto listening = listener.Listen(endpoint, [this](auto aChannel) { return Serve(aChannel); });
+//   auto listening = listener.Listen(endpoint, [this](auto aCaller) { return Serve(aCaller); });
 //   listener.Close();
 #pragma once
 
@@ -15,7 +15,7 @@
 class ConnectionListener
 {
 public:
-  // The channel is shared with whoever may close it while it is served.
+  // The connection is shared, so that its owner can close it while it is served.
   using Serve = std::function<Awaitable<void>(std::shared_ptr<CallerConnection>)>;
 
   explicit ConnectionListener(asio::io_context& aLoop)
@@ -23,10 +23,10 @@
   {
   }
 
-  // Fails with Unavailable when the address is taken.
+  // Starts accepting connections. Fails with Unavailable when the address is in use.
   Result<void> Listen(const Endpoint& aEndpoint, Serve aServe);
 
-  // Takes no further connections; those that are served go on.
+  // Accepts no further connections; open ones continue.
   void Close();
 
 private:
--- a/include/damasklink/transport/TargetConnection.h
+++ b/include/damasklink/transport/TargetConnection.h
@@ -1,18 +1,19 @@
-// The calling side of one HTTP/1.1 connection on the event loop, and the pool that keeps them.
+// The client side of one HTTP/1.1 connection, on the event loop, and a pool of idle ones.
 //
-//   std::unique_ptr<TargetConnection> channel = pool.TakeIdle(endpoint);
-//   if (channel == nullptr) {
-//     channel = std::make_unique<TargetConnection>(executor, clock);
-//     auto connected = co_await channel->Connect(endpoint, patience);
+//   std::unique_ptr<TargetConnection> connection = pool.TakeIdle(endpoint);
+//   if (connection == nullptr) {
+//     connection = std::make_unique<TargetConnection>(executor, clock);
+//     auto connected = co_await connection->Connect(endpoint, timeout);
 //   }
-//   co_await channel->Send(head, body);
-//   auto answer = co_await channel->ReadHead();
-//   while (auto piece = co_await channel->ReadChunk(); ...)
-//   pool.Keep(endpoint, std::move(channel));
+//   co_await connection->Send(head, body);
+//   auto response = co_await connection->ReadHead();
+//   while (auto chunk = co_await connection->ReadChunk(); ...)
+//   pool.Keep(endpoint, std::move(connection));
 //
-// An answer may begin before the request has been read, may have a length, chunks or end with its
-// connection; one that is reset is not whole. Answers that belong to no request show by the
-// request's id, which the caller of ReadHead() compares.
+// A response may begin before the target has read the whole request. Its body may have a length, be
+// chunked, or end with the connection; after a reset it is incomplete. To detect responses that
+// belong to another request, the caller of ReadHead() compares the request's id. Not thread-safe:
+// belongs to one event loop.
 #pragma once
 
 #include <deque>
@@ -36,41 +37,44 @@
   TargetConnection(const TargetConnection&) = delete;
   TargetConnection& operator=(const TargetConnection&) = delete;
 
-  // Fails with NotFound when nothing listens there and else with Unavailable; then no byte of a
-  // request has left this host.
-  Awaitable<Result<void>> Connect(const Endpoint& aEndpoint, Duration aPatience);
+  // Fails with NotFound when nothing listens at the address, and with Unavailable for any other
+  // reason. In either case nothing of a request has been sent.
+  Awaitable<Result<void>> Connect(const Endpoint& aEndpoint, Duration aTimeout);
 
-  // Waits on a connection on which nothing was sent. Returns whether the other side left it open
-  // for so long, or said something.
+  // Waits on a connection on which nothing was sent. Returns whether the target kept it open for
+  // that long, or sent something.
   Awaitable<bool> StaysOpen(Duration aFor);
 
-  // Fails with Interrupted; then some bytes may have arrived.
+  // Sends a request. Fails with Interrupted, or with DeadlineExceeded when the target acknowledged
+  // nothing; then it may have received a part of the request.
   Awaitable<Result<void>> Send(const HttpRequestHead& aHead, std::string_view aBody);
 
-  // Reads the next head that is no interim answer. Fails with Interrupted when the target closed,
-  // with DeadlineExceeded when it did not even acknowledge the request, and with Corrupt when the
-  // bytes are no answer.
+  // Reads the head of the response and skips interim (1xx) ones. Fails with Interrupted when the
+  // target closed the connection, with DeadlineExceeded when TCP got no acknowledgement of the
+  // request, and with Corrupt when the bytes are not an HTTP response.
   Awaitable<Result<HttpAnswerHead>> ReadHead();
 
-  // Returns the next bytes of the body, valid until the next call, and nothing at its end. Fails
-  // with Interrupted when the answer broke off and with Corrupt when its framing is broken.
+  // Returns the next chunk of the body, valid until the next call, or nullopt at its end. Fails
+  // with Interrupted when the response broke off and with Corrupt when its framing is invalid.
   Awaitable<Result<std::optional<std::string_view>>> ReadChunk();
 
-  // Reads the whole rest of the body, and tells of each piece that comes in. Fails as ReadChunk()
-  // does, and with Overloaded when it is longer than aMost.
-  Awaitable<Result<std::string>> ReadRest(std::size_t aMost,
-                                          std::function<void()> aOnPiece = nullptr);
+  // Reads the rest of the body and calls aOnChunk after each chunk. Fails as ReadChunk() does, and
+  // with Overloaded when the rest is longer than aMaxBytes.
+  Awaitable<Result<std::string>> ReadRest(std::size_t aMaxBytes,
+                                          std::function<void()> aOnChunk = nullptr);
 
-  // Whether the last answer is over and another request may be sent.
+  // Returns whether the last response is complete and another request may be sent.
   bool IsReusable() const;
 
-  // Whether an idle connection is still open and nothing has come on it, so far as this host can
-  // see. Bytes without a request belong to nobody: such a connection must not be used.
+  // Returns whether an idle connection is still open and has received nothing, as far as this host
+  // knows. Unsolicited bytes would be read as the response to the next request, so a connection
+  // that received any must not be used.
   bool IsClean();
 
+  // Returns until when the connection may stay idle, see idleUntil.
   MonotonicTime IdleUntil() const { return this->idleUntil; }
 
-  // Closes at once. Pending operations fail with Interrupted.
+  // Closes immediately. Pending operations fail with Interrupted.
   void Close();
 
 private:
@@ -78,16 +82,17 @@
 
   const Clock& clock;
   std::unique_ptr<Impl> impl;
-  // When the target may close the connection for being idle.
+  // When to stop reusing the connection, because the target may soon close it as idle.
   MonotonicTime idleUntil;
 };
 
-// Keeps idle connections by address, the most recently used first.
+// Idle connections by address. The most recently used one is reused first. Belongs to one event
+// loop.
 class TargetConnectionPool
 {
 public:
-  // Idle connections kept to one target; more are closed. A host needs about as many as it has
-  // requests at the target at once.
+  // Limit of idle connections per target; the oldest ones above it are closed. A host needs about
+  // as many as it has requests in flight at the target.
   static constexpr std::size_t kMaxIdle = 64;
 
   explicit TargetConnectionPool(const Clock& aClock)
@@ -95,12 +100,13 @@
   {
   }
 
-  // Returns an idle connection that is still open, or null.
+  // Returns an idle connection that is still open, or null if there is none.
   std::unique_ptr<TargetConnection> TakeIdle(const Endpoint& aEndpoint);
 
-  void Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetConnection> aChannel);
+  // Adds the connection to the pool, or closes it if it cannot be reused.
+  void Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetConnection> aConnection);
 
-  // Closes those that were idle for too long. Requires to be called now and then.
+  // Closes connections that were idle for too long. Must be called periodically.
   void CloseExpired();
 
   // Closes the idle connections to an address.
--- a/src/transport/CallerConnection.cpp
+++ b/src/transport/CallerConnection.cpp
@@ -13,17 +13,18 @@
 
 using RequestParser = http::request_parser<http::string_body>;
 
-// A caller that reads nothing for this long gets nothing more: it holds a target's slot meanwhile.
+// A write fails when the caller reads nothing for this long, since a stream occupies a slot of its
+// target meanwhile.
 constexpr Duration kWriteTimeout = std::chrono::seconds(10);
 
-// Bytes in one write, after which the caller's patience counts anew; the library's own figure.
+// Bytes per write, after which the write timeout begins again. The same as the library's default.
 constexpr std::size_t kWriteBytes = std::size_t{ 64 } * 1024;
 
-// The smallest read that takes a usual head at once.
+// Minimum buffer size for reading: usual request heads fit into one read.
 constexpr std::size_t kReadBytes = 4096;
 
 HttpRequestMessage
-TakeRequest(RequestParser& aParser)
+ReleaseRequest(RequestParser& aParser)
 {
   auto message = aParser.release();
   HttpRequestMessage request;
@@ -49,22 +50,24 @@
 }
 
 auto
-ReadFailure(const IoError& aError, bool aTimedOut, bool aBegun)
+ReadFailure(const IoError& aError, bool aTimedOut, bool aHasBegun)
 {
-  if (aTimedOut && aBegun) {
+  if (aTimedOut && aHasBegun) {
     return Fail(
-      ErrorKind::DeadlineExceeded, "the request came too slowly", "send it without pauses");
+      ErrorKind::DeadlineExceeded, "the request arrived too slowly", "send it without pauses");
   }
   if (aError == http::error::header_limit) {
-    return Fail(ErrorKind::Overloaded, "the head of the request is too large", "send fewer fields");
+    return Fail(
+      ErrorKind::Overloaded, "the head of the request is too large", "send fewer headers");
   }
   if (aError == http::error::body_limit) {
-    return Fail(ErrorKind::NotPermitted, "the body of the request is too large", "send less");
+    return Fail(
+      ErrorKind::NotPermitted, "the body of the request is too large", "send a smaller body");
   }
   if (internal::IsMalformed(aError)) {
     return Fail(ErrorKind::InvalidArgument,
                 Concat("the request cannot be read: ", aError.message()),
-                "send HTTP/1.1 as RFC 9112 has it");
+                "send HTTP/1.1 according to RFC 9112");
   }
   return Fail(ErrorKind::Interrupted, "the caller closed the connection", "");
 }
@@ -76,7 +79,7 @@
 public:
   explicit Impl(TcpSocket aSocket)
     : socket(std::move(aSocket))
-    , patience(this->socket.get_executor(), [this] {
+    , watchdog(this->socket.get_executor(), [this] {
       this->timedOut = true;
       IoError ignored;
       this->socket.cancel(ignored);
@@ -84,36 +87,37 @@
   {
   }
 
-  void StartWaiting(Duration aPatience)
+  void StartTimeout(Duration aTimeout)
   {
     this->timedOut = false;
-    this->patience.Arm(aPatience);
+    this->watchdog.Arm(aTimeout);
   }
 
   Awaitable<bool> Write(std::string_view aFirst, std::string_view aSecond = {})
   {
-    this->StartWaiting(kWriteTimeout);
+    this->StartTimeout(kWriteTimeout);
     const std::array<asio::const_buffer, 2> buffers{ asio::buffer(aFirst), asio::buffer(aSecond) };
     std::size_t written = 0;
-    // Bytes that leave show that the caller reads; a large answer to a thin link takes its time.
+    // Progress shows that the caller reads: a large response on a slow link may take longer than
+    // the timeout.
     const auto more = [this, &written](const IoError& aError, std::size_t aWritten) {
       if (aWritten > written) {
         written = aWritten;
-        this->StartWaiting(kWriteTimeout);
+        this->StartTimeout(kWriteTimeout);
       }
       return aError ? 0 : kWriteBytes;
     };
     const auto [error, bytes] = co_await asio::async_write(this->socket, buffers, more, kAsValue);
-    this->patience.Disarm();
+    this->watchdog.Disarm();
     co_return !error;
   }
 
   TcpSocket socket;
-  Watchdog patience;
+  Watchdog watchdog;
   bool timedOut = false;
-  // The number of the present watch for leaving. Shared with the pending wait, which may end when
-  // this object is gone.
-  std::shared_ptr<std::uint64_t> watch = std::make_shared<std::uint64_t>(0);
+  // Number of the current WatchForDisconnect(). Shared with its pending wait, which may end after
+  // this object was destroyed.
+  std::shared_ptr<std::uint64_t> watchNumber = std::make_shared<std::uint64_t>(0);
   beast::flat_buffer buffer;
 };
 
@@ -126,75 +130,75 @@
 
 CallerConnection::~CallerConnection()
 {
-  ++*this->impl->watch;
+  ++*this->impl->watchNumber;
 }
 
 Awaitable<Result<HttpRequestMessage>>
 CallerConnection::Read(const CallerLimits& aLimits)
 {
-  Impl& channel = *this->impl;
+  Impl& connection = *this->impl;
   const auto headerTimeout = aLimits.headerTimeout;
   const auto idleTimeout = aLimits.idleTimeout;
-  if (channel.buffer.size() == 0) {
-    // Nothing is kept for an idle connection but the socket.
-    channel.buffer.shrink_to_fit();
-    channel.StartWaiting(idleTimeout);
-    const auto [waitError] = co_await channel.socket.async_wait(TcpSocket::wait_read, kAsValue);
-    channel.patience.Disarm();
+  if (connection.buffer.size() == 0) {
+    // An idle connection needs no memory but its socket.
+    connection.buffer.shrink_to_fit();
+    connection.StartTimeout(idleTimeout);
+    const auto [waitError] = co_await connection.socket.async_wait(TcpSocket::wait_read, kAsValue);
+    connection.watchdog.Disarm();
     if (waitError) {
-      co_return ReadFailure(waitError, channel.timedOut, false);
+      co_return ReadFailure(waitError, connection.timedOut, false);
     }
   }
   this->idle = false;
   RequestParser parser;
   parser.header_limit(static_cast<std::uint32_t>(aLimits.headerBytes));
   parser.body_limit(aLimits.bodyBytes);
-  channel.buffer.reserve(kReadBytes);
-  channel.StartWaiting(headerTimeout);
+  connection.buffer.reserve(kReadBytes);
+  connection.StartTimeout(headerTimeout);
   const auto [headError, headBytes] =
-    co_await http::async_read_header(channel.socket, channel.buffer, parser, kAsValue);
-  channel.patience.Disarm();
+    co_await http::async_read_header(connection.socket, connection.buffer, parser, kAsValue);
+  connection.watchdog.Disarm();
   if (headError) {
-    co_return ReadFailure(headError, channel.timedOut, true);
+    co_return ReadFailure(headError, connection.timedOut, true);
   }
   if (auto framed = CheckFraming(HeadOf(parser)); !framed) {
     co_return Fail(framed.error());
   }
   while (!parser.is_done()) {
-    // For each piece anew: a caller whose body is still coming in is not idle.
-    channel.StartWaiting(idleTimeout);
+    // The timeout begins again with each chunk: a caller that is sending its body is not idle.
+    connection.StartTimeout(idleTimeout);
     const auto [bodyError, bodyBytes] =
-      co_await http::async_read_some(channel.socket, channel.buffer, parser, kAsValue);
-    channel.patience.Disarm();
+      co_await http::async_read_some(connection.socket, connection.buffer, parser, kAsValue);
+    connection.watchdog.Disarm();
     if (bodyError) {
-      co_return ReadFailure(bodyError, channel.timedOut, true);
+      co_return ReadFailure(bodyError, connection.timedOut, true);
     }
   }
-  co_return TakeRequest(parser);
+  co_return ReleaseRequest(parser);
 }
 
 Awaitable<bool>
-CallerConnection::WriteWhole(HttpAnswerMessage aAnswer, bool aClose)
+CallerConnection::WriteWhole(HttpAnswerMessage aResponse, bool aClose)
 {
   const std::string head =
-    FormatAnswerHead(aAnswer.head, AnswerFraming::Length, aAnswer.body.size(), aClose);
-  const bool written = co_await this->impl->Write(head, aAnswer.body);
+    FormatAnswerHead(aResponse.head, AnswerFraming::Length, aResponse.body.size(), aClose);
+  const bool written = co_await this->impl->Write(head, aResponse.body);
   this->idle = true;
   co_return written;
 }
 
 Awaitable<bool>
-CallerConnection::BeginStream(const HttpAnswerHead& aHead, std::string_view aPiece, bool aClose)
+CallerConnection::BeginStream(const HttpAnswerHead& aHead, std::string_view aChunk, bool aClose)
 {
   std::string bytes = FormatAnswerHead(aHead, AnswerFraming::Chunks, 0, aClose);
-  bytes += Concat(absl::Hex(aPiece.size()), "\r\n", aPiece, "\r\n");
+  bytes += Concat(absl::Hex(aChunk.size()), "\r\n", aChunk, "\r\n");
   co_return co_await this->impl->Write(bytes);
 }
 
 Awaitable<bool>
-CallerConnection::WriteChunk(std::string_view aPiece)
+CallerConnection::WriteChunk(std::string_view aChunk)
 {
-  const std::string bytes = Concat(absl::Hex(aPiece.size()), "\r\n", aPiece, "\r\n");
+  const std::string bytes = Concat(absl::Hex(aChunk.size()), "\r\n", aChunk, "\r\n");
   co_return co_await this->impl->Write(bytes);
 }
 
@@ -208,31 +212,35 @@
 }
 
 void
-CallerConnection::WatchForDisconnect(std::function<void()> aLeft)
+CallerConnection::WatchForDisconnect(std::function<void()> aOnDisconnect)
 {
-  Impl* channel = this->impl.get();
-  const std::uint64_t number = ++*channel->watch;
-  channel->socket.async_wait(
-    TcpSocket::wait_read,
-    [channel, watch = channel->watch, number, left = std::move(aLeft)](const IoError& aError) {
-      if (aError || *watch != number) {
-        return;
-      }
-      char byte = 0;
-      IoError error;
-      channel->socket.non_blocking(true, error);
-      channel->socket.receive(asio::buffer(&byte, 1), TcpSocket::message_peek, error);
-      // Bytes of a next request tell nothing; the end of the stream or an error does.
-      if (error && error != asio::error::would_block) {
-        left();
-      }
-    });
+  Impl* connection = this->impl.get();
+  const std::uint64_t number = ++*connection->watchNumber;
+  connection->socket.async_wait(TcpSocket::wait_read,
+                                [connection,
+                                 current = connection->watchNumber,
+                                 number,
+                                 onDisconnect = std::move(aOnDisconnect)](const IoError& aError) {
+                                  if (aError || *current != number) {
+                                    return;
+                                  }
+                                  char byte = 0;
+                                  IoError error;
+                                  connection->socket.non_blocking(true, error);
+                                  connection->socket.receive(
+                                    asio::buffer(&byte, 1), TcpSocket::message_peek, error);
+                                  // Readable bytes belong to the next request. The end of the
+                                  // stream or an error is a disconnect.
+                                  if (error && error != asio::error::would_block) {
+                                    onDisconnect();
+                                  }
+                                });
 }
 
 void
 CallerConnection::StopWatching()
 {
-  ++*this->impl->watch;
+  ++*this->impl->watchNumber;
   IoError ignored;
   this->impl->socket.cancel(ignored);
 }
--- a/src/transport/ConnectionListener.cpp
+++ b/src/transport/ConnectionListener.cpp
@@ -36,8 +36,8 @@
     if (aError) {
       LogEvent(LogLevel::Warning, "accept_failed").With("reason", aError.message());
     } else {
-      auto channel = std::make_shared<CallerConnection>(std::move(aSocket));
-      asio::co_spawn(this->loop, this->serve(channel), asio::detached);
+      auto connection = std::make_shared<CallerConnection>(std::move(aSocket));
+      asio::co_spawn(this->loop, this->serve(connection), asio::detached);
     }
     this->Accept();
   });
--- a/src/transport/TargetConnection.cpp
+++ b/src/transport/TargetConnection.cpp
@@ -11,19 +11,20 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-using AnswerParser = http::response_parser<http::buffer_body>;
+using ResponseParser = http::response_parser<http::buffer_body>;
 
-constexpr std::size_t kPieceBytes = std::size_t{ 16 } * 1024;
+constexpr std::size_t kChunkBytes = std::size_t{ 16 } * 1024;
 constexpr std::uint64_t kMaxResponseBytes = std::uint64_t{ 1 } << 30U;
 constexpr std::uint32_t kMaxHeadBytes = 64 * 1024;
 
-// A target that was cut off or lost power acknowledges nothing. Longer than a few retransmissions
-// on a link that loses packets, shorter than callers wait for a first event.
+// An isolated target or one without power acknowledges nothing. The timeout is longer than a few
+// retransmissions on a lossy link, and shorter than callers wait for a first event.
 constexpr Duration kSendTimeout = std::chrono::milliseconds(900);
 
-// What a target that names no time is assumed to keep an idle connection for.
+// Assumed idle timeout of targets that send none in Keep-Alive.
 constexpr Duration kDefaultIdleTimeout = std::chrono::seconds(4);
-// Left unused of the time that a target names, so that a request does not cross its close.
+// A connection is not reused this long before its idle timeout, so that a request is not sent while
+// the target closes it.
 constexpr Duration kIdleMargin = std::chrono::milliseconds(700);
 
 auto
@@ -31,17 +32,17 @@
 {
   if (internal::IsMalformed(aError)) {
     return Fail(ErrorKind::Corrupt,
-                Concat("the target's bytes are no answer: ", aError.message()),
-                "look at the target's own log");
+                Concat("the target's bytes are not an HTTP response: ", aError.message()),
+                "check the target's log");
   }
   if (aError == asio::error::timed_out) {
     return Fail(ErrorKind::DeadlineExceeded,
-                "the target acknowledged nothing of what was sent",
-                "look whether the target runs and can be reached");
+                "the target did not acknowledge what was sent",
+                "check that the target runs and is reachable");
   }
   return Fail(ErrorKind::Interrupted,
-              Concat("the connection to the target broke: ", aError.message()),
-              "look at the target's own log");
+              Concat("the connection to the target failed: ", aError.message()),
+              "check the target's log");
 }
 
 } // namespace
@@ -56,11 +57,13 @@
 
   TcpSocket socket;
   beast::flat_buffer buffer;
-  std::optional<AnswerParser> parser;
-  std::array<char, kPieceBytes> piece{};
+  std::optional<ResponseParser> parser;
+  std::array<char, kChunkBytes> chunk{};
+  // Whether the response has no body, because the request was HEAD.
   bool bodyless = false;
   bool sending = false;
   bool broken = false;
+  // Whether the target closes the connection after the response.
   bool closes = false;
 };
 
@@ -73,23 +76,23 @@
 TargetConnection::~TargetConnection() = default;
 
 Awaitable<Result<void>>
-TargetConnection::Connect(const Endpoint& aEndpoint, Duration aPatience)
+TargetConnection::Connect(const Endpoint& aEndpoint, Duration aTimeout)
 {
-  bool late = false;
-  Watchdog watchdog(this->impl->socket.get_executor(), [this, &late] {
-    late = true;
+  bool timedOut = false;
+  Watchdog watchdog(this->impl->socket.get_executor(), [this, &timedOut] {
+    timedOut = true;
     this->Close();
   });
-  watchdog.Arm(aPatience);
+  watchdog.Arm(aTimeout);
   const auto [error] =
     co_await this->impl->socket.async_connect(ToTcpEndpoint(aEndpoint), kAsValue);
   watchdog.Disarm();
-  if (error || late) {
-    const std::string reason = late ? std::string("no answer in time") : error.message();
+  if (error || timedOut) {
+    const std::string reason = timedOut ? std::string("timed out") : error.message();
     const bool refused = error == asio::error::connection_refused;
     co_return Fail(refused ? ErrorKind::NotFound : ErrorKind::Unavailable,
                    Concat("cannot connect to ", FormatEndpoint(aEndpoint), ": ", reason),
-                   "look whether the target runs and can be reached");
+                   "check that the target runs and is reachable");
   }
   SetNoDelay(this->impl->socket);
   SetSendTimeout(this->impl->socket, kSendTimeout);
@@ -100,16 +103,16 @@
 TargetConnection::StaysOpen(Duration aFor)
 {
   TcpSocket& socket = this->impl->socket;
-  bool late = false;
-  Watchdog watchdog(socket.get_executor(), [&socket, &late] {
-    late = true;
+  bool timedOut = false;
+  Watchdog watchdog(socket.get_executor(), [&socket, &timedOut] {
+    timedOut = true;
     IoError ignored;
     socket.cancel(ignored);
   });
   watchdog.Arm(aFor);
   const auto [waited] = co_await socket.async_wait(TcpSocket::wait_read, kAsValue);
   watchdog.Disarm();
-  if (late) {
+  if (timedOut) {
     co_return true;
   }
   if (waited) {
@@ -125,15 +128,15 @@
 Awaitable<Result<void>>
 TargetConnection::Send(const HttpRequestHead& aHead, std::string_view aBody)
 {
-  Impl& channel = *this->impl;
-  channel.bodyless = aHead.method == "HEAD";
+  Impl& connection = *this->impl;
+  connection.bodyless = aHead.method == "HEAD";
   const std::string head = FormatRequestHead(aHead, aBody.size());
   const std::array<asio::const_buffer, 2> buffers{ asio::buffer(head), asio::buffer(aBody) };
-  channel.sending = true;
-  const auto [error, bytes] = co_await asio::async_write(channel.socket, buffers, kAsValue);
-  channel.sending = false;
+  connection.sending = true;
+  const auto [error, bytes] = co_await asio::async_write(connection.socket, buffers, kAsValue);
+  connection.sending = false;
   if (error) {
-    channel.broken = true;
+    connection.broken = true;
     co_return ReadFailure(error);
   }
   co_return Success();
@@ -142,30 +145,30 @@
 Awaitable<Result<HttpAnswerHead>>
 TargetConnection::ReadHead()
 {
-  Impl& channel = *this->impl;
+  Impl& connection = *this->impl;
   while (true) {
-    channel.parser.emplace();
-    channel.parser->header_limit(kMaxHeadBytes);
-    channel.parser->body_limit(kMaxResponseBytes);
-    channel.parser->skip(channel.bodyless);
-    const auto [error, bytes] =
-      co_await http::async_read_header(channel.socket, channel.buffer, *channel.parser, kAsValue);
+    connection.parser.emplace();
+    connection.parser->header_limit(kMaxHeadBytes);
+    connection.parser->body_limit(kMaxResponseBytes);
+    connection.parser->skip(connection.bodyless);
+    const auto [error, bytes] = co_await http::async_read_header(
+      connection.socket, connection.buffer, *connection.parser, kAsValue);
     if (error) {
-      channel.broken = true;
+      connection.broken = true;
       co_return ReadFailure(error);
     }
-    const auto& message = channel.parser->get();
+    const auto& message = connection.parser->get();
     if (message.result_int() >= 200) {
       break;
     }
   }
-  const auto& message = channel.parser->get();
+  const auto& message = connection.parser->get();
   HttpAnswerHead head;
   head.status = static_cast<int>(message.result_int());
   for (const auto& field : message) {
     head.fields.Add(internal::TextOf(field.name_string()), internal::TextOf(field.value()));
   }
-  channel.closes = !channel.parser->keep_alive();
+  connection.closes = !connection.parser->keep_alive();
   const auto seconds = KeepAliveSeconds(head.fields);
   const Duration kept = seconds ? Duration(std::chrono::seconds(*seconds)) : kDefaultIdleTimeout;
   this->idleUntil = this->clock.MonotonicNow() + kept - kIdleMargin;
@@ -175,47 +178,47 @@
 Awaitable<Result<std::optional<std::string_view>>>
 TargetConnection::ReadChunk()
 {
-  Impl& channel = *this->impl;
-  while (!channel.parser->is_done()) {
-    auto& body = channel.parser->get().body();
-    body.data = channel.piece.data();
-    body.size = channel.piece.size();
+  Impl& connection = *this->impl;
+  while (!connection.parser->is_done()) {
+    auto& body = connection.parser->get().body();
+    body.data = connection.chunk.data();
+    body.size = connection.chunk.size();
     body.more = true;
-    const auto [error, bytes] =
-      co_await http::async_read_some(channel.socket, channel.buffer, *channel.parser, kAsValue);
-    const bool filled = error == http::error::need_buffer;
-    if (error && !filled) {
-      channel.broken = true;
+    const auto [error, bytes] = co_await http::async_read_some(
+      connection.socket, connection.buffer, *connection.parser, kAsValue);
+    const bool isFull = error == http::error::need_buffer;
+    if (error && !isFull) {
+      connection.broken = true;
       co_return ReadFailure(error);
     }
-    const std::size_t length = channel.piece.size() - channel.parser->get().body().size;
+    const std::size_t length = connection.chunk.size() - connection.parser->get().body().size;
     if (length > 0) {
-      co_return std::optional(std::string_view(channel.piece.data(), length));
+      co_return std::optional(std::string_view(connection.chunk.data(), length));
     }
   }
   co_return std::optional<std::string_view>();
 }
 
 Awaitable<Result<std::string>>
-TargetConnection::ReadRest(std::size_t aMost, std::function<void()> aOnPiece)
+TargetConnection::ReadRest(std::size_t aMaxBytes, std::function<void()> aOnChunk)
 {
-  std::string whole;
+  std::string rest;
   while (true) {
-    auto piece = co_await this->ReadChunk();
-    if (!piece) {
-      co_return Fail(piece.error());
+    auto chunk = co_await this->ReadChunk();
+    if (!chunk) {
+      co_return Fail(chunk.error());
     }
-    if (!piece.value()) {
-      co_return whole;
+    if (!chunk.value()) {
+      co_return rest;
     }
-    whole.append(*piece.value());
-    if (aOnPiece) {
-      aOnPiece();
+    rest.append(*chunk.value());
+    if (aOnChunk) {
+      aOnChunk();
     }
-    if (whole.size() > aMost) {
+    if (rest.size() > aMaxBytes) {
       this->impl->broken = true;
       co_return Fail(ErrorKind::Overloaded,
-                     "the target's answer is larger than what is kept of one",
+                     "the target's response exceeds the limit for responses that are not streamed",
                      "declare the route as a stream");
     }
   }
@@ -224,22 +227,22 @@
 bool
 TargetConnection::IsReusable() const
 {
-  const Impl& channel = *this->impl;
-  const bool over = channel.parser && channel.parser->is_done() && !channel.sending;
-  return over && !channel.broken && !channel.closes && channel.socket.is_open();
+  const Impl& connection = *this->impl;
+  const bool complete = connection.parser && connection.parser->is_done() && !connection.sending;
+  return complete && !connection.broken && !connection.closes && connection.socket.is_open();
 }
 
 bool
 TargetConnection::IsClean()
 {
-  Impl& channel = *this->impl;
-  if (!channel.socket.is_open() || channel.buffer.size() > 0) {
+  Impl& connection = *this->impl;
+  if (!connection.socket.is_open() || connection.buffer.size() > 0) {
     return false;
   }
   char byte = 0;
   IoError error;
-  channel.socket.non_blocking(true, error);
-  channel.socket.receive(asio::buffer(&byte, 1), TcpSocket::message_peek, error);
+  connection.socket.non_blocking(true, error);
+  connection.socket.receive(asio::buffer(&byte, 1), TcpSocket::message_peek, error);
   return error == asio::error::would_block;
 }
 
@@ -258,27 +261,27 @@
   if (found == this->idle.end()) {
     return nullptr;
   }
-  auto& channels = found->second;
-  while (!channels.empty()) {
-    std::unique_ptr<TargetConnection> channel = std::move(channels.back());
-    channels.pop_back();
-    if (this->clock.MonotonicNow() < channel->IdleUntil() && channel->IsClean()) {
-      return channel;
+  auto& connections = found->second;
+  while (!connections.empty()) {
+    std::unique_ptr<TargetConnection> connection = std::move(connections.back());
+    connections.pop_back();
+    if (this->clock.MonotonicNow() < connection->IdleUntil() && connection->IsClean()) {
+      return connection;
     }
   }
   return nullptr;
 }
 
 void
-TargetConnectionPool::Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetConnection> aChannel)
+TargetConnectionPool::Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetConnection> aConnection)
 {
-  if (!aChannel->IsReusable() || this->clock.MonotonicNow() >= aChannel->IdleUntil()) {
+  if (!aConnection->IsReusable() || this->clock.MonotonicNow() >= aConnection->IdleUntil()) {
     return;
   }
-  auto& channels = this->idle[FormatEndpoint(aEndpoint)];
-  channels.push_back(std::move(aChannel));
-  if (channels.size() > kMaxIdle) {
-    channels.pop_front();
+  auto& connections = this->idle[FormatEndpoint(aEndpoint)];
+  connections.push_back(std::move(aConnection));
+  if (connections.size() > kMaxIdle) {
+    connections.pop_front();
   }
 }
 
@@ -286,8 +289,9 @@
 TargetConnectionPool::CloseExpired()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  for (auto& [endpoint, channels] : this->idle) {
-    std::erase_if(channels, [&](const auto& aChannel) { return aChannel->IdleUntil() <= now; });
+  for (auto& [endpoint, connections] : this->idle) {
+    std::erase_if(connections,
+                  [&](const auto& aConnection) { return aConnection->IdleUntil() <= now; });
   }
   absl::erase_if(this->idle, [](const auto& aItem) { return aItem.second.empty(); });
 }
--- a/test/transport/CallerConnectionTest.cpp
+++ b/test/transport/CallerConnectionTest.cpp
@@ -9,7 +9,7 @@
 namespace damasklink {
 namespace {
 
-// Reads requests from one connection to which the test has written.
+// Writes to one end of a connection and reads requests from the other.
 class CallerConnectionTest : public ::testing::Test
 {
 protected:
@@ -17,12 +17,12 @@
     : acceptor(this->loop, TcpEndpoint(asio::ip::make_address("127.0.0.1"), 0))
   {
     this->caller.connect(this->acceptor.local_endpoint());
-    this->channel = std::make_unique<CallerConnection>(this->acceptor.accept());
+    this->connection = std::make_unique<CallerConnection>(this->acceptor.accept());
   }
 
   void Send(const std::string& aBytes) { asio::write(this->caller, asio::buffer(aBytes)); }
 
-  // Returns the next request, or why there is none.
+  // Returns the next request or the error.
   Result<HttpRequestMessage> Read()
   {
     std::optional<Result<HttpRequestMessage>> read;
@@ -34,10 +34,11 @@
 
   Awaitable<void> ReadInto(std::optional<Result<HttpRequestMessage>>& aTo)
   {
-    aTo = co_await this->channel->Read(this->limits);
+    aTo = co_await this->connection->Read(this->limits);
   }
 
-  ErrorKind KindOf(const std::string& aBytes)
+  // Returns the error with which reading the bytes fails, Internal if it succeeds.
+  ErrorKind ErrorOf(const std::string& aBytes)
   {
     this->Send(aBytes);
     const auto read = this->Read();
@@ -47,7 +48,7 @@
   asio::io_context loop;
   TcpAcceptor acceptor;
   TcpSocket caller{ this->loop };
-  std::unique_ptr<CallerConnection> channel;
+  std::unique_ptr<CallerConnection> connection;
   CallerLimits limits;
 };
 
@@ -78,54 +79,54 @@
 
 TEST_F(CallerConnectionTest, RefusesContentLengthBesideChunkedEncoding)
 {
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
-                         "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
+                          "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n"),
             ErrorKind::InvalidArgument);
 }
 
 TEST_F(CallerConnectionTest, RefusesRepeatedContentLength)
 {
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
-                         "Content-Length: 3\r\n\r\nabc"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
+                          "Content-Length: 3\r\n\r\nabc"),
             ErrorKind::InvalidArgument);
 }
 
 TEST_F(CallerConnectionTest, RefusesBareLineFeed)
 {
-  EXPECT_EQ(this->KindOf("GET /a HTTP/1.1\nHost: h\n\n"), ErrorKind::InvalidArgument);
+  EXPECT_EQ(this->ErrorOf("GET /a HTTP/1.1\nHost: h\n\n"), ErrorKind::InvalidArgument);
 }
 
 TEST_F(CallerConnectionTest, RefusesSpaceBeforeColon)
 {
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\nabc"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\nabc"),
             ErrorKind::InvalidArgument);
 }
 
 TEST_F(CallerConnectionTest, RefusesHeadAboveLimit)
 {
   this->limits.headerBytes = 100;
-  EXPECT_EQ(this->KindOf("GET /a HTTP/1.1\r\nHost: " + std::string(200, 'h') + "\r\n\r\n"),
+  EXPECT_EQ(this->ErrorOf("GET /a HTTP/1.1\r\nHost: " + std::string(200, 'h') + "\r\n\r\n"),
             ErrorKind::Overloaded);
 }
 
 TEST_F(CallerConnectionTest, RefusesBodyAboveLimitBeforeReadingIt)
 {
   this->limits.bodyBytes = 10;
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"),
             ErrorKind::NotPermitted);
 }
 
 TEST_F(CallerConnectionTest, SlowHeadExceedsDeadline)
 {
   this->limits.headerTimeout = std::chrono::milliseconds(20);
-  EXPECT_EQ(this->KindOf("GET /a HTT"), ErrorKind::DeadlineExceeded);
+  EXPECT_EQ(this->ErrorOf("GET /a HTT"), ErrorKind::DeadlineExceeded);
 }
 
 TEST_F(CallerConnectionTest, IdleTimeoutIsInterrupted)
 {
   this->limits.idleTimeout = std::chrono::milliseconds(20);
-  EXPECT_EQ(this->KindOf(""), ErrorKind::Interrupted);
-  EXPECT_TRUE(this->channel->IsIdle());
+  EXPECT_EQ(this->ErrorOf(""), ErrorKind::Interrupted);
+  EXPECT_TRUE(this->connection->IsIdle());
 }
 
 TEST_F(CallerConnectionTest, CloseBetweenRequestsIsInterrupted)
@@ -139,26 +140,26 @@
 TEST_F(CallerConnectionTest, CloseIfIdleKeepsConnectionWithWaitingRequest)
 {
   this->Send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-  this->channel->CloseIfIdle();
+  this->connection->CloseIfIdle();
   EXPECT_EQ(this->Read().value().head.target, "/a");
 }
 
 TEST_F(CallerConnectionTest, CloseIfIdleClosesIdleConnection)
 {
-  this->channel->CloseIfIdle();
+  this->connection->CloseIfIdle();
   char byte = 0;
   IoError error;
   this->caller.read_some(asio::buffer(&byte, 1), error);
   EXPECT_EQ(error, asio::error::eof);
 }
 
-// The time a caller may be idle is no time for a whole body: one over a thin link takes longer.
+// The idle timeout does not limit a whole body: on a slow link it takes longer than that.
 TEST_F(CallerConnectionTest, ReadsSlowBodyThatKeepsArriving)
 {
   this->limits.idleTimeout = std::chrono::seconds(1);
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n");
   std::thread sender([this] {
-    for (int piece = 0; piece < 40; ++piece) {
+    for (int chunk = 0; chunk < 40; ++chunk) {
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
       this->Send("x");
     }
@@ -172,21 +173,21 @@
 TEST_F(CallerConnectionTest, StalledBodyExceedsDeadline)
 {
   this->limits.idleTimeout = std::chrono::milliseconds(100);
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\nx"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\nx"),
             ErrorKind::DeadlineExceeded);
 }
 
-// A ready answer goes on for as long as its caller takes bytes of it.
+// Writing a response continues as long as the caller reads from it.
 TEST_F(CallerConnectionTest, WritesLargeAnswerToSlowReader)
 {
-  HttpAnswerMessage answer;
-  answer.head.status = 200;
-  answer.body = std::string(24 * kMebibyte, 'x');
-  const std::size_t expected = answer.body.size();
+  HttpAnswerMessage response;
+  response.head.status = 200;
+  response.body = std::string(24 * kMebibyte, 'x');
+  const std::size_t expected = response.body.size();
   bool written = false;
   const auto write = [&]() -> Awaitable<void> {
-    written = co_await this->channel->WriteWhole(std::move(answer), true);
-    this->channel->Close();
+    written = co_await this->connection->WriteWhole(std::move(response), true);
+    this->connection->Close();
   };
   std::size_t received = 0;
   std::thread reader([&] {
@@ -194,7 +195,7 @@
     IoError error;
     while (!error) {
       received += this->caller.read_some(asio::buffer(bytes), error);
-      // Over ten seconds for all of it.
+      // Takes more than ten seconds in total, the write timeout.
       std::this_thread::sleep_for(std::chrono::milliseconds(received < expected / 2 ? 1000 : 0));
     }
   });
