--- a/test/platform/DialectTest.cpp
+++ b/test/platform/DialectTest.cpp
@@ -86,7 +86,7 @@
   }
 }
 
-TEST(DialectTest, ListsPartMovesInPromptOrder)
+TEST(DialectTest, ListsPartTransfersInPromptOrder)
 {
   TargetCall call;
   call.scope = CacheScope("m/1/");
