--- a/include/damasklink/transport/ConnectionThreads.h
+++ b/include/damasklink/transport/ConnectionThreads.h
@@ -1,4 +1,4 @@
-// Threads for open connections: as many as are needed up to a limit, and a few that only refuse.
+// A thread pool for connections: one thread each up to a limit, and a few that only refuse.
 #pragma once
 
 #include <condition_variable>
@@ -11,51 +11,51 @@
 
 namespace damasklink {
 
-// Runs each connection on a thread of its own, and refuses at once what exceeds the limit, so that
-// no connection waits unanswered behind long streams.
+// Runs each connection on a thread of its own. Connections above the limit run on separate threads
+// that only refuse them, so that no connection waits unanswered behind long streams.
 //
 //   ConnectionThreads threads(2000);
-//   threads.Run([] { ... });   // On the connection's thread.
+//   threads.Run([] { ... });           // Runs on the connection's thread.
 //   ConnectionThreads::MustRefuse();   // Inside the task: true when it exceeds the limit.
 //
-// Threads are made when needed and kept for the next connection. Safe from any thread.
+// Threads are created on demand and reused. Thread-safe.
 class ConnectionThreads
 {
 public:
   using Task = std::function<void()>;
 
-  // Requires aMost to be at least 1.
-  explicit ConnectionThreads(std::size_t aMost);
+  // Serves up to aMaxConnections connections at once, which must be at least 1.
+  explicit ConnectionThreads(std::size_t aMaxConnections);
   ~ConnectionThreads();
   ConnectionThreads(const ConnectionThreads&) = delete;
   ConnectionThreads& operator=(const ConnectionThreads&) = delete;
 
-  // Runs the task soon, on a thread that may refuse only when aMost tasks run already.
+  // Queues the task. It must refuse its work only if all serving threads are busy already.
   void Run(Task aTask);
 
-  // Returns once all tasks have ended. No task may be given afterwards.
+  // Waits until all queued tasks have ended. Requires that Run() is not called afterwards.
   void Shutdown();
 
-  // Returns whether the task on this thread has to refuse its work.
+  // Returns whether the task that runs on the calling thread must refuse its work.
   static bool MustRefuse();
 
 private:
-  struct Lane
+  struct Pool
   {
-    std::deque<Task> waiting;
-    std::size_t idle = 0;
-    std::size_t most = 0;
+    std::deque<Task> queue;
+    std::size_t idleThreads = 0;
+    std::size_t maxThreads = 0;
     std::vector<std::thread> threads;
-    std::condition_variable arrived;
+    std::condition_variable taskQueued;
   };
 
-  void Give(Lane& aLane, Task aTask, bool aRefuses);
-  void Work(Lane& aLane, bool aRefuses);
+  void Enqueue(Pool& aPool, Task aTask, bool aRefuses);
+  void RunTasks(Pool& aPool, bool aRefuses);
 
   std::mutex mutex;
   bool stopped = false;
-  Lane serving;
-  Lane refusing;
+  Pool serving;
+  Pool refusing;
 };
 
 } // namespace damasklink
--- a/include/damasklink/transport/ControlLoop.h
+++ b/include/damasklink/transport/ControlLoop.h
@@ -1,4 +1,4 @@
-// The one thread that owns all coordination state, and the modules that live on it.
+// The control thread, which owns all coordination state, and the interface of its modules.
 #pragma once
 
 #include <functional>
@@ -15,26 +15,27 @@
 
 namespace damasklink {
 
-// A part of the control state: agreement, configuration, membership, store ownership, ...
-// All calls come on the control thread.
+// A part of the coordination state, for example replication, configuration, membership or store
+// leases. All methods are called on the control thread.
 class ControlModule
 {
 public:
   virtual ~ControlModule() = default;
 
-  // Takes a message of the module's channel from a peer.
+  // Handles a peer's message on the module's channel.
   virtual void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage) = 0;
 
-  // Called every tick (kControlTick) and after each batch of messages.
+  // Called every kControlTick and after each batch of tasks and messages.
   virtual void OnTick(MonotonicTime aNow) = 0;
 
-  // Called once when the process begins to shut down.
+  // Called once, when the process begins to shut down.
   virtual void OnShutdown() {}
 };
 
 constexpr Duration kControlTick = std::chrono::milliseconds(20);
 
-// Runs modules on one thread, fed through a bounded mailbox.
+// Runs modules on one thread, which takes its tasks from a bounded mailbox. Post(),
+// PostPeerMessage() and AnnounceShutdown() are thread-safe.
 //
 //   ControlLoop loop(clock, 4096);
 //   loop.Add(Channel::Membership, membership);
@@ -50,23 +51,24 @@
   ControlLoop(const ControlLoop&) = delete;
   ControlLoop& operator=(const ControlLoop&) = delete;
 
-  // Adds a module for a channel. Requires to be called before Start(); the module must outlive
-  // the loop.
+  // Registers a module for a channel. Must be called before Start(); the module must outlive the
+  // loop.
   void Add(Channel aChannel, ControlModule& aModule);
 
   void Start();
 
-  // Ends the thread after the task it is running. Tasks still in the mailbox are dropped.
+  // Ends the thread after the batch of tasks that it runs or takes next. Other tasks in the mailbox
+  // are dropped.
   void Stop();
 
-  // Queues a task. Returns false, and does not run it, when the mailbox is full or stopped.
+  // Queues a task. Returns false and drops the task when the mailbox is full or the loop stopped.
   bool Post(Task aTask);
 
-  // Queues a peer's message for its module. Drops it when the mailbox is full: protocols between
-  // hosts resend.
+  // Queues a peer's message for its module. Drops it when the mailbox is full, since the protocols
+  // between hosts resend.
   void PostPeerMessage(HostId aFrom, PeerMessage aMessage);
 
-  // Tells all modules that the process begins to shut down.
+  // Queues a call of OnShutdown() for all modules.
   void AnnounceShutdown();
 
 private:
--- a/include/damasklink/transport/DialBackoff.h
+++ b/include/damasklink/transport/DialBackoff.h
@@ -1,15 +1,15 @@
-// How long a host waits for a connection to a peer, and when it tries again.
+// Timeout and retry delay of a host's attempts to connect to a peer.
 //
-//   DialBackoff pace(timing);
-//   pace.ConnectTimeout();    // Give the attempt up after so long,
-//   pace.RetryDelay();       // and begin the next one so long after it.
-//   pace.OnFailed();
-//   pace.OnUp();
+//   DialBackoff backoff(timing);
+//   backoff.ConnectTimeout();   // Abandon the attempt after this long,
+//   backoff.RetryDelay();       // and begin the next one this long after it.
+//   backoff.OnFailed();
+//   backoff.OnUp();
 //
-// The first packet to a host without power is lost, and the kernel sends it again only after a
-// second. Hosts that start together start within some tenths of a second of each other, so the
-// first attempts are short and close together; a host that stays away is asked less often, and
-// given the time that a full link takes. Not thread-safe.
+// The first packet to a host without power is lost, and the kernel resends it only after a second.
+// Hosts that start together start within some tenths of a second of each other, so the first
+// attempts are short and close together. An unreachable host is dialed less often, with a timeout
+// that suffices on a congested link. Not thread-safe.
 #pragma once
 
 #include "damasklink/state/Clock.h"
@@ -18,13 +18,13 @@
 
 struct DialTiming
 {
-  // Of the first attempts: several times the way there and back between zones.
+  // First attempts: several round trips between zones.
   Duration firstConnectTimeout = std::chrono::milliseconds(150);
   Duration firstRetryDelay = std::chrono::milliseconds(50);
   int firstAttempts = 5;
-  // Of all later ones.
-  Duration patience = std::chrono::milliseconds(700);
-  Duration pause = std::chrono::milliseconds(300);
+  // All later attempts.
+  Duration connectTimeout = std::chrono::milliseconds(700);
+  Duration retryDelay = std::chrono::milliseconds(300);
 };
 
 class DialBackoff
@@ -37,24 +37,24 @@
 
   Duration ConnectTimeout() const
   {
-    return this->IsEarly() ? this->timing.firstConnectTimeout : this->timing.patience;
+    return this->IsEarly() ? this->timing.firstConnectTimeout : this->timing.connectTimeout;
   }
 
   Duration RetryDelay() const
   {
-    return this->IsEarly() ? this->timing.firstRetryDelay : this->timing.pause;
+    return this->IsEarly() ? this->timing.firstRetryDelay : this->timing.retryDelay;
   }
 
   void OnFailed() { ++this->failed; }
 
-  // The next attempt is a first one again: the peer may only have started anew.
+  // Begins again with the first attempts, since the peer may just have restarted.
   void OnUp() { this->failed = 0; }
 
 private:
   bool IsEarly() const { return this->failed < this->timing.firstAttempts; }
 
   DialTiming timing;
-  // Attempts since the last connection.
+  // Failed attempts since the last connection.
   int failed = 0;
 };
 
--- a/include/damasklink/transport/EventLoop.h
+++ b/include/damasklink/transport/EventLoop.h
@@ -1,6 +1,6 @@
-// The event loop that a serving process runs on: one thread, no thread for a connection.
+// Helpers for the event loop of a serving process, which handles all connections on one thread.
 //
-// Includes Boost.Asio, which is slow to compile: keep it to files that do I/O.
+// Includes Boost.Asio, which is slow to compile: include this only in files that do I/O.
 #pragma once
 
 #include <chrono>
@@ -24,35 +24,36 @@
 using TcpEndpoint = asio::ip::tcp::endpoint;
 using IoError = boost::system::error_code;
 
-// Lets a coroutine take errors as values: auto [error, bytes] = co_await ...(kAsValue).
+// Makes an operation return its error as a value: auto [error, bytes] = co_await ...(kAsValue).
 //
-// g++ 12 destroys an aggregate that is made inside a co_await expression twice: give such a value a
-// name first and pass the name.
+// g++ 12 destroys an aggregate that is created inside a co_await expression twice: store such a
+// value in a named variable first and pass that.
 constexpr auto kAsValue = asio::as_tuple(asio::use_awaitable);
 
 template<typename T>
 using Awaitable = asio::awaitable<T>;
 
-// Returns the address as the library's type. Requires that it was parsed by ParseEndpoint().
+// Converts the address to Boost.Asio's type. Requires that ParseEndpoint() returned it.
 TcpEndpoint
 ToTcpEndpoint(const Endpoint& aEndpoint);
 
-// Opens a listening socket. Fails with Unavailable when the address is taken.
+// Opens a listening socket. Fails with Unavailable when the address is in use.
 Result<TcpAcceptor>
 ListenOn(asio::io_context& aContext, const Endpoint& aEndpoint);
 
-// Makes a connection fail when what was sent stays unacknowledged for this long. A host that is cut
-// off or without power sends no reset, so without it a write would seem to succeed for minutes.
+// Makes a connection fail when sent data stays unacknowledged for this long (TCP_USER_TIMEOUT). A
+// host that is isolated or without power sends no reset, so without this writes would seem to
+// succeed for minutes.
 void
 SetSendTimeout(TcpSocket& aSocket, Duration aTimeout);
 
-// Sends small writes at once.
+// Disables Nagle's algorithm (TCP_NODELAY), so that small writes are sent immediately.
 void
 SetNoDelay(TcpSocket& aSocket);
 
-// Runs a callback once, at a time that may be moved. Belongs to one event loop.
+// Runs a callback once after a delay; arming again replaces the delay. Belongs to one event loop.
 //
-//   Watchdog watchdog(context, [&] { channel.Close(); });
+//   Watchdog watchdog(executor, [&] { connection.Close(); });
 //   watchdog.Arm(std::chrono::seconds(1));
 //   watchdog.Disarm();
 class Watchdog
@@ -68,8 +69,8 @@
   void Disarm();
 
 private:
-  // Shared with the pending wait: a timer that has run out already calls back whatever is done to
-  // it, so the wait must see that it was disarmed or that this object is gone.
+  // Shared with the pending wait. A timer that has expired already cannot be cancelled, so its
+  // handler must be able to see that the watchdog was disarmed, armed again or destroyed.
   struct State
   {
     std::function<void()> callback;
--- a/include/damasklink/transport/FrameCodec.h
+++ b/include/damasklink/transport/FrameCodec.h
@@ -1,4 +1,4 @@
-// The length prefix of frames between hosts: four bytes, the lowest first.
+// The length prefix of frames between hosts: four bytes, little-endian.
 #pragma once
 
 #include <array>
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kFramePrefixBytes = 4;
 
-// A longer frame is no frame of ours.
+// A length above this is treated as a broken frame.
 constexpr std::size_t kMaxFrameBytes = 64 * kMebibyte;
 
 using FramePrefix = std::array<unsigned char, kFramePrefixBytes>;
--- a/include/damasklink/transport/HttpClient.h
+++ b/include/damasklink/transport/HttpClient.h
@@ -1,7 +1,7 @@
-// HTTP calls whose answer is read piece by piece, on the thread of the caller.
+// A blocking HTTP client that reads the response chunk by chunk, on the calling thread.
 //
-// cpp-httplib's client hands a streamed answer to a callback and so cannot give the thread back
-// between two pieces; this one is Boost.Beast, the nearest kin (docs/DESIGN.md).
+// cpp-httplib's client passes a streamed response to a callback and so cannot return to its caller
+// between two chunks. This one therefore uses Boost.Beast (docs/DESIGN.md).
 #pragma once
 
 #include <memory>
@@ -24,7 +24,7 @@
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
   Duration connectTimeout = std::chrono::milliseconds(500);
-  // Longest wait for any one piece of the answer.
+  // Longest wait for one chunk of the response.
   Duration readTimeout = std::chrono::seconds(30);
 };
 
@@ -35,27 +35,27 @@
   std::string body;
 };
 
-// One call in progress.
+// One call in progress. Not thread-safe.
 //
-//   auto exchange = HttpExchange::Connect(call);     // No byte of the call has left yet.
-//   exchange.value()->Send();                        // From here on the target may act on it.
+//   auto exchange = HttpExchange::Connect(call);     // Nothing has been sent yet.
+//   exchange.value()->Send();                        // From here on the target may run the call.
 //   exchange.value()->ReadHeader();
-//   while (true) { auto piece = exchange.value()->ReadSome(); ... }
+//   while (true) { auto chunk = exchange.value()->ReadSome(); ... }
 //
-// Destroying it closes the connection, which cancels the call. Not thread-safe.
+// Destroying it closes the connection, which cancels the call.
 class HttpExchange
 {
 public:
-  // Connects. Fails with Unavailable, and then surely nothing was sent.
+  // Connects. Fails with Unavailable; then nothing has been sent.
   static Result<std::unique_ptr<HttpExchange>> Connect(HttpCall aCall);
 
   ~HttpExchange();
 
-  // Sends the whole call. Fails with Interrupted.
+  // Sends the whole call. Fails with Interrupted, or with DeadlineExceeded after readTimeout.
   Result<void> Send();
 
-  // Waits for the status line and headers. Fails with Interrupted or DeadlineExceeded; after the
-  // latter it may be called again.
+  // Reads the status line and the headers. Fails with Interrupted or DeadlineExceeded; it may be
+  // called again after the latter.
   Result<void> ReadHeader();
 
   // Requires ReadHeader().
@@ -63,12 +63,12 @@
   // Returns the header's value, empty when it is missing. Requires ReadHeader().
   std::string Header(std::string_view aName) const;
 
-  // Returns the next piece of the body, empty at its proper end.
-  // Fails with Interrupted when the connection closes before that, or with DeadlineExceeded; after
-  // the latter it may be called again.
+  // Returns the next chunk of the body, or an empty text at its end. Fails with Interrupted when
+  // the connection closes before the end, or with DeadlineExceeded; it may be called again after
+  // the latter.
   Result<std::string> ReadSome();
 
-  // Replaces the longest wait for a piece.
+  // Sets the longest wait for a chunk.
   void SetReadTimeout(Duration aTimeout);
 
 private:
@@ -77,8 +77,9 @@
   std::unique_ptr<Impl> impl;
 };
 
-// Makes a whole call and reads an answer of at most aMostBody bytes.
+// Makes a call and reads the whole response. Fails as the methods above do, and with Overloaded
+// when the body is larger than aMaxBody. Of the headers only content-type is returned.
 Result<HttpClientResponse>
-CallHttp(HttpCall aCall, ByteCount aMostBody);
+CallHttp(HttpCall aCall, ByteCount aMaxBody);
 
 } // namespace damasklink
--- a/include/damasklink/transport/HttpServer.h
+++ b/include/damasklink/transport/HttpServer.h
@@ -1,4 +1,4 @@
-// An HTTP server behind a narrow interface, so that handlers do not see the library.
+// An HTTP server whose interface hides the library (cpp-httplib) from handlers.
 #pragma once
 
 #include <functional>
@@ -14,17 +14,17 @@
 
 namespace damasklink {
 
-// One request as a handler sees it. Header names are in lower case.
+// A request as passed to a handler. Header names are in lower case.
 struct HttpRequest
 {
   std::string method;
   std::string path;
-  // Path and query as they came, still percent-encoded.
+  // Path and query as received, still percent-encoded.
   std::string target;
   std::string body;
   std::map<std::string, std::string> headers;
   std::map<std::string, std::string> query;
-  // Text of the route's groups, from 0.
+  // Texts that the capture groups of the route's expression matched; the first group is at 0.
   std::vector<std::string> groups;
 
   // Returns the header's value, empty when it is missing.
@@ -33,16 +33,16 @@
   std::string Query(const std::string& aName) const;
 };
 
-// Where a streamed answer goes.
+// Writes the body of a streamed response.
 class StreamWriter
 {
 public:
   virtual ~StreamWriter() = default;
 
-  // Sends bytes, waiting while the caller is slow. Returns false when the caller is gone.
+  // Sends bytes; blocks while the caller reads slowly. Returns false when the caller disconnected.
   virtual bool Write(std::string_view aBytes) = 0;
 
-  // Returns whether the caller is still there, without sending anything.
+  // Returns whether the caller is still connected, without sending anything.
   virtual bool IsOpen() const = 0;
 };
 
@@ -52,22 +52,22 @@
   std::string contentType = "application/json";
   std::string body;
   std::vector<std::pair<std::string, std::string>> headers;
-  // When set, it writes the body instead, on the thread of the handler after it returned. Returns
-  // whether the answer is whole; a false one closes the connection without the end mark.
+  // When set, it writes the body instead, on the handler's thread after the handler returned. It
+  // returns whether the body is complete; otherwise the connection is closed without a last chunk.
   std::function<bool(StreamWriter&)> stream;
 };
 
 using HttpHandler = std::function<HttpResponse(const HttpRequest&)>;
 
-// Serves one address with a thread for each open connection, up to the limit of the options; what
-// exceeds it is refused at once with status 429 and outcome "not_run".
+// Serves one address with one thread for each open connection, up to Options::threads. Requests on
+// further connections are refused at once with status 429 and outcome "not_run".
 //
 //   HttpServer server({ endpoint, 16, limit, idle });
 //   server.Route("GET", "/healthz", [](const HttpRequest&) { return HttpResponse{}; });
 //   auto started = server.Start();
 //
-// Routes are regular expressions over the path. Stop() refuses new connections and waits for the
-// running handlers.
+// Routes are regular expressions over the path. Handlers run on the connections' threads, so they
+// must be thread-safe. Stop() refuses new connections and waits for running handlers.
 class HttpServer
 {
 public:
@@ -84,14 +84,14 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Adds a route. Requires to be called before Start().
+  // Adds a route. Must be called before Start().
   void Route(const std::string& aMethod, const std::string& aPattern, HttpHandler aHandler);
 
-  // Binds the address and serves on a thread of its own. Port 0 takes any free port. Fails with
-  // Unavailable when the address is taken.
+  // Binds the address and serves it on a thread of its own. Port 0 selects any free port. Fails
+  // with Unavailable when the address is in use.
   Result<void> Start();
 
-  // Returns the address with the port that was bound. Requires Start().
+  // Returns the address with the bound port. Requires Start().
   Endpoint Address() const;
 
   void Stop();
--- a/include/damasklink/transport/Log.h
+++ b/include/damasklink/transport/Log.h
@@ -1,4 +1,5 @@
-// Logs: one line of key=value pairs for each event.
+// Structured logging: each event is one line of key=value pairs. SetLogLevel() and LogEvent are
+// thread-safe.
 #pragma once
 
 #include <sstream>
@@ -17,34 +18,35 @@
   Error,
 };
 
-// Starts logging to standard error. Requires to be called once, before the first event.
+// Starts logging to standard error. Must be called once, before the first event.
 void
 StartLogging(LogLevel aLevel);
 
-// Sends all further events to standard output instead, as processes of a serving deployment do.
-// Never waits: a line that the reader of the output does not take at once is dropped, and the next
-// one that is taken is preceded by a count of those.
+// Writes all further events to standard output instead, as processes of a serving deployment do.
+// Never blocks: a line that cannot be written at once is dropped, and the number of dropped lines
+// is written before the next line.
 void
 LogToStandardOutput();
 
-// Changes the level of the running process; safe from any thread.
+// Changes the level of the process.
 void
 SetLogLevel(LogLevel aLevel);
 
-// Reads "debug", "info", "warning" or "error". Returns false and leaves aTo for anything else.
+// Parses "debug", "info", "warning" or "error". Returns false and leaves aTo unchanged for any
+// other text.
 bool
 ParseLogLevel(std::string_view aText, LogLevel& aTo);
 
-// Returns the value as it stands in a line: quoted and escaped where it needs to be.
+// Returns the value as written in a line: quoted and escaped if necessary.
 std::string
 QuoteLogValue(std::string_view aValue);
 
-// Lines of one event name that are written in a second; further ones are counted, and the count is
-// written with the first line of the next second. A host that fails 100 calls a second still logs
-// each of them; a storm beyond that costs neither the disk nor the processor.
+// Lines per second and event name. Further lines are only counted, and the next line that is
+// written has the count under left_out. A host that fails 100 calls per second still logs each of
+// them; a faster storm of one event does not load the disk or the processor.
 constexpr int kMaxLinesPerSecond = 100;
 
-// One event, written when it goes out of scope. Never pass prompt text or keys.
+// One event, written when the object goes out of scope. Never pass prompt text or keys.
 //
 //   LogEvent(LogLevel::Info, "request_done").With("request", id).With("status", 200);
 class LogEvent
--- a/include/damasklink/transport/PeerMesh.h
+++ b/include/damasklink/transport/PeerMesh.h
@@ -1,14 +1,14 @@
-// Connections between hosts that are learnt while they run, on the event loop.
+// Connections to hosts that are discovered at run time, on the event loop.
 //
-// A host is named by its IP number, and all hosts listen on the same port, so a name is all that
-// is needed to reach one. Both directions of a connection carry frames; both sides say that they
-// are alive when they have nothing else to say, so that a connection which went silent without a
-// reset is noticed by either side.
+// A host's id is its IP address, and all hosts listen on the same port, so the id suffices to
+// connect to it. Frames are sent in both directions of a connection. Both sides send keepalives
+// when they have nothing else to send, so that either side detects a connection that fell silent
+// without a reset.
 //
 //   PeerMesh mesh(context, HostId("10.1.0.4"), 7700, handler);
-//   mesh.Listen();                       // Where others connect to this host.
-//   mesh.Dial(HostId("10.2.0.4"));       // Kept up: dialed again whenever it breaks.
-//   mesh.Send(HostId("10.2.0.4"), message);
+//   mesh.Listen();                       // Accepts connections of other hosts.
+//   mesh.Dial(HostId("10.2.0.4"));       // Connects, and reconnects whenever the connection
+//   breaks. mesh.Send(HostId("10.2.0.4"), message);
 #pragma once
 
 #include <map>
@@ -29,26 +29,28 @@
   Accepted,
 };
 
-// Takes what happens on the connections.
+// Callbacks for what happens on the connections, called on the event loop.
 class PeerMeshHandler
 {
 public:
   virtual ~PeerMeshHandler() = default;
 
-  // The connection can be written to. An accepted one counts from its first frame on.
+  // The connection is established: a dialed one once it is connected, an accepted one once its
+  // first frame, which names the peer, has arrived.
   virtual void OnPeerUp(const HostId& aPeer, LinkSide aSide) = 0;
+  // An established connection was closed.
   virtual void OnPeerDown(const HostId& aPeer, LinkSide aSide) = 0;
   virtual void OnPeerMessage(const HostId& aPeer, PeerMessage aMessage) = 0;
 };
 
-// How long connections are waited for.
+// Timeouts of connections.
 struct PeerMeshTiming
 {
-  // "Alive" after this long without another frame.
-  Duration alive = std::chrono::milliseconds(500);
-  // A connection on which not a byte came for this long is broken: three signs of life lost, which
-  // a retransmitted packet or two does not cause.
-  Duration silence = std::chrono::milliseconds(1700);
+  // Idle time after which a keepalive is sent.
+  Duration keepaliveInterval = std::chrono::milliseconds(500);
+  // A connection that received no byte for this long is closed. It corresponds to three lost
+  // keepalives; one or two retransmitted packets do not cause that.
+  Duration silenceTimeout = std::chrono::milliseconds(1700);
   DialTiming dial;
 };
 
@@ -64,26 +66,27 @@
   PeerMesh(const PeerMesh&) = delete;
   PeerMesh& operator=(const PeerMesh&) = delete;
 
-  // Fails with Unavailable when the address is taken.
+  // Starts accepting connections. Fails with Unavailable when the address is in use.
   Result<void> Listen();
 
-  // Keeps a connection to the host from now on. Does nothing for this host and for known ones.
+  // Connects to the host and keeps the connection up until Disconnect(). Does nothing for this host
+  // and for hosts that are dialed already.
   void Dial(const HostId& aPeer);
 
-  // Ends the connection to the host that this side opened.
+  // Closes the connection that this side dialed to the host, and stops dialing it.
   void Disconnect(const HostId& aPeer);
 
   bool IsDialed(const HostId& aPeer) const { return this->dialed.contains(aPeer); }
 
-  // Returns whether a connection to the host is up, whoever opened it.
+  // Returns whether a connection to the host is up, whichever side dialed it.
   bool IsUp(const HostId& aPeer) const;
 
-  // Sends on the connection that this side opened, or else on the one that the peer did. Drops the
-  // message when neither is up, and the connection with it when more than 8 MiB would wait there:
-  // the peer is told everything anew on the next one.
+  // Sends on the connection that this side dialed, or else on the one that the peer dialed. Drops
+  // the message when neither is up. When more than 8 MiB would be queued, it also closes the
+  // connection: on a new one the peer is sent its full state again.
   void Send(const HostId& aTo, PeerMessage aMessage) override;
 
-  // Closes everything; no handler is called any more.
+  // Closes all connections. The handler is not called any more.
   void Stop();
 
 private:
@@ -93,7 +96,7 @@
   void OnLinkUp(const std::shared_ptr<Link>& aLink);
   void OnLinkDown(const std::shared_ptr<Link>& aLink);
   void OnFrame(const std::shared_ptr<Link>& aLink, const std::string& aFrame);
-  void Open(const HostId& aPeer);
+  void Connect(const HostId& aPeer);
 
   asio::io_context& context;
   HostId self;
@@ -101,11 +104,11 @@
   PeerMeshHandler& handler;
   PeerMeshTiming timing;
   std::unique_ptr<TcpAcceptor> acceptor;
-  // By peer; null while the connection is not being opened or up.
+  // By peer; null while waiting to dial again.
   std::map<HostId, std::shared_ptr<Link>> dialed;
-  std::map<HostId, DialBackoff> paces;
+  std::map<HostId, DialBackoff> backoffs;
   std::map<HostId, std::shared_ptr<Link>> accepted;
-  // Accepted and not yet named.
+  // Accepted connections whose peer has not sent its id yet.
   std::vector<std::weak_ptr<Link>> unnamed;
   bool stopped = false;
 };
--- a/include/damasklink/transport/PeerNetwork.h
+++ b/include/damasklink/transport/PeerNetwork.h
@@ -1,4 +1,4 @@
-// Links between the hosts of the system: length-prefixed frames over TCP, each a FlatBuffer.
+// Connections between hosts: length-prefixed frames over TCP, each of them a FlatBuffer.
 #pragma once
 
 #include <functional>
@@ -13,24 +13,24 @@
 
 namespace damasklink {
 
-// Which part of the system a message is for.
+// The part of the system that handles a message.
 enum class Channel : std::uint8_t
 {
   Membership = 1,    // Heartbeats of hosts.
-  Targets = 2,       // Announcements passed on.
-  Agreement = 3,     // Replicated logs; the group tells which.
-  Configuration = 4, // Spread of the tree.
-  Claims = 5,        // Claims sent to their home group.
-  Stores = 6,        // Store owners and block look-ups.
-  Admission = 7,     // Shares and load within a zone.
-  Serving = 8,       // Pictures of a serving deployment; an empty payload only says "alive".
+  Targets = 2,       // Relayed announcements of targets.
+  Agreement = 3,     // Replicated logs, one for each group.
+  Configuration = 4, // Distribution of the configuration tree.
+  Claims = 5,        // Claims of idempotency keys, for their home group.
+  Stores = 6,        // Store leases and block look-ups.
+  Admission = 7,     // Rate shares and load within a zone.
+  Serving = 8,       // Updates of a serving deployment; an empty payload is a keepalive.
 };
 
-// Returns the lower-case name that logs and metrics use.
+// Returns the lower-case name for logs and metrics.
 std::string_view
 ChannelName(Channel aChannel);
 
-// A message between two hosts; the payload is the channel's own FlatBuffer.
+// A message between two hosts. The payload is a FlatBuffer whose schema depends on the channel.
 struct PeerMessage
 {
   Channel channel = Channel::Membership;
@@ -38,8 +38,8 @@
   std::string payload;
 };
 
-// Sends to peers without waiting. Messages may be lost, repeated after a reconnect or reordered
-// between connections; each protocol above bears that.
+// Sends to peers without blocking. Messages may be lost, repeated after a reconnect or reordered
+// between connections; the protocols above must tolerate that.
 class PeerSender
 {
 public:
@@ -49,13 +49,13 @@
   virtual void Send(const HostId& aTo, PeerMessage aMessage) = 0;
 };
 
-// Connects to all peers of the settings over Boost.Asio, on one thread of its own.
+// Connects to all peers in the settings, on a thread of its own. Send() is thread-safe.
 //
 //   PeerNetwork network(settings, metrics, [&](HostId aFrom, PeerMessage aMessage) { ... });
 //   auto started = network.Start();
 //
-// The handler runs on the network's thread and must not wait. Bytes are counted by channel, frame
-// and prefix included, TCP's own not.
+// The handler runs on the network's thread and must not block. Bytes are counted by channel; the
+// counts include frames and their prefixes, but not the overhead of TCP.
 class PeerNetwork final : public PeerSender
 {
 public:
@@ -64,7 +64,7 @@
   PeerNetwork(const HostSettings& aSettings, Metrics& aMetrics, Handler aHandler);
   ~PeerNetwork() override;
 
-  // Listens on the peers' address. Fails with Unavailable when it is taken.
+  // Listens on the address for peers. Fails with Unavailable when it is in use.
   Result<void> Start();
   void Stop();
 
--- a/src/transport/ConnectionThreads.cpp
+++ b/src/transport/ConnectionThreads.cpp
@@ -5,17 +5,17 @@
 namespace damasklink {
 namespace {
 
-// Refusing takes no time, so a few threads do.
+// Refusing a connection takes almost no time, so a few threads suffice.
 constexpr std::size_t kRefusalThreads = 4;
 
 thread_local bool mustRefuse = false;
 
 } // namespace
 
-ConnectionThreads::ConnectionThreads(std::size_t aMost)
+ConnectionThreads::ConnectionThreads(std::size_t aMaxConnections)
 {
-  this->serving.most = aMost;
-  this->refusing.most = kRefusalThreads;
+  this->serving.maxThreads = aMaxConnections;
+  this->refusing.maxThreads = kRefusalThreads;
 }
 
 ConnectionThreads::~ConnectionThreads()
@@ -27,10 +27,10 @@
 ConnectionThreads::Run(Task aTask)
 {
   std::lock_guard<std::mutex> lock(this->mutex);
-  const bool mayGrow = this->serving.threads.size() < this->serving.most;
-  const bool someIdle = this->serving.idle > this->serving.waiting.size();
+  const bool mayGrow = this->serving.threads.size() < this->serving.maxThreads;
+  const bool someIdle = this->serving.idleThreads > this->serving.queue.size();
   const bool refuses = !mayGrow && !someIdle;
-  this->Give(refuses ? this->refusing : this->serving, std::move(aTask), refuses);
+  this->Enqueue(refuses ? this->refusing : this->serving, std::move(aTask), refuses);
 }
 
 void
@@ -40,12 +40,12 @@
     std::lock_guard<std::mutex> lock(this->mutex);
     this->stopped = true;
   }
-  for (Lane* lane : { &this->serving, &this->refusing }) {
-    lane->arrived.notify_all();
-    for (std::thread& thread : lane->threads) {
+  for (Pool* pool : { &this->serving, &this->refusing }) {
+    pool->taskQueued.notify_all();
+    for (std::thread& thread : pool->threads) {
       thread.join();
     }
-    lane->threads.clear();
+    pool->threads.clear();
   }
 }
 
@@ -57,30 +57,30 @@
 
 // Requires the mutex to be held.
 void
-ConnectionThreads::Give(Lane& aLane, Task aTask, bool aRefuses)
+ConnectionThreads::Enqueue(Pool& aPool, Task aTask, bool aRefuses)
 {
-  aLane.waiting.push_back(std::move(aTask));
-  const bool needsThread = aLane.idle < aLane.waiting.size();
-  if (needsThread && aLane.threads.size() < aLane.most) {
-    aLane.threads.emplace_back([this, &aLane, aRefuses] { this->Work(aLane, aRefuses); });
+  aPool.queue.push_back(std::move(aTask));
+  const bool needsThread = aPool.idleThreads < aPool.queue.size();
+  if (needsThread && aPool.threads.size() < aPool.maxThreads) {
+    aPool.threads.emplace_back([this, &aPool, aRefuses] { this->RunTasks(aPool, aRefuses); });
   }
-  aLane.arrived.notify_one();
+  aPool.taskQueued.notify_one();
 }
 
 void
-ConnectionThreads::Work(Lane& aLane, bool aRefuses)
+ConnectionThreads::RunTasks(Pool& aPool, bool aRefuses)
 {
   mustRefuse = aRefuses;
   std::unique_lock<std::mutex> lock(this->mutex);
   while (true) {
-    ++aLane.idle;
-    aLane.arrived.wait(lock, [&] { return this->stopped || !aLane.waiting.empty(); });
-    --aLane.idle;
-    if (aLane.waiting.empty()) {
+    ++aPool.idleThreads;
+    aPool.taskQueued.wait(lock, [&] { return this->stopped || !aPool.queue.empty(); });
+    --aPool.idleThreads;
+    if (aPool.queue.empty()) {
       return;
     }
-    const Task task = std::move(aLane.waiting.front());
-    aLane.waiting.pop_front();
+    const Task task = std::move(aPool.queue.front());
+    aPool.queue.pop_front();
     lock.unlock();
     task();
     lock.lock();
--- a/src/transport/EngineStream.cpp
+++ b/src/transport/EngineStream.cpp
@@ -7,10 +7,10 @@
 
 constexpr std::size_t kMaxEventBytes = kMebibyte;
 constexpr int kStatusOk = 200;
-// Statuses with which an engine says that it did not begin.
+// Statuses that mean that the engine did not start the prompt.
 constexpr int kStatusTooMany = 429;
 constexpr int kStatusUnavailable = 503;
-// For sending the prompt.
+// Limits sending the prompt.
 constexpr Duration kSendTimeout = std::chrono::seconds(5);
 
 } // namespace
@@ -53,21 +53,21 @@
 }
 
 Result<std::string>
-EngineStream::Poll(Duration aPatience)
+EngineStream::Poll(Duration aTimeout)
 {
   if (auto data = this->reader.Next()) {
-    return this->TakeFrame(*data);
+    return this->HandleFrame(*data);
   }
-  this->exchange->SetReadTimeout(aPatience);
+  this->exchange->SetReadTimeout(aTimeout);
   auto read = this->headerRead ? this->ReadChunk() : this->ReadHeader();
   if (!read && read.error().kind == ErrorKind::DeadlineExceeded) {
     return std::string();
   }
   if (!read) {
-    return this->Lose(read.error());
+    return this->FailAttempt(read.error());
   }
   if (auto data = this->reader.Next()) {
-    return this->TakeFrame(*data);
+    return this->HandleFrame(*data);
   }
   return std::string();
 }
@@ -96,29 +96,29 @@
 Result<void>
 EngineStream::ReadChunk()
 {
-  auto piece = this->exchange->ReadSome();
-  if (!piece) {
-    return Fail(piece.error());
+  auto chunk = this->exchange->ReadSome();
+  if (!chunk) {
+    return Fail(chunk.error());
   }
-  if (piece.value().empty()) {
+  if (chunk.value().empty()) {
     return Fail(ErrorKind::Interrupted, "the answer ended without its end mark", "try again");
   }
-  return this->reader.Feed(piece.value());
+  return this->reader.Feed(chunk.value());
 }
 
 Result<std::string>
-EngineStream::TakeFrame(std::string_view aData)
+EngineStream::HandleFrame(std::string_view aData)
 {
   if (aData == "[DONE]") {
     return std::string();
   }
   auto frame = ParseAnswerFrame(aData);
   if (!frame) {
-    return this->Lose(frame.error());
+    return this->FailAttempt(frame.error());
   }
   auto text = this->assembler.Accept(frame.value());
   if (!text) {
-    return this->Lose(text.error());
+    return this->FailAttempt(text.error());
   }
   if (this->Complete()) {
     this->record.Advance(AttemptStage::Finished);
@@ -127,7 +127,7 @@
 }
 
 Result<std::string>
-EngineStream::Lose(Error aError)
+EngineStream::FailAttempt(Error aError)
 {
   this->record.Advance(AttemptStage::Lost);
   return Fail(std::move(aError));
--- a/src/transport/HttpClient.cpp
+++ b/src/transport/HttpClient.cpp
@@ -22,7 +22,7 @@
 namespace http = boost::beast::http;
 using ErrorCode = boost::system::error_code;
 
-constexpr std::size_t kPieceBytes = 16 * kKibibyte;
+constexpr std::size_t kChunkBytes = 16 * kKibibyte;
 
 int
 Milliseconds(Duration aDuration)
@@ -36,8 +36,8 @@
   return ErrorCode(errno, boost::system::system_category());
 }
 
-// A connected socket that reads and writes with a time limit, in the shape that Beast asks of a
-// stream; hence its lower-case names.
+// A connected socket whose reads and writes have a timeout. It implements Beast's SyncStream
+// concept, hence the lower-case names.
 class TimedSocket
 {
 public:
@@ -81,14 +81,14 @@
     const auto begin = boost::asio::buffer_sequence_begin(aBuffers);
     const auto end = boost::asio::buffer_sequence_end(aBuffers);
     for (auto position = begin; position != end; ++position) {
-      const boost::asio::const_buffer piece(*position);
-      if (piece.size() == 0) {
+      const boost::asio::const_buffer part(*position);
+      if (part.size() == 0) {
         continue;
       }
       if (!this->Wait(POLLOUT, aError)) {
         return 0;
       }
-      const ssize_t count = ::send(this->descriptor, piece.data(), piece.size(), MSG_NOSIGNAL);
+      const ssize_t count = ::send(this->descriptor, part.data(), part.size(), MSG_NOSIGNAL);
       aError = count < 0 ? LastError() : ErrorCode();
       return count < 0 ? 0 : static_cast<std::size_t>(count);
     }
@@ -134,23 +134,26 @@
   if (::poll(&entry, 1, Milliseconds(aTimeout)) <= 0) {
     return false;
   }
-  int problem = 0;
-  socklen_t length = sizeof(problem);
-  ::getsockopt(aDescriptor, SOL_SOCKET, SO_ERROR, &problem, &length);
-  return problem == 0;
+  int error = 0;
+  socklen_t length = sizeof(error);
+  ::getsockopt(aDescriptor, SOL_SOCKET, SO_ERROR, &error, &length);
+  return error == 0;
 }
 
 Error
 ReadFailure(const ErrorCode& aCode, const Endpoint& aEndpoint)
 {
-  const std::string where = FormatEndpoint(aEndpoint);
+  const std::string address = FormatEndpoint(aEndpoint);
   if (aCode == boost::asio::error::timed_out) {
     return Error{ ErrorKind::DeadlineExceeded,
-                  Concat(where, " did not answer in time"),
+                  Concat(address, " did not respond in time"),
                   "try again, or raise the timeout" };
   }
   return Error{ ErrorKind::Interrupted,
-                Concat(where, " closed before the answer was whole (", aCode.message(), ")"),
+                Concat(address,
+                       " closed the connection before the end of its response (",
+                       aCode.message(),
+                       ")"),
                 "try again" };
 }
 
@@ -164,9 +167,9 @@
     , call(std::move(aCall))
   {
     this->socket.SetTimeout(this->call.readTimeout);
-    // Beast reads as much at once as the buffer holds, and 512 bytes where it holds none.
-    this->buffer.reserve(kPieceBytes);
-    // Beast 1.74 takes "none" for zero.
+    // Beast reads at most the capacity of the buffer at once, or 512 bytes if it has none.
+    this->buffer.reserve(kChunkBytes);
+    // Beast 1.74 treats boost::none as a limit of zero.
     this->parser.body_limit(std::numeric_limits<std::uint64_t>::max());
   }
 
@@ -186,14 +189,14 @@
 Result<std::unique_ptr<HttpExchange>>
 HttpExchange::Connect(HttpCall aCall)
 {
-  const auto failed = [&] {
+  const auto unavailable = [&] {
     return Fail(ErrorKind::Unavailable,
                 Concat("cannot connect to ", FormatEndpoint(aCall.endpoint)),
-                "check that it runs and can be reached");
+                "check that it runs and is reachable");
   };
   const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   if (descriptor < 0) {
-    return failed();
+    return unavailable();
   }
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -201,7 +204,7 @@
   ::inet_pton(AF_INET, aCall.endpoint.address.c_str(), &address.sin_addr);
   if (!ConnectWithin(descriptor, address, aCall.connectTimeout)) {
     ::close(descriptor);
-    return failed();
+    return unavailable();
   }
   const int enabled = 1;
   ::setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
@@ -260,18 +263,18 @@
 HttpExchange::ReadSome()
 {
   auto& parser = this->impl->parser;
-  std::array<char, kPieceBytes> piece{};
+  std::array<char, kChunkBytes> chunk{};
   while (!parser.is_done()) {
-    parser.get().body().data = piece.data();
-    parser.get().body().size = piece.size();
+    parser.get().body().data = chunk.data();
+    parser.get().body().size = chunk.size();
     ErrorCode code;
     http::read_some(this->impl->socket, this->impl->buffer, parser, code);
     if (code && code != http::error::need_buffer) {
       return Fail(ReadFailure(code, this->impl->call.endpoint));
     }
-    const std::size_t count = piece.size() - parser.get().body().size;
+    const std::size_t count = chunk.size() - parser.get().body().size;
     if (count > 0) {
-      return std::string(piece.data(), count);
+      return std::string(chunk.data(), count);
     }
   }
   return std::string();
@@ -284,7 +287,7 @@
 }
 
 Result<HttpClientResponse>
-CallHttp(HttpCall aCall, ByteCount aMostBody)
+CallHttp(HttpCall aCall, ByteCount aMaxBody)
 {
   auto connected = HttpExchange::Connect(std::move(aCall));
   if (!connected) {
@@ -297,20 +300,21 @@
   if (auto header = exchange.ReadHeader(); !header) {
     return Fail(header.error());
   }
-  HttpClientResponse answer;
-  answer.status = exchange.Status();
-  answer.headers.emplace_back("content-type", exchange.Header("content-type"));
+  HttpClientResponse response;
+  response.status = exchange.Status();
+  response.headers.emplace_back("content-type", exchange.Header("content-type"));
   while (true) {
-    auto piece = exchange.ReadSome();
-    if (!piece) {
-      return Fail(piece.error());
+    auto chunk = exchange.ReadSome();
+    if (!chunk) {
+      return Fail(chunk.error());
     }
-    if (piece.value().empty()) {
-      return answer;
+    if (chunk.value().empty()) {
+      return response;
     }
-    answer.body += piece.value();
-    if (answer.body.size() > aMostBody.Value()) {
-      return Fail(ErrorKind::Overloaded, "the answer is too large", "raise the limit for answers");
+    response.body += chunk.value();
+    if (response.body.size() > aMaxBody.Value()) {
+      return Fail(
+        ErrorKind::Overloaded, "the response is too large", "raise the limit for responses");
     }
   }
 }
--- a/src/transport/HttpServer.cpp
+++ b/src/transport/HttpServer.cpp
@@ -79,16 +79,16 @@
   aTo.set_chunked_content_provider(aResponse.contentType, std::move(provider));
 }
 
-// Gives the library's connections to our threads.
+// Runs the library's connections on ConnectionThreads.
 class ConnectionQueue final : public httplib::TaskQueue
 {
 public:
-  explicit ConnectionQueue(std::size_t aMost)
-    : threads(aMost)
+  explicit ConnectionQueue(std::size_t aMaxConnections)
+    : threads(aMaxConnections)
   {
   }
 
-  // The library's names.
+  // Names required by the library.
   // NOLINTBEGIN(readability-identifier-naming)
   void enqueue(std::function<void()> aTask) override { this->threads.Run(std::move(aTask)); }
   void shutdown() override { this->threads.Shutdown(); }
@@ -98,7 +98,7 @@
   ConnectionThreads threads;
 };
 
-// Answers at once where all threads are taken, in place of leaving the connection waiting.
+// Refuses the request at once when all threads are busy, so that the caller does not wait.
 httplib::Server::HandlerResponse
 RefuseBeyondLimit(const httplib::Request& /*aRequest*/, httplib::Response& aResponse)
 {
@@ -107,8 +107,8 @@
   }
   CallerError refusal;
   refusal.error = { ErrorKind::Overloaded,
-                    "all connections of this host are taken",
-                    "come back after the time in Retry-After, or use another host" };
+                    "all connections of this host are in use",
+                    "retry after the time in Retry-After, or use another host" };
   refusal.retryAfter = std::chrono::seconds(1);
   aResponse.status = HttpStatusOf(refusal.error.kind);
   aResponse.set_header("Retry-After", "1");
@@ -117,7 +117,7 @@
   return httplib::Server::HandlerResponse::Handled;
 }
 
-// A body for what the library refuses by itself, such as unknown paths and huge bodies.
+// Fills in the body of errors from the library itself, such as unknown paths and too large bodies.
 void
 FillErrorBody(const httplib::Request& /*aRequest*/, httplib::Response& aResponse)
 {
@@ -163,23 +163,24 @@
     this->server.new_task_queue = [threads] { return new ConnectionQueue(threads); };
     this->server.set_pre_routing_handler(RefuseBeyondLimit);
     this->server.set_payload_max_length(this->options.maxBody.Value());
-    const auto idle =
+    const auto timeout =
       std::chrono::duration_cast<std::chrono::microseconds>(this->options.idleTimeout);
     constexpr std::int64_t kMicros = 1'000'000;
-    this->server.set_read_timeout(idle.count() / kMicros, idle.count() % kMicros);
-    this->server.set_write_timeout(idle.count() / kMicros, idle.count() % kMicros);
+    this->server.set_read_timeout(timeout.count() / kMicros, timeout.count() % kMicros);
+    this->server.set_write_timeout(timeout.count() / kMicros, timeout.count() % kMicros);
     this->server.set_keep_alive_max_count(1'000'000);
     this->server.set_tcp_nodelay(true);
     this->server.set_socket_options([this](int aDescriptor) {
-      // Not the library's own options, which let two processes share one address unseen.
+      // Replaces the library's own options, which would silently let two processes share an
+      // address.
       const int enabled = 1;
       ::setsockopt(aDescriptor, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof(enabled));
-      this->listening = aDescriptor;
+      this->listeningSocket = aDescriptor;
     });
     this->server.set_error_handler(FillErrorBody);
   }
 
-  // Fills in the port where any will do.
+  // Port 0 selects any free port, which is written to aEndpoint.
   bool Bind(Endpoint& aEndpoint)
   {
     const char* address = aEndpoint.address.c_str();
@@ -191,11 +192,11 @@
     return port > 0 && this->RaiseBacklog();
   }
 
-  // The library listens with a backlog of 5, so that a burst of callers would lose connections and
-  // wait a second for TCP to try again; listening once more replaces it.
-  bool RaiseBacklog() const { return ::listen(this->listening, kBacklog) == 0; }
+  // The library listens with a backlog of 5. A burst of callers would lose connections and wait a
+  // second for TCP to retry. Calling listen() again replaces the backlog.
+  bool RaiseBacklog() const { return ::listen(this->listeningSocket, kBacklog) == 0; }
 
-  int listening = -1;
+  int listeningSocket = -1;
 
   httplib::Server server;
   Options options;
--- a/src/transport/Log.cpp
+++ b/src/transport/Log.cpp
@@ -45,12 +45,12 @@
   return kLevelNames.at(static_cast<std::size_t>(aLevel)).second;
 }
 
-// Writes whole lines to standard output as long as they can be taken at once.
+// Writes whole lines to standard output, and drops those that cannot be written without blocking.
 class PipeBackend
   : public logging::sinks::basic_formatted_sink_backend<char, logging::sinks::synchronized_feeding>
 {
 public:
-  // Called by the library, one record at a time.
+  // Called by the library for one record at a time.
   // NOLINTNEXTLINE(readability-identifier-naming)
   void consume(const logging::record_view& /*aRecord*/, const string_type& aLine)
   {
@@ -66,7 +66,7 @@
 private:
   static bool Write(const std::string& aText)
   {
-    // A pipe that can be written to takes a line of at most PIPE_BUF bytes whole and at once.
+    // Writing up to PIPE_BUF bytes to a pipe that is ready is atomic and does not block.
     pollfd ready{ STDOUT_FILENO, POLLOUT, 0 };
     if (poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) {
       return false;
@@ -78,13 +78,13 @@
   std::uint64_t dropped = 0;
 };
 
-// Counts the lines of each event name in the present second.
+// Limits the lines per second of each event name.
 class LineLimiter
 {
 public:
-  // Returns how many lines of the name were left out before this one, or nothing when this one is
-  // to be left out too.
-  std::optional<std::uint64_t> Take(const std::string& aName, std::int64_t aSecond)
+  // Returns how many lines of this name were suppressed before this one, or nullopt if this one
+  // must be suppressed, too.
+  std::optional<std::uint64_t> Admit(const std::string& aName, std::int64_t aSecond)
   {
     absl::MutexLock lock(&this->mutex);
     Count& count = this->counts[aName];
@@ -93,10 +93,10 @@
       count.lines = 0;
     }
     if (++count.lines > kMaxLinesPerSecond) {
-      ++count.leftOut;
+      ++count.suppressed;
       return std::nullopt;
     }
-    return std::exchange(count.leftOut, 0);
+    return std::exchange(count.suppressed, 0);
   }
 
 private:
@@ -104,11 +104,11 @@
   {
     std::int64_t second = 0;
     int lines = 0;
-    std::uint64_t leftOut = 0;
+    std::uint64_t suppressed = 0;
   };
 
   absl::Mutex mutex;
-  // By event name: a few dozen, all of them written in the source.
+  // By event name. All names are literals in the source, so there are only a few dozen.
   std::map<std::string, Count> counts ABSL_GUARDED_BY(mutex);
 };
 
@@ -125,7 +125,7 @@
 {
   using Backend = logging::sinks::text_ostream_backend;
   auto backend = boost::make_shared<Backend>();
-  // The stream outlives the sink, so nothing is deleted.
+  // std::clog outlives the sink, so the deleter does nothing.
   backend->add_stream(boost::shared_ptr<std::ostream>(&std::clog, [](std::ostream*) {}));
   backend->auto_flush(true);
   logging::core::get()->add_sink(
@@ -192,15 +192,15 @@
     return;
   }
   static LineLimiter limiter;
-  const auto leftOut = limiter.Take(std::string(aName), absl::ToUnixSeconds(absl::Now()));
-  if (!leftOut) {
+  const auto suppressed = limiter.Admit(std::string(aName), absl::ToUnixSeconds(absl::Now()));
+  if (!suppressed) {
     return;
   }
   const std::string time =
     absl::FormatTime("%Y-%m-%dT%H:%M:%E3SZ", absl::Now(), absl::UTCTimeZone());
   this->line = Concat("time=", time, " level=", LevelName(aLevel), " event=", aName);
-  if (*leftOut > 0) {
-    this->With("left_out", *leftOut);
+  if (*suppressed > 0) {
+    this->With("left_out", *suppressed);
   }
 }
 
--- a/src/transport/PeerMesh.cpp
+++ b/src/transport/PeerMesh.cpp
@@ -11,20 +11,20 @@
 namespace damasklink {
 namespace {
 
-// What waits for a peer that does not read: enough for a large configuration and a snapshot piece,
-// little beside the memory of a control host.
+// Limit of the bytes queued for a peer that does not read. Enough for a large configuration and a
+// snapshot chunk, and small compared to the memory of a control host.
 constexpr std::size_t kMaxQueuedBytes = 8 * kMebibyte;
 
 } // namespace
 
-// One connection. Kept alive by the operations that are pending on it.
+// One connection. Its pending operations keep the object alive.
 class PeerMesh::Link : public std::enable_shared_from_this<PeerMesh::Link>
 {
 public:
   Link(PeerMesh& aMesh, TcpSocket aSocket, LinkSide aSide)
     : mesh(aMesh)
     , socket(std::move(aSocket))
-    , aliveTimer(this->socket.get_executor())
+    , keepaliveTimer(this->socket.get_executor())
     , silenceTimer(this->socket.get_executor())
     , side(aSide)
   {
@@ -32,13 +32,13 @@
 
   LinkSide Side() const { return this->side; }
   const HostId& Peer() const { return this->peer; }
-  void Name(HostId aPeer) { this->peer = std::move(aPeer); }
+  void SetPeer(HostId aPeer) { this->peer = std::move(aPeer); }
   bool IsUp() const { return this->up && !this->closed; }
   bool IsClosed() const { return this->closed; }
 
-  void Connect(const TcpEndpoint& aEndpoint, Duration aPatience)
+  void Connect(const TcpEndpoint& aEndpoint, Duration aTimeout)
   {
-    this->silenceTimer.expires_after(aPatience);
+    this->silenceTimer.expires_after(aTimeout);
     this->StartSilenceTimer();
     auto self = this->shared_from_this();
     this->socket.async_connect(aEndpoint, [self](const IoError& aError) {
@@ -50,18 +50,18 @@
     });
   }
 
-  // Begins to read and write on a connected socket.
+  // Starts reading, writing and sending keepalives on a connected socket.
   void Start()
   {
     if (this->closed) {
       return;
     }
     SetNoDelay(this->socket);
-    SetSendTimeout(this->socket, this->mesh.timing.silence);
+    SetSendTimeout(this->socket, this->mesh.timing.silenceTimeout);
     this->up = true;
-    this->Heard();
+    this->RestartSilenceTimer();
     this->ReadNext();
-    this->KeepAlive();
+    this->ScheduleKeepalive();
     if (this->side == LinkSide::Dialed) {
       this->mesh.OnLinkUp(this->shared_from_this());
     }
@@ -73,8 +73,8 @@
       return;
     }
     if (this->queuedBytes > 0 && this->queuedBytes + aFrame.size() > kMaxQueuedBytes) {
-      // The peer would go on without what was in it and never know; on a new connection it is told
-      // everything anew.
+      // The peer would not notice the lost message. On a new connection it is sent its full state
+      // again.
       LogEvent(LogLevel::Warning, "peer_message_dropped")
         .With("peer", this->peer)
         .With("bytes", aFrame.size())
@@ -84,49 +84,49 @@
     }
     this->queuedBytes += aFrame.size();
     this->queue.push_back(std::move(aFrame));
-    this->sentSinceAlive = true;
+    this->sentSinceKeepalive = true;
     this->WriteNext();
   }
 
-  void Close(std::string aWhy)
+  void Close(std::string aReason)
   {
     if (this->closed) {
       return;
     }
     this->closed = true;
-    this->why = std::move(aWhy);
+    this->closeReason = std::move(aReason);
     IoError ignored;
     this->socket.close(ignored);
-    this->aliveTimer.cancel();
+    this->keepaliveTimer.cancel();
     this->silenceTimer.cancel();
     this->mesh.OnLinkDown(this->shared_from_this());
   }
 
-  // Closes once whoever sends at the moment has done so: they may be going over connections.
-  void CloseLater(std::string aWhy)
+  // Closes from the event loop, since the caller of Send() may be iterating over connections.
+  void CloseLater(std::string aReason)
   {
     auto self = this->shared_from_this();
     asio::post(this->socket.get_executor(),
-               [self, why = std::move(aWhy)]() mutable { self->Close(std::move(why)); });
+               [self, reason = std::move(aReason)]() mutable { self->Close(std::move(reason)); });
   }
 
   bool WasUp() const { return this->up; }
 
-  // Tells why the connection was closed and what was under way on it.
+  // Logs why the connection was closed and what was in transit on it.
   void LogDisconnect() const
   {
     LogEvent(LogLevel::Warning, "peer_lost")
       .With("peer", this->peer)
-      .With("why", this->why)
+      .With("why", this->closeReason)
       .With("frame_bytes", this->body.size())
       .With("frame_read", this->bodyRead)
       .With("queued", this->queuedBytes);
   }
 
 private:
-  void Heard()
+  void RestartSilenceTimer()
   {
-    this->silenceTimer.expires_after(this->mesh.timing.silence);
+    this->silenceTimer.expires_after(this->mesh.timing.silenceTimeout);
     this->StartSilenceTimer();
   }
 
@@ -140,22 +140,22 @@
     });
   }
 
-  void KeepAlive()
+  void ScheduleKeepalive()
   {
     auto self = this->shared_from_this();
-    this->aliveTimer.expires_after(this->mesh.timing.alive);
-    this->aliveTimer.async_wait([self](const IoError& aError) {
+    this->keepaliveTimer.expires_after(this->mesh.timing.keepaliveInterval);
+    this->keepaliveTimer.async_wait([self](const IoError& aError) {
       if (aError || self->closed) {
         return;
       }
-      if (!std::exchange(self->sentSinceAlive, false)) {
+      if (!std::exchange(self->sentSinceKeepalive, false)) {
         Envelope envelope;
         envelope.from = self->mesh.self;
         envelope.channel = static_cast<std::uint8_t>(Channel::Serving);
         self->Send(EncodeEnvelope(envelope));
-        self->sentSinceAlive = false;
+        self->sentSinceKeepalive = false;
       }
-      self->KeepAlive();
+      self->ScheduleKeepalive();
     });
   }
 
@@ -177,33 +177,35 @@
     const std::size_t length = DecodeFrameLength(this->prefix);
     if (length > kMaxFrameBytes) {
       LogEvent(LogLevel::Warning, "peer_frame_too_large").With("bytes", length);
-      this->Close("a frame was too large");
+      this->Close("frame too large");
       return;
     }
     this->body.resize(length);
     auto self = this->shared_from_this();
-    const auto missing = [self](const IoError& aError, std::size_t aRead) {
-      // A peer whose message is still coming in is alive: a message of a megabyte takes longer than
-      // the time-out on a link of 10 Mbit/s that others use too.
+    const auto remaining = [self](const IoError& aError, std::size_t aRead) {
+      // A peer is alive while its message is arriving: on a shared link of 10 Mbit/s a message of a
+      // megabyte takes longer than the timeout.
       if (aRead > self->bodyRead) {
-        self->Heard();
+        self->RestartSilenceTimer();
       }
       self->bodyRead = aRead;
       return aError ? 0 : self->body.size() - aRead;
     };
-    asio::async_read(
-      this->socket, asio::buffer(this->body), missing, [self](const IoError& aError, std::size_t) {
-        if (aError) {
-          self->Close(aError.message());
-          return;
-        }
-        self->Heard();
-        self->bodyRead = 0;
-        self->mesh.OnFrame(self, std::exchange(self->body, {}));
-        if (!self->closed) {
-          self->ReadNext();
-        }
-      });
+    asio::async_read(this->socket,
+                     asio::buffer(this->body),
+                     remaining,
+                     [self](const IoError& aError, std::size_t) {
+                       if (aError) {
+                         self->Close(aError.message());
+                         return;
+                       }
+                       self->RestartSilenceTimer();
+                       self->bodyRead = 0;
+                       self->mesh.OnFrame(self, std::exchange(self->body, {}));
+                       if (!self->closed) {
+                         self->ReadNext();
+                       }
+                     });
   }
 
   void WriteNext()
@@ -212,7 +214,7 @@
       return;
     }
     this->writing = true;
-    // What has queued up leaves in one write.
+    // Writes all queued frames at once.
     this->outgoing.clear();
     for (const std::string& frame : this->queue) {
       const FramePrefix length = EncodeFrameLength(frame.size());
@@ -238,19 +240,18 @@
 
   PeerMesh& mesh;
   TcpSocket socket;
-  asio::steady_timer aliveTimer;
+  asio::steady_timer keepaliveTimer;
   asio::steady_timer silenceTimer;
   LinkSide side;
   HostId peer;
   bool up = false;
   bool closed = false;
-  // Why it was closed.
-  std::string why;
+  std::string closeReason;
   bool writing = false;
-  bool sentSinceAlive = false;
+  bool sentSinceKeepalive = false;
   FramePrefix prefix{};
   std::string body;
-  // How much of the body has come.
+  // Bytes of the body that have arrived.
   std::size_t bodyRead = 0;
   std::string outgoing;
   std::deque<std::string> queue;
@@ -311,22 +312,22 @@
     return;
   }
   this->dialed[aPeer] = nullptr;
-  this->paces.insert_or_assign(aPeer, DialBackoff(this->timing.dial));
-  this->Open(aPeer);
+  this->backoffs.insert_or_assign(aPeer, DialBackoff(this->timing.dial));
+  this->Connect(aPeer);
 }
 
 void
-PeerMesh::Open(const HostId& aPeer)
+PeerMesh::Connect(const HostId& aPeer)
 {
   const auto found = this->dialed.find(aPeer);
   if (found == this->dialed.end() || found->second != nullptr || this->stopped) {
     return;
   }
   auto link = std::make_shared<Link>(*this, TcpSocket(this->context), LinkSide::Dialed);
-  link->Name(aPeer);
+  link->SetPeer(aPeer);
   found->second = link;
   link->Connect(ToTcpEndpoint(Endpoint{ aPeer.Value(), this->port }),
-                this->paces.at(aPeer).ConnectTimeout());
+                this->backoffs.at(aPeer).ConnectTimeout());
 }
 
 void
@@ -338,9 +339,9 @@
   }
   const std::shared_ptr<Link> link = std::move(found->second);
   this->dialed.erase(found);
-  this->paces.erase(aPeer);
+  this->backoffs.erase(aPeer);
   if (link != nullptr) {
-    link->Close("not wanted any more");
+    link->Close("disconnected by this host");
   }
 }
 
@@ -396,7 +397,7 @@
   }
   for (const std::shared_ptr<Link>& link : links) {
     if (link != nullptr) {
-      link->Close("this host stops");
+      link->Close("this host is shutting down");
     }
   }
 }
@@ -422,16 +423,16 @@
       links.erase(found);
     } else {
       found->second = nullptr;
-      DialBackoff& pace = this->paces.at(peer);
+      DialBackoff& backoff = this->backoffs.at(peer);
       if (aLink->WasUp()) {
-        pace.OnUp();
+        backoff.OnUp();
       } else {
-        pace.OnFailed();
+        backoff.OnFailed();
       }
-      auto timer = std::make_shared<asio::steady_timer>(this->context, pace.RetryDelay());
+      auto timer = std::make_shared<asio::steady_timer>(this->context, backoff.RetryDelay());
       timer->async_wait([this, peer, timer](const IoError& aError) {
         if (!aError) {
-          this->Open(peer);
+          this->Connect(peer);
         }
       });
     }
@@ -448,17 +449,17 @@
   auto envelope = DecodeEnvelope(aFrame);
   if (!envelope) {
     LogEvent(LogLevel::Warning, "peer_frame_refused").With("error", envelope.error());
-    aLink->Close("a frame could not be read");
+    aLink->Close("unreadable frame");
     return;
   }
   Envelope& decoded = envelope.value();
   if (aLink->Peer().Empty()) {
-    aLink->Name(decoded.from);
-    // A peer that connects anew has lost its earlier connection, whether we saw that or not.
+    aLink->SetPeer(decoded.from);
+    // A peer that connects again has lost its earlier connection, even if that is not visible here.
     const auto earlier = this->accepted.find(decoded.from);
     if (earlier != this->accepted.end()) {
       const std::shared_ptr<Link> old = earlier->second;
-      old->Close("the peer connected anew");
+      old->Close("the peer reconnected");
     }
     this->accepted[decoded.from] = aLink;
     this->OnLinkUp(aLink);
--- a/src/transport/PeerNetwork.cpp
+++ b/src/transport/PeerNetwork.cpp
@@ -28,7 +28,7 @@
   return Tcp::endpoint(asio::ip::make_address(aEndpoint.address), aEndpoint.port);
 }
 
-// Reads frames from one accepted connection. Lives as long as a read is pending.
+// Reads frames from one accepted connection. Its pending read keeps the object alive.
 class IncomingLink : public std::enable_shared_from_this<IncomingLink>
 {
 public:
@@ -94,7 +94,8 @@
   std::string body;
 };
 
-// Keeps one connection to a peer and writes queued frames to it. On the network's thread only.
+// Maintains one connection to a peer and writes queued frames to it. Used on the network's thread
+// only.
 class OutgoingLink
 {
 public:
@@ -125,7 +126,7 @@
     this->socket.async_connect(AsioEndpoint(this->endpoint), [this](const ErrorCode& aError) {
       this->connecting = false;
       if (aError) {
-        this->Break();
+        this->OnConnectionLost();
         return;
       }
       this->connected = true;
@@ -147,7 +148,7 @@
     asio::async_write(this->socket, buffers, [this](const ErrorCode& aError, std::size_t) {
       this->writing = false;
       if (aError) {
-        this->Break();
+        this->OnConnectionLost();
         return;
       }
       this->queuedBytes -= this->queue.front().size();
@@ -156,16 +157,16 @@
     });
   }
 
-  // Drops what was queued: the protocols above resend what still matters, and an old message
-  // after a long cut would only be noise.
-  void Break()
+  // Drops the queue: the protocols above resend what still matters, and messages from before a long
+  // outage are of no use.
+  void OnConnectionLost()
   {
     ErrorCode ignored;
     this->socket.close(ignored);
     this->connected = false;
     this->queue.clear();
     this->queuedBytes = 0;
-    // Holds further attempts back for a moment.
+    // Delays the next attempt.
     this->connecting = true;
     this->timer.expires_after(kReconnectDelay);
     this->timer.async_wait([this](const ErrorCode& aError) {
--- a/test/transport/ConnectionThreadsTest.cpp
+++ b/test/transport/ConnectionThreadsTest.cpp
@@ -12,23 +12,23 @@
 {
   ConnectionThreads threads(1);
   absl::Notification firstRuns;
-  absl::Notification letFirstEnd;
+  absl::Notification firstMayEnd;
   absl::Notification secondRan;
   std::atomic<bool> firstRefused = true;
   std::atomic<bool> secondRefused = false;
   threads.Run([&] {
     firstRefused = ConnectionThreads::MustRefuse();
     firstRuns.Notify();
-    letFirstEnd.WaitForNotification();
+    firstMayEnd.WaitForNotification();
   });
   firstRuns.WaitForNotification();
   threads.Run([&] {
     secondRefused = ConnectionThreads::MustRefuse();
     secondRan.Notify();
   });
-  // The first task still holds the only thread; the second is answered all the same.
+  // The first task occupies the only serving thread; the second runs nevertheless.
   secondRan.WaitForNotification();
-  letFirstEnd.Notify();
+  firstMayEnd.Notify();
   threads.Shutdown();
   EXPECT_FALSE(firstRefused);
   EXPECT_TRUE(secondRefused);
--- a/test/transport/DialBackoffTest.cpp
+++ b/test/transport/DialBackoffTest.cpp
@@ -5,60 +5,60 @@
 namespace damasklink {
 namespace {
 
-// Returns when a host is connected that tries from 0 on, to a peer that answers from aUpAt on. An
-// attempt whose first packet comes before that is lost.
+// Returns when a host that dials since time 0 is connected to a peer that listens since aUpAt.
+// An attempt that begins before that times out, since its first packet is lost.
 Duration
-ConnectedAt(Duration aUpAt)
+ConnectTime(Duration aUpAt)
 {
-  DialBackoff pace{ DialTiming() };
-  Duration begun{ 0 };
-  while (begun < aUpAt) {
-    begun += pace.ConnectTimeout();
-    pace.OnFailed();
-    begun += pace.RetryDelay();
+  DialBackoff backoff{ DialTiming() };
+  Duration time{ 0 };
+  while (time < aUpAt) {
+    time += backoff.ConnectTimeout();
+    backoff.OnFailed();
+    time += backoff.RetryDelay();
   }
-  return begun;
+  return time;
 }
 
-// The load: all hosts lost power and come back within half a second of each other. Whoever came
-// first must not wait long for those that came last, since nobody is served before they have met.
+// All hosts lost power and restart within half a second of each other. The first ones must
+// connect soon to the last ones, since callers are not served before that.
 TEST(DialBackoffTest, ConnectsSoonAfterPeerStarts)
 {
   for (Duration up{ 0 }; up < std::chrono::milliseconds(800); up += std::chrono::milliseconds(10)) {
-    EXPECT_LE(ConnectedAt(up), up + std::chrono::milliseconds(200));
+    EXPECT_LE(ConnectTime(up), up + std::chrono::milliseconds(200));
   }
 }
 
 TEST(DialBackoffTest, DialsUnreachablePeerAboutOncePerSecond)
 {
-  DialBackoff pace{ DialTiming() };
+  DialBackoff backoff{ DialTiming() };
   Duration passed{ 0 };
   int attempts = 0;
   for (; passed < std::chrono::minutes(1); ++attempts) {
-    passed += pace.ConnectTimeout() + pace.RetryDelay();
-    pace.OnFailed();
+    passed += backoff.ConnectTimeout() + backoff.RetryDelay();
+    backoff.OnFailed();
   }
   EXPECT_LE(attempts, 65);
 }
 
-// On a full link packets wait for half a second.
+// On a congested link, packets are queued for up to half a second.
 TEST(DialBackoffTest, LaterAttemptsAllowForCongestedLink)
 {
-  DialBackoff pace{ DialTiming() };
+  DialBackoff backoff{ DialTiming() };
   for (int attempt = 0; attempt < DialTiming().firstAttempts; ++attempt) {
-    pace.OnFailed();
+    backoff.OnFailed();
   }
-  EXPECT_GE(pace.ConnectTimeout(), std::chrono::milliseconds(600));
+  EXPECT_GE(backoff.ConnectTimeout(), std::chrono::milliseconds(600));
 }
 
 TEST(DialBackoffTest, RedialsSoonAfterLostConnection)
 {
-  DialBackoff pace{ DialTiming() };
+  DialBackoff backoff{ DialTiming() };
   for (int attempt = 0; attempt < 20; ++attempt) {
-    pace.OnFailed();
+    backoff.OnFailed();
   }
-  pace.OnUp();
-  EXPECT_EQ(pace.RetryDelay(), DialTiming().firstRetryDelay);
+  backoff.OnUp();
+  EXPECT_EQ(backoff.RetryDelay(), DialTiming().firstRetryDelay);
 }
 
 } // namespace
--- a/test/transport/HttpClientTest.cpp
+++ b/test/transport/HttpClientTest.cpp
@@ -7,7 +7,7 @@
 namespace damasklink {
 namespace {
 
-// Serves one path with the handler while the test runs.
+// Serves POST /x with a handler of the test.
 class HttpClientTest : public testing::Test
 {
 protected:
--- a/test/transport/HttpServerTest.cpp
+++ b/test/transport/HttpServerTest.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 HttpServer::Options
-AnyPort()
+OptionsWithAnyPort()
 {
   HttpServer::Options options;
   options.endpoint.address = "127.0.0.1";
@@ -15,9 +15,9 @@
 
 TEST(HttpServerTest, StartFailsWhenAddressIsInUse)
 {
-  HttpServer first(AnyPort());
+  HttpServer first(OptionsWithAnyPort());
   ASSERT_TRUE(first.Start());
-  HttpServer::Options same = AnyPort();
+  HttpServer::Options same = OptionsWithAnyPort();
   same.endpoint = first.Address();
   HttpServer second(same);
   const auto started = second.Start();
--- a/test/transport/LogTest.cpp
+++ b/test/transport/LogTest.cpp
@@ -10,12 +10,12 @@
 namespace damasklink {
 namespace {
 
-// Standard output is a pipe for as long as this lives.
+// Redirects standard output to a pipe during its lifetime.
 class PipeOutput
 {
 public:
   PipeOutput()
-    : kept(dup(STDOUT_FILENO))
+    : original(dup(STDOUT_FILENO))
   {
     EXPECT_EQ(pipe(this->ends), 0);
     dup2(this->ends[1], STDOUT_FILENO);
@@ -23,13 +23,13 @@
 
   ~PipeOutput()
   {
-    dup2(this->kept, STDOUT_FILENO);
-    close(this->kept);
+    dup2(this->original, STDOUT_FILENO);
+    close(this->original);
     close(this->ends[0]);
     close(this->ends[1]);
   }
 
-  // Returns what has been written so far, at most what the pipe holds.
+  // Returns what has been written and not read yet, at most the capacity of the pipe.
   std::string Read() const
   {
     std::string text(1 << 20, '\0');
@@ -39,7 +39,7 @@
   }
 
 private:
-  int kept;
+  int original;
   int ends[2] = { -1, -1 };
 };
 
@@ -58,7 +58,7 @@
 {
   PipeOutput output;
   LogToStandardOutput();
-  // Far more than a pipe holds; each name is below its own bound.
+  // Exceeds the capacity of a pipe. Each name stays below its limit per second.
   const std::string filler(1000, 'x');
   for (int number = 0; number < 2000; ++number) {
     LogEvent(LogLevel::Info, "filler_" + std::to_string(number)).With("text", filler);
@@ -76,13 +76,13 @@
 {
   PipeOutput output;
   LogToStandardOutput();
-  // Few enough for the pipe to hold them all, were they written.
+  // Few enough for the capacity of the pipe, even if all of them were written.
   constexpr int kLines = 4 * kMaxLinesPerSecond;
-  const std::time_t begun = std::time(nullptr);
+  const std::time_t start = std::time(nullptr);
   for (int number = 0; number < kLines; ++number) {
     LogEvent(LogLevel::Info, "storm");
   }
-  const std::time_t seconds = std::time(nullptr) - begun + 1;
+  const std::time_t seconds = std::time(nullptr) - start + 1;
   const std::string written = output.Read();
   EXPECT_GE(CountOf(written, "event=storm"), static_cast<std::size_t>(kMaxLinesPerSecond));
   EXPECT_LE(CountOf(written, "event=storm"),
--- a/test/transport/OwnAddressTest.cpp
+++ b/test/transport/OwnAddressTest.cpp
@@ -7,8 +7,9 @@
 namespace damasklink::testing {
 namespace {
 
-// A host of a test that was given one port for two of its listeners ended at its start, while its
-// other listener, still open, took connections that nobody answered: the test waited for ever.
+// Guards against hangs of other tests: a host that got the same port for two of its listeners
+// failed to start, while its first listener was still open and accepted connections that nobody
+// served.
 TEST(OwnAddressTest, NeverReturnsSamePortTwice)
 {
   constexpr int kEndpoints = 2'000;
--- a/test/transport/PeerMeshTest.cpp
+++ b/test/transport/PeerMeshTest.cpp
@@ -14,8 +14,8 @@
 using testing::FreeEndpoint;
 using testing::OwnAddress;
 
-// Notes what happens on one host's connections.
-class Notes final : public PeerMeshHandler
+// Records the callbacks for one host's connections.
+class RecordingHandler final : public PeerMeshHandler
 {
 public:
   void OnPeerUp(const HostId& aPeer, LinkSide aSide) override
@@ -39,30 +39,30 @@
 class PeerMeshTest : public ::testing::Test
 {
 protected:
-  // Never gives a connection up while a test runs, however slow the machine is.
-  static PeerMeshTiming Patient()
+  // A silence timeout that does not expire during a test, however slow the machine is.
+  static PeerMeshTiming LongTimeout()
   {
     PeerMeshTiming timing;
-    timing.alive = std::chrono::milliseconds(20);
-    timing.silence = std::chrono::minutes(10);
+    timing.keepaliveInterval = std::chrono::milliseconds(20);
+    timing.silenceTimeout = std::chrono::minutes(10);
     timing.dial.firstRetryDelay = std::chrono::milliseconds(10);
-    timing.dial.pause = std::chrono::milliseconds(10);
+    timing.dial.retryDelay = std::chrono::milliseconds(10);
     return timing;
   }
 
-  static PeerMeshTiming Impatient()
+  static PeerMeshTiming ShortTimeout()
   {
-    PeerMeshTiming timing = Patient();
-    timing.silence = std::chrono::milliseconds(100);
+    PeerMeshTiming timing = LongTimeout();
+    timing.silenceTimeout = std::chrono::milliseconds(100);
     return timing;
   }
 
-  // Gives up sooner than a message of megabytes takes on a link of a megabyte a second, and not
-  // while a busy machine leaves a test alone for some hundred milliseconds.
-  static PeerMeshTiming LessPatient()
+  // A silence timeout shorter than sending 6 MiB takes on a link of 1 MB/s, and long enough that it
+  // does not expire when a busy machine suspends a test for some hundred milliseconds.
+  static PeerMeshTiming MediumTimeout()
   {
-    PeerMeshTiming timing = Patient();
-    timing.silence = std::chrono::seconds(4);
+    PeerMeshTiming timing = LongTimeout();
+    timing.silenceTimeout = std::chrono::seconds(4);
     return timing;
   }
 
@@ -84,82 +84,83 @@
   HostId first{ OwnAddress(4) };
   HostId second{ OwnAddress(5) };
   std::uint16_t port = FreeEndpoint(second.Value()).port;
-  Notes firstNotes;
-  Notes secondNotes;
+  RecordingHandler firstHandler;
+  RecordingHandler secondHandler;
 };
 
 TEST_F(PeerMeshTest, BothSidesSendOnOneConnection)
 {
-  PeerMesh dialer(this->loop, this->first, this->port, this->firstNotes, Patient());
-  PeerMesh listener(this->loop, this->second, this->port, this->secondNotes, Patient());
+  PeerMesh dialer(this->loop, this->first, this->port, this->firstHandler, LongTimeout());
+  PeerMesh listener(this->loop, this->second, this->port, this->secondHandler, LongTimeout());
   ASSERT_TRUE(listener.Listen());
   dialer.Dial(this->second);
   this->RunUntil([&] { return dialer.IsUp(this->second); });
   dialer.Send(this->second, Message("there"));
-  this->RunUntil([&] { return !this->secondNotes.payloads.empty(); });
+  this->RunUntil([&] { return !this->secondHandler.payloads.empty(); });
   listener.Send(this->first, Message("and back"));
-  this->RunUntil([&] { return !this->firstNotes.payloads.empty(); });
-  EXPECT_EQ(this->secondNotes.payloads.front(), "there");
-  EXPECT_EQ(this->firstNotes.payloads.front(), "and back");
-  EXPECT_EQ(this->secondNotes.ups.front(), std::pair(this->first, LinkSide::Accepted));
+  this->RunUntil([&] { return !this->firstHandler.payloads.empty(); });
+  EXPECT_EQ(this->secondHandler.payloads.front(), "there");
+  EXPECT_EQ(this->firstHandler.payloads.front(), "and back");
+  EXPECT_EQ(this->secondHandler.ups.front(), std::pair(this->first, LinkSide::Accepted));
 }
 
 TEST_F(PeerMeshTest, RedialsUntilPeerListens)
 {
-  PeerMesh dialer(this->loop, this->first, this->port, this->firstNotes, Patient());
+  PeerMesh dialer(this->loop, this->first, this->port, this->firstHandler, LongTimeout());
   dialer.Dial(this->second);
   this->loop.run_for(std::chrono::milliseconds(60));
-  EXPECT_TRUE(this->firstNotes.ups.empty());
-  PeerMesh listener(this->loop, this->second, this->port, this->secondNotes, Patient());
+  EXPECT_TRUE(this->firstHandler.ups.empty());
+  PeerMesh listener(this->loop, this->second, this->port, this->secondHandler, LongTimeout());
   ASSERT_TRUE(listener.Listen());
   this->RunUntil([&] { return dialer.IsUp(this->second); });
 }
 
 TEST_F(PeerMeshTest, ClosesAndRedialsSilentConnection)
 {
-  // Takes connections and says nothing on them, as a host behind a cut does.
+  // Accepts connections and sends nothing on them, like an isolated host.
   TcpAcceptor silent(this->loop,
                      TcpEndpoint(asio::ip::make_address(this->second.Value()), this->port));
-  std::vector<TcpSocket> taken;
+  std::vector<TcpSocket> sockets;
   std::function<void()> accept = [&] {
     silent.async_accept([&](const IoError& aError, TcpSocket aSocket) {
       if (!aError) {
-        taken.push_back(std::move(aSocket));
+        sockets.push_back(std::move(aSocket));
         accept();
       }
     });
   };
   accept();
-  PeerMesh dialer(this->loop, this->first, this->port, this->firstNotes, Impatient());
+  PeerMesh dialer(this->loop, this->first, this->port, this->firstHandler, ShortTimeout());
   dialer.Dial(this->second);
-  this->RunUntil([&] { return !this->firstNotes.downs.empty(); });
-  this->RunUntil([&] { return taken.size() >= 2; });
+  this->RunUntil([&] { return !this->firstHandler.downs.empty(); });
+  this->RunUntil([&] { return sockets.size() >= 2; });
 }
 
 TEST_F(PeerMeshTest, SendsKeepalivesWhenIdle)
 {
   TcpAcceptor acceptor(this->loop,
                        TcpEndpoint(asio::ip::make_address(this->second.Value()), this->port));
-  TcpSocket taken(this->loop);
+  TcpSocket socket(this->loop);
   std::size_t bytes = 0;
   std::array<char, 4096> buffer{};
   std::function<void()> read = [&] {
-    taken.async_read_some(asio::buffer(buffer), [&](const IoError& aError, std::size_t aCount) {
+    socket.async_read_some(asio::buffer(buffer), [&](const IoError& aError, std::size_t aCount) {
       if (!aError) {
         bytes += aCount;
         read();
       }
     });
   };
-  acceptor.async_accept(taken, [&](const IoError&) { read(); });
-  PeerMesh dialer(this->loop, this->first, this->port, this->firstNotes, Patient());
+  acceptor.async_accept(socket, [&](const IoError&) { read(); });
+  PeerMesh dialer(this->loop, this->first, this->port, this->firstHandler, LongTimeout());
   dialer.Dial(this->second);
   this->RunUntil([&] { return bytes > 0; });
-  const std::size_t one = bytes;
-  this->RunUntil([&] { return bytes >= 3 * one; });
+  const std::size_t firstKeepalive = bytes;
+  this->RunUntil([&] { return bytes >= 3 * firstKeepalive; });
 }
 
-// A message that takes longer to come in than silence is borne, on a connection that is well.
+// A connection is not silent while a message is arriving, even if that takes longer than the
+// silence timeout.
 TEST_F(PeerMeshTest, ReceivesMessageThatTakesLongerThanSilenceTimeout)
 {
   testing::SlowLink link(1'000'000);
@@ -167,50 +168,50 @@
   link.Relay(Endpoint{ this->second.Value(), relayed },
              Endpoint{ this->second.Value(), this->port });
   link.Start();
-  PeerMesh dialer(this->loop, this->first, relayed, this->firstNotes, LessPatient());
-  PeerMesh listener(this->loop, this->second, this->port, this->secondNotes, Patient());
+  PeerMesh dialer(this->loop, this->first, relayed, this->firstHandler, MediumTimeout());
+  PeerMesh listener(this->loop, this->second, this->port, this->secondHandler, LongTimeout());
   ASSERT_TRUE(listener.Listen());
   dialer.Dial(this->second);
   this->RunUntil([&] { return listener.IsUp(this->first); });
   const std::string large(6 * kMebibyte, 'x');
   listener.Send(this->first, Message(large));
   this->RunUntil(
-    [&] { return !this->firstNotes.payloads.empty() || !this->firstNotes.downs.empty(); });
-  ASSERT_FALSE(this->firstNotes.payloads.empty());
-  EXPECT_EQ(this->firstNotes.payloads.front(), large);
+    [&] { return !this->firstHandler.payloads.empty() || !this->firstHandler.downs.empty(); });
+  ASSERT_FALSE(this->firstHandler.payloads.empty());
+  EXPECT_EQ(this->firstHandler.payloads.front(), large);
 }
 
 TEST_F(PeerMeshTest, ClosesConnectionWhenPeerDoesNotRead)
 {
   TcpAcceptor acceptor(this->loop,
                        TcpEndpoint(asio::ip::make_address(this->second.Value()), this->port));
-  std::vector<TcpSocket> taken;
+  std::vector<TcpSocket> sockets;
   acceptor.async_accept(
-    [&](const IoError&, TcpSocket aSocket) { taken.push_back(std::move(aSocket)); });
-  PeerMesh dialer(this->loop, this->first, this->port, this->firstNotes, Patient());
+    [&](const IoError&, TcpSocket aSocket) { sockets.push_back(std::move(aSocket)); });
+  PeerMesh dialer(this->loop, this->first, this->port, this->firstHandler, LongTimeout());
   dialer.Dial(this->second);
   this->RunUntil([&] { return dialer.IsUp(this->second); });
   for (int message = 0; message < 20; ++message) {
     dialer.Send(this->second, Message(std::string(kMebibyte, 'x')));
   }
-  this->RunUntil([&] { return !this->firstNotes.downs.empty(); });
+  this->RunUntil([&] { return !this->firstHandler.downs.empty(); });
 }
 
 TEST_F(PeerMeshTest, MessageLargerThanTheQueueIsSentWhenNothingWaits)
 {
-  PeerMesh dialer(this->loop, this->first, this->port, this->firstNotes, Patient());
-  PeerMesh listener(this->loop, this->second, this->port, this->secondNotes, Patient());
+  PeerMesh dialer(this->loop, this->first, this->port, this->firstHandler, LongTimeout());
+  PeerMesh listener(this->loop, this->second, this->port, this->secondHandler, LongTimeout());
   ASSERT_TRUE(listener.Listen());
   dialer.Dial(this->second);
   this->RunUntil([&] { return dialer.IsUp(this->second); });
   dialer.Send(this->second, Message(std::string(12 * kMebibyte, 'x')));
-  this->RunUntil([&] { return !this->secondNotes.payloads.empty(); });
-  EXPECT_EQ(this->secondNotes.payloads.front().size(), 12 * kMebibyte);
+  this->RunUntil([&] { return !this->secondHandler.payloads.empty(); });
+  EXPECT_EQ(this->secondHandler.payloads.front().size(), 12 * kMebibyte);
 }
 
 TEST_F(PeerMeshTest, InvalidFrameClosesConnection)
 {
-  PeerMesh listener(this->loop, this->second, this->port, this->secondNotes, Patient());
+  PeerMesh listener(this->loop, this->second, this->port, this->secondHandler, LongTimeout());
   ASSERT_TRUE(listener.Listen());
   TcpSocket stranger(this->loop);
   stranger.connect(TcpEndpoint(asio::ip::make_address(this->second.Value()), this->port));
@@ -220,7 +221,7 @@
   stranger.async_read_some(asio::buffer(&byte, 1),
                            [&](const IoError& aError, std::size_t) { closed = bool(aError); });
   this->RunUntil([&] { return closed; });
-  EXPECT_TRUE(this->secondNotes.ups.empty());
+  EXPECT_TRUE(this->secondHandler.ups.empty());
 }
 
 } // namespace
--- a/test/transport/PeerNetworkTest.cpp
+++ b/test/transport/PeerNetworkTest.cpp
@@ -25,7 +25,7 @@
 {
   HostSettings settings;
   settings.host = HostId("a");
-  // An address for documentation, which no machine holds.
+  // Reserved for documentation (RFC 5737), so no machine has it.
   settings.listen.peers = Endpoint{ "203.0.113.1", 7000 };
   NoMetrics metrics;
   PeerNetwork network(settings, metrics, [](HostId, PeerMessage) {});
