--- a/include/damasklink/transport/ConnectionListener.h
+++ b/include/damasklink/transport/ConnectionListener.h
@@ -8,7 +8,7 @@
 #include <functional>
 #include <memory>
 
-#include "damasklink/transport/CallerConnection.h"
+#include "damasklink/transport/CallerChannel.h"
 
 namespace damasklink {
 
@@ -16,7 +16,7 @@
 {
 public:
   // The connection is shared, so that its owner can close it while it is served.
-  using Serve = std::function<Awaitable<void>(std::shared_ptr<CallerConnection>)>;
+  using Serve = std::function<Awaitable<void>(std::shared_ptr<CallerChannel>)>;
 
   explicit ConnectionListener(asio::io_context& aLoop)
     : loop(aLoop)
--- a/include/damasklink/transport/DialBackoff.h
+++ b/include/damasklink/transport/DialPace.h
@@ -1,6 +1,6 @@
 // Timeout and retry delay of a host's attempts to connect to a peer.
 //
-//   DialBackoff backoff(timing);
+//   DialPace backoff(timing);
 //   backoff.ConnectTimeout();   // Abandon the attempt after this long,
 //   backoff.RetryDelay();       // and begin the next one this long after it.
 //   backoff.OnFailed();
@@ -27,10 +27,10 @@
   Duration retryDelay = std::chrono::milliseconds(300);
 };
 
-class DialBackoff
+class DialPace
 {
 public:
-  explicit DialBackoff(DialTiming aTiming)
+  explicit DialPace(DialTiming aTiming)
     : timing(aTiming)
   {
   }
--- a/src/program/ControlCalls.cpp
+++ b/src/program/ControlCalls.cpp
@@ -53,7 +53,7 @@
 }
 
 Awaitable<void>
-ControlCalls::Serve(std::shared_ptr<CallerConnection> aChannel)
+ControlCalls::Serve(std::shared_ptr<CallerChannel> aChannel)
 {
   bool kept = true;
   while (kept) {
--- a/src/program/ControlCalls.h
+++ b/src/program/ControlCalls.h
@@ -9,7 +9,7 @@
 #include "WorkAccount.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
-#include "damasklink/transport/CallerConnection.h"
+#include "damasklink/transport/CallerChannel.h"
 
 namespace damasklink {
 
@@ -27,7 +27,7 @@
                std::function<void()> aSpread);
 
   // Serves one connection until it ends.
-  Awaitable<void> Serve(std::shared_ptr<CallerConnection> aChannel);
+  Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
 
 private:
   Awaitable<HttpAnswerMessage> Answer(const HttpRequestMessage& aRequest);
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -114,12 +114,12 @@
   void OnPeerMessage(const HostId& aPeer, PeerMessage aMessage) override;
 
 private:
-  using Channels = std::list<std::shared_ptr<CallerConnection>>;
+  using Channels = std::list<std::shared_ptr<CallerChannel>>;
 
   Result<void> Listen();
-  Awaitable<void> ServeCaller(std::shared_ptr<CallerConnection> aChannel);
-  Awaitable<void> ServeProbes(std::shared_ptr<CallerConnection> aChannel);
-  Awaitable<void> AnswerUnreadable(CallerConnection& aChannel, const Error& aError);
+  Awaitable<void> ServeCaller(std::shared_ptr<CallerChannel> aChannel);
+  Awaitable<void> ServeProbes(std::shared_ptr<CallerChannel> aChannel);
+  Awaitable<void> AnswerUnreadable(CallerChannel& aChannel, const Error& aError);
   Awaitable<void> Stop();
   void KeepHouse();
   std::vector<HubCandidate> HubCandidates() const;
@@ -152,7 +152,7 @@
   TargetHealth health;
   ZoneReach reach;
   TargetPicker picker;
-  TargetConnectionPool pool;
+  TargetChannelPool pool;
   StorePace pace;
   ComeBack comeBack;
   ReturnQueue returns;
@@ -225,7 +225,7 @@
 }
 
 Awaitable<void>
-EntryHost::Impl::ServeCaller(std::shared_ptr<CallerConnection> aChannel)
+EntryHost::Impl::ServeCaller(std::shared_ptr<CallerChannel> aChannel)
 {
   const auto place = this->open.insert(this->open.end(), aChannel);
   bool kept = true;
@@ -243,7 +243,7 @@
 }
 
 Awaitable<void>
-EntryHost::Impl::AnswerUnreadable(CallerConnection& aChannel, const Error& aError)
+EntryHost::Impl::AnswerUnreadable(CallerChannel& aChannel, const Error& aError)
 {
   if (aError.kind == ErrorKind::Interrupted) {
     co_return;
@@ -263,7 +263,7 @@
 
 // Answers whether this host is ready; on an address of its own, so that a full host still answers.
 Awaitable<void>
-EntryHost::Impl::ServeProbes(std::shared_ptr<CallerConnection> aChannel)
+EntryHost::Impl::ServeProbes(std::shared_ptr<CallerChannel> aChannel)
 {
   while (true) {
     auto request = co_await aChannel->Read(CallerLimits());
@@ -303,7 +303,7 @@
     }
     // An idle channel would bring a request that cannot end before this process does.
     this->callers.Close();
-    for (const std::shared_ptr<CallerConnection>& channel : this->open) {
+    for (const std::shared_ptr<CallerChannel>& channel : this->open) {
       channel->CloseIfIdle();
     }
     const auto busy = std::count_if(this->open.begin(), this->open.end(), [](const auto& aChannel) {
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-Exchange::Exchange(EntryContext& aContext, CallerConnection& aCaller, HttpRequestMessage aRequest)
+Exchange::Exchange(EntryContext& aContext, CallerChannel& aCaller, HttpRequestMessage aRequest)
   : context(aContext)
   , caller(aCaller)
   , request(std::move(aRequest))
@@ -243,15 +243,15 @@
   co_return end;
 }
 
-Awaitable<std::unique_ptr<TargetConnection>>
+Awaitable<std::unique_ptr<TargetChannel>>
 Exchange::Connect(const TargetRecord& aTarget)
 {
-  std::unique_ptr<TargetConnection> idle = this->context.pool.TakeIdle(aTarget.endpoint);
+  std::unique_ptr<TargetChannel> idle = this->context.pool.TakeIdle(aTarget.endpoint);
   if (idle != nullptr) {
     co_return idle;
   }
   auto fresh =
-    std::make_unique<TargetConnection>(this->context.loop.get_executor(), this->context.clock);
+    std::make_unique<TargetChannel>(this->context.loop.get_executor(), this->context.clock);
   const Duration patience =
     std::clamp(this->TimeLeft(), Duration(std::chrono::milliseconds(1)), kConnectPatience);
   auto connected = co_await fresh->Connect(aTarget.endpoint, patience);
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -23,8 +23,8 @@
 #include "damasklink/coordination/TargetRateLimiter.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
-#include "damasklink/transport/CallerConnection.h"
-#include "damasklink/transport/TargetConnection.h"
+#include "damasklink/transport/CallerChannel.h"
+#include "damasklink/transport/TargetChannel.h"
 
 namespace damasklink {
 
@@ -42,7 +42,7 @@
   TargetHealth& health;
   ZoneReach& reach;
   TargetPicker& picker;
-  TargetConnectionPool& pool;
+  TargetChannelPool& pool;
   StorePace& pace;
   ComeBack& comeBack;
   ReturnQueue& returns;
@@ -62,7 +62,7 @@
 class Exchange
 {
 public:
-  Exchange(EntryContext& aContext, CallerConnection& aCaller, HttpRequestMessage aRequest);
+  Exchange(EntryContext& aContext, CallerChannel& aCaller, HttpRequestMessage aRequest);
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
 
@@ -99,7 +99,7 @@
   Awaitable<bool> PassEvents(const HttpAnswerHead& aHead, std::string_view aEvents);
   Awaitable<bool> Finish(ExchangeStep aStep);
   Awaitable<bool> AnswerFailure(const CallerError& aError);
-  Awaitable<std::unique_ptr<TargetConnection>> Connect(const TargetRecord& aTarget);
+  Awaitable<std::unique_ptr<TargetChannel>> Connect(const TargetRecord& aTarget);
   // Keeps what an attempt showed of its target's zone, and logs when the zone is given up.
   void NoteReach(const TargetRecord& aTarget, HealthSignal aSign);
   const TargetRecord* ChooseTarget();
@@ -141,7 +141,7 @@
   void LogEnd(std::string_view aOutcome, int aStatus) const;
 
   EntryContext& context;
-  CallerConnection& caller;
+  CallerChannel& caller;
   HttpRequestMessage request;
   MonotonicTime arrived;
 
@@ -161,7 +161,7 @@
   std::optional<RequestFingerprint> fingerprint;
   std::optional<ExchangePlan> plan;
   std::optional<Watchdog> ending;
-  std::unique_ptr<TargetConnection> channel;
+  std::unique_ptr<TargetChannel> channel;
   CallLoad work;
   // Slow stores that this call does not fetch from.
   std::set<std::string> avoided;
--- a/src/program/MetricsPage.cpp
+++ b/src/program/MetricsPage.cpp
@@ -15,7 +15,7 @@
 }
 
 Awaitable<void>
-MetricsPage::Serve(std::shared_ptr<CallerConnection> aChannel)
+MetricsPage::Serve(std::shared_ptr<CallerChannel> aChannel)
 {
   while (true) {
     auto request = co_await aChannel->Read(CallerLimits());
--- a/src/program/MetricsPage.h
+++ b/src/program/MetricsPage.h
@@ -23,7 +23,7 @@
   Result<void> Listen(const Endpoint& aEndpoint);
 
 private:
-  Awaitable<void> Serve(std::shared_ptr<CallerConnection> aChannel);
+  Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
 
   ConnectionListener listener;
   const MetricsRegistry& registry;
--- a/src/program/StoreWatcher.cpp
+++ b/src/program/StoreWatcher.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "damasklink/transport/Log.h"
-#include "damasklink/transport/TargetConnection.h"
+#include "damasklink/transport/TargetChannel.h"
 
 namespace damasklink {
 namespace {
@@ -53,7 +53,7 @@
 
   Endpoint endpoint;
   StoreContentTracker feed;
-  std::unique_ptr<TargetConnection> channel;
+  std::unique_ptr<TargetChannel> channel;
   MonotonicTime nextList;
   bool reachable = true;
   // An order to free parts is out.
@@ -135,7 +135,7 @@
 {
   const HttpRequestMessage order =
     this->dialect.FreeMessage(aStore->endpoint, aStore->feed.Epoch(), aParts);
-  TargetConnection channel(this->loop.get_executor(), this->clock);
+  TargetChannel channel(this->loop.get_executor(), this->clock);
   Watchdog watchdog(this->loop.get_executor(), [&channel] { channel.Close(); });
   watchdog.Arm(kFreePatience);
   int status = 0;
@@ -222,13 +222,13 @@
 StoreWatcher::Ask(Watched& aStore, HttpRequestHead aQuestion)
 {
   if (aStore.channel == nullptr || !aStore.channel->IsReusable() || !aStore.channel->IsClean()) {
-    aStore.channel = std::make_unique<TargetConnection>(this->loop.get_executor(), this->clock);
+    aStore.channel = std::make_unique<TargetChannel>(this->loop.get_executor(), this->clock);
     auto connected = co_await aStore.channel->Connect(aStore.endpoint, kAnswerPatience);
     if (!connected) {
       co_return Fail(connected.error());
     }
   }
-  TargetConnection* channel = aStore.channel.get();
+  TargetChannel* channel = aStore.channel.get();
   Watchdog watchdog(this->loop.get_executor(), [channel] { channel->Close(); });
   watchdog.Arm(kEventWait + kAnswerPatience);
   if (auto sent = co_await channel->Send(aQuestion, ""); !sent) {
--- a/src/program/TargetCheck.cpp
+++ b/src/program/TargetCheck.cpp
@@ -77,7 +77,7 @@
 Awaitable<TargetCheck::Finding>
 TargetCheck::Connect(Endpoint aAddress)
 {
-  TargetConnection channel(this->loop.get_executor(), this->clock);
+  TargetChannel channel(this->loop.get_executor(), this->clock);
   const auto connected = co_await channel.Connect(aAddress, kConnectPatience);
   if (!connected) {
     const bool refused = connected.error().kind == ErrorKind::NotFound;
--- a/src/program/TargetCheck.h
+++ b/src/program/TargetCheck.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "damasklink/coordination/Target.h"
-#include "damasklink/transport/TargetConnection.h"
+#include "damasklink/transport/TargetChannel.h"
 
 namespace damasklink {
 
--- a/src/program/WeightsDesk.cpp
+++ b/src/program/WeightsDesk.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "damasklink/transport/Log.h"
-#include "damasklink/transport/TargetConnection.h"
+#include "damasklink/transport/TargetChannel.h"
 
 namespace damasklink {
 namespace {
@@ -84,7 +84,7 @@
 Awaitable<Result<HttpAnswerMessage>>
 WeightsDesk::Call(Endpoint aEndpoint, HttpRequestMessage aMessage)
 {
-  TargetConnection channel(this->loop.get_executor(), this->clock);
+  TargetChannel channel(this->loop.get_executor(), this->clock);
   Watchdog watchdog(this->loop.get_executor(), [&channel] { channel.Close(); });
   watchdog.Arm(kCallPatience);
   auto connected = co_await channel.Connect(aEndpoint, kCallPatience);
--- a/src/transport/CallerConnection.cpp
+++ b/src/transport/CallerChannel.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/CallerConnection.h"
+#include "damasklink/transport/CallerChannel.h"
 
 #include <array>
 
@@ -74,7 +74,7 @@
 
 } // namespace
 
-class CallerConnection::Impl
+class CallerChannel::Impl
 {
 public:
   explicit Impl(TcpSocket aSocket)
@@ -121,20 +121,20 @@
   beast::flat_buffer buffer;
 };
 
-CallerConnection::CallerConnection(TcpSocket aSocket)
+CallerChannel::CallerChannel(TcpSocket aSocket)
   : impl(std::make_unique<Impl>(std::move(aSocket)))
 {
   SetNoDelay(this->impl->socket);
   SetSendTimeout(this->impl->socket, kWriteTimeout);
 }
 
-CallerConnection::~CallerConnection()
+CallerChannel::~CallerChannel()
 {
   ++*this->impl->watchNumber;
 }
 
 Awaitable<Result<HttpRequestMessage>>
-CallerConnection::Read(const CallerLimits& aLimits)
+CallerChannel::Read(const CallerLimits& aLimits)
 {
   Impl& connection = *this->impl;
   const auto headerTimeout = aLimits.headerTimeout;
@@ -178,7 +178,7 @@
 }
 
 Awaitable<bool>
-CallerConnection::WriteWhole(HttpAnswerMessage aResponse, bool aClose)
+CallerChannel::WriteWhole(HttpAnswerMessage aResponse, bool aClose)
 {
   const std::string head =
     FormatAnswerHead(aResponse.head, AnswerFraming::Length, aResponse.body.size(), aClose);
@@ -188,7 +188,7 @@
 }
 
 Awaitable<bool>
-CallerConnection::BeginStream(const HttpAnswerHead& aHead, std::string_view aChunk, bool aClose)
+CallerChannel::BeginStream(const HttpAnswerHead& aHead, std::string_view aChunk, bool aClose)
 {
   std::string bytes = FormatAnswerHead(aHead, AnswerFraming::Chunks, 0, aClose);
   bytes += Concat(absl::Hex(aChunk.size()), "\r\n", aChunk, "\r\n");
@@ -196,14 +196,14 @@
 }
 
 Awaitable<bool>
-CallerConnection::WriteChunk(std::string_view aChunk)
+CallerChannel::WriteChunk(std::string_view aChunk)
 {
   const std::string bytes = Concat(absl::Hex(aChunk.size()), "\r\n", aChunk, "\r\n");
   co_return co_await this->impl->Write(bytes);
 }
 
 Awaitable<bool>
-CallerConnection::EndStream()
+CallerChannel::EndStream()
 {
   constexpr std::string_view kLastChunk = "0\r\n\r\n";
   const bool written = co_await this->impl->Write(kLastChunk);
@@ -212,7 +212,7 @@
 }
 
 void
-CallerConnection::WatchForDisconnect(std::function<void()> aOnDisconnect)
+CallerChannel::WatchForDisconnect(std::function<void()> aOnDisconnect)
 {
   Impl* connection = this->impl.get();
   const std::uint64_t number = ++*connection->watchNumber;
@@ -238,7 +238,7 @@
 }
 
 void
-CallerConnection::StopWatching()
+CallerChannel::StopWatching()
 {
   ++*this->impl->watchNumber;
   IoError ignored;
@@ -246,7 +246,7 @@
 }
 
 void
-CallerConnection::CloseIfIdle()
+CallerChannel::CloseIfIdle()
 {
   IoError error;
   if (this->idle && this->impl->socket.available(error) == 0) {
@@ -255,7 +255,7 @@
 }
 
 void
-CallerConnection::Close()
+CallerChannel::Close()
 {
   IoError ignored;
   this->impl->socket.close(ignored);
--- a/src/transport/TargetConnection.cpp
+++ b/src/transport/TargetChannel.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/TargetConnection.h"
+#include "damasklink/transport/TargetChannel.h"
 
 #include <array>
 
@@ -47,7 +47,7 @@
 
 } // namespace
 
-class TargetConnection::Impl
+class TargetChannel::Impl
 {
 public:
   explicit Impl(const asio::any_io_executor& aExecutor)
@@ -67,16 +67,16 @@
   bool closes = false;
 };
 
-TargetConnection::TargetConnection(const asio::any_io_executor& aExecutor, const Clock& aClock)
+TargetChannel::TargetChannel(const asio::any_io_executor& aExecutor, const Clock& aClock)
   : clock(aClock)
   , impl(std::make_unique<Impl>(aExecutor))
 {
 }
 
-TargetConnection::~TargetConnection() = default;
+TargetChannel::~TargetChannel() = default;
 
 Awaitable<Result<void>>
-TargetConnection::Connect(const Endpoint& aEndpoint, Duration aTimeout)
+TargetChannel::Connect(const Endpoint& aEndpoint, Duration aTimeout)
 {
   bool timedOut = false;
   Watchdog watchdog(this->impl->socket.get_executor(), [this, &timedOut] {
@@ -100,7 +100,7 @@
 }
 
 Awaitable<bool>
-TargetConnection::StaysOpen(Duration aFor)
+TargetChannel::StaysOpen(Duration aFor)
 {
   TcpSocket& socket = this->impl->socket;
   bool timedOut = false;
@@ -126,7 +126,7 @@
 }
 
 Awaitable<Result<void>>
-TargetConnection::Send(const HttpRequestHead& aHead, std::string_view aBody)
+TargetChannel::Send(const HttpRequestHead& aHead, std::string_view aBody)
 {
   Impl& connection = *this->impl;
   connection.bodyless = aHead.method == "HEAD";
@@ -143,7 +143,7 @@
 }
 
 Awaitable<Result<HttpAnswerHead>>
-TargetConnection::ReadHead()
+TargetChannel::ReadHead()
 {
   Impl& connection = *this->impl;
   while (true) {
@@ -176,7 +176,7 @@
 }
 
 Awaitable<Result<std::optional<std::string_view>>>
-TargetConnection::ReadChunk()
+TargetChannel::ReadChunk()
 {
   Impl& connection = *this->impl;
   while (!connection.parser->is_done()) {
@@ -200,7 +200,7 @@
 }
 
 Awaitable<Result<std::string>>
-TargetConnection::ReadRest(std::size_t aMaxBytes, std::function<void()> aOnChunk)
+TargetChannel::ReadRest(std::size_t aMaxBytes, std::function<void()> aOnChunk)
 {
   std::string rest;
   while (true) {
@@ -225,7 +225,7 @@
 }
 
 bool
-TargetConnection::IsReusable() const
+TargetChannel::IsReusable() const
 {
   const Impl& connection = *this->impl;
   const bool complete = connection.parser && connection.parser->is_done() && !connection.sending;
@@ -233,7 +233,7 @@
 }
 
 bool
-TargetConnection::IsClean()
+TargetChannel::IsClean()
 {
   Impl& connection = *this->impl;
   if (!connection.socket.is_open() || connection.buffer.size() > 0) {
@@ -247,15 +247,15 @@
 }
 
 void
-TargetConnection::Close()
+TargetChannel::Close()
 {
   IoError ignored;
   this->impl->broken = true;
   this->impl->socket.close(ignored);
 }
 
-std::unique_ptr<TargetConnection>
-TargetConnectionPool::TakeIdle(const Endpoint& aEndpoint)
+std::unique_ptr<TargetChannel>
+TargetChannelPool::TakeIdle(const Endpoint& aEndpoint)
 {
   const auto found = this->idle.find(FormatEndpoint(aEndpoint));
   if (found == this->idle.end()) {
@@ -263,7 +263,7 @@
   }
   auto& connections = found->second;
   while (!connections.empty()) {
-    std::unique_ptr<TargetConnection> connection = std::move(connections.back());
+    std::unique_ptr<TargetChannel> connection = std::move(connections.back());
     connections.pop_back();
     if (this->clock.MonotonicNow() < connection->IdleUntil() && connection->IsClean()) {
       return connection;
@@ -273,7 +273,7 @@
 }
 
 void
-TargetConnectionPool::Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetConnection> aConnection)
+TargetChannelPool::Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetChannel> aConnection)
 {
   if (!aConnection->IsReusable() || this->clock.MonotonicNow() >= aConnection->IdleUntil()) {
     return;
@@ -286,7 +286,7 @@
 }
 
 void
-TargetConnectionPool::CloseExpired()
+TargetChannelPool::CloseExpired()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   for (auto& [endpoint, connections] : this->idle) {
--- a/test/program/ExchangeFixture.h
+++ b/test/program/ExchangeFixture.h
@@ -145,7 +145,7 @@
   Awaitable<void> Serve()
   {
     auto [error, socket] = co_await this->acceptor.async_accept(kAsValue);
-    CallerConnection channel(std::move(socket));
+    CallerChannel channel(std::move(socket));
     bool kept = true;
     while (kept) {
       auto request = co_await channel.Read(CallerLimits());
@@ -217,7 +217,7 @@
   TargetHealth health{ this->clock, 1 };
   ZoneReach reach{ this->clock, 1 };
   TargetPicker picker{ this->health, this->reach, 1 };
-  TargetConnectionPool pool{ this->clock };
+  TargetChannelPool pool{ this->clock };
   StorePace pace{ 1 };
   ComeBack comeBack{ 1 };
   ReturnQueue returns{ this->clock, 1 };
--- a/test/transport/DialBackoffTest.cpp
+++ b/test/transport/DialPaceTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/DialBackoff.h"
+#include "damasklink/transport/DialPace.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 Duration
 ConnectTime(Duration aUpAt)
 {
-  DialBackoff backoff{ DialTiming() };
+  DialPace backoff{ DialTiming() };
   Duration time{ 0 };
   while (time < aUpAt) {
     time += backoff.ConnectTimeout();
@@ -22,16 +22,16 @@
 
 // All hosts lost power and restart within half a second of each other. The first ones must
 // connect soon to the last ones, since callers are not served before that.
-TEST(DialBackoffTest, ConnectsSoonAfterPeerStarts)
+TEST(DialPaceTest, ConnectsSoonAfterPeerStarts)
 {
   for (Duration up{ 0 }; up < std::chrono::milliseconds(800); up += std::chrono::milliseconds(10)) {
     EXPECT_LE(ConnectTime(up), up + std::chrono::milliseconds(200));
   }
 }
 
-TEST(DialBackoffTest, DialsUnreachablePeerAboutOncePerSecond)
+TEST(DialPaceTest, DialsUnreachablePeerAboutOncePerSecond)
 {
-  DialBackoff backoff{ DialTiming() };
+  DialPace backoff{ DialTiming() };
   Duration passed{ 0 };
   int attempts = 0;
   for (; passed < std::chrono::minutes(1); ++attempts) {
@@ -42,18 +42,18 @@
 }
 
 // On a congested link, packets are queued for up to half a second.
-TEST(DialBackoffTest, LaterAttemptsAllowForCongestedLink)
+TEST(DialPaceTest, LaterAttemptsAllowForCongestedLink)
 {
-  DialBackoff backoff{ DialTiming() };
+  DialPace backoff{ DialTiming() };
   for (int attempt = 0; attempt < DialTiming().firstAttempts; ++attempt) {
     backoff.OnFailed();
   }
   EXPECT_GE(backoff.ConnectTimeout(), std::chrono::milliseconds(600));
 }
 
-TEST(DialBackoffTest, RedialsSoonAfterLostConnection)
+TEST(DialPaceTest, RedialsSoonAfterLostConnection)
 {
-  DialBackoff backoff{ DialTiming() };
+  DialPace backoff{ DialTiming() };
   for (int attempt = 0; attempt < 20; ++attempt) {
     backoff.OnFailed();
   }
