--- a/include/damasklink/transport/CallerChannel.h
+++ b/include/damasklink/transport/CallerChannel.h
@@ -42,9 +42,9 @@
   Awaitable<bool> WriteChunk(std::string_view aChunk);
   Awaitable<bool> EndStream();
 
-  // Calls aOnDisconnect once if the caller closes the connection before StopWatching(). Requires
+  // Calls aHandler once if the caller closes the connection before StopWatching(). Requires
   // that no Read() is pending meanwhile.
-  void WatchForDisconnect(std::function<void()> aOnDisconnect);
+  void WatchForDisconnect(std::function<void()> aHandler);
   void StopWatching();
 
   // Closes the connection unless a request is in progress or waits to be read.
--- a/include/damasklink/transport/HttpServer.h
+++ b/include/damasklink/transport/HttpServer.h
@@ -87,8 +87,8 @@
   // Adds a route. Must be called before Start().
   void Route(const std::string& aMethod, const std::string& aPattern, HttpHandler aHandler);
 
-  // Binds the address and serves it on a thread of its own. Port 0 selects any free port. Fails
-  // with Unavailable when the address is in use.
+  // Binds the address and accepts connections on a thread of its own. Port 0 selects any free port.
+  // Fails with Unavailable when the address is in use.
   Result<void> Start();
 
   // Returns the address with the bound port. Requires Start().
--- a/include/damasklink/transport/PeerMesh.h
+++ b/include/damasklink/transport/PeerMesh.h
@@ -7,8 +7,8 @@
 //
 //   PeerMesh mesh(context, HostId("10.1.0.4"), 7700, handler);
 //   mesh.Listen();                       // Accepts connections of other hosts.
-//   mesh.Dial(HostId("10.2.0.4"));       // Connects, and reconnects whenever the connection
-//   breaks. mesh.Send(HostId("10.2.0.4"), message);
+//   mesh.Dial(HostId("10.2.0.4"));       // Connects, and reconnects after failures.
+//   mesh.Send(HostId("10.2.0.4"), message);
 #pragma once
 
 #include <map>
@@ -29,7 +29,7 @@
   Accepted,
 };
 
-// Callbacks for what happens on the connections, called on the event loop.
+// Callbacks for events on the connections, called on the event loop.
 class PeerMeshHandler
 {
 public:
--- a/include/damasklink/transport/TargetChannel.h
+++ b/include/damasklink/transport/TargetChannel.h
@@ -71,7 +71,7 @@
   // that received any must not be used.
   bool IsClean();
 
-  // Returns until when the connection may stay idle, see idleUntil.
+  // Returns until when the connection may be reused.
   MonotonicTime IdleUntil() const { return this->idleUntil; }
 
   // Closes immediately. Pending operations fail with Interrupted.
--- a/src/transport/BeastText.h
+++ b/src/transport/BeastText.h
@@ -1,4 +1,4 @@
-// Between Boost.Beast's types and this program's. Internal to src/transport.
+// Helpers for Boost.Beast's types and errors. Internal to src/transport.
 #pragma once
 
 #include <string>
@@ -16,7 +16,8 @@
   return std::string(aText.data(), aText.size());
 }
 
-// Returns whether the bytes that were read are no HTTP; false when there were too few of them.
+// Returns whether the bytes that were read are not valid HTTP. Returns false for messages that are
+// only incomplete.
 inline bool
 IsMalformed(const IoError& aError)
 {
--- a/src/transport/CallerChannel.cpp
+++ b/src/transport/CallerChannel.cpp
@@ -117,7 +117,7 @@
   bool timedOut = false;
   // Number of the current WatchForDisconnect(). Shared with its pending wait, which may end after
   // this object was destroyed.
-  std::shared_ptr<std::uint64_t> watchNumber = std::make_shared<std::uint64_t>(0);
+  std::shared_ptr<std::uint64_t> watch = std::make_shared<std::uint64_t>(0);
   beast::flat_buffer buffer;
 };
 
@@ -130,7 +130,7 @@
 
 CallerChannel::~CallerChannel()
 {
-  ++*this->impl->watchNumber;
+  ++*this->impl->watch;
 }
 
 Awaitable<Result<HttpRequestMessage>>
@@ -212,35 +212,32 @@
 }
 
 void
-CallerChannel::WatchForDisconnect(std::function<void()> aOnDisconnect)
+CallerChannel::WatchForDisconnect(std::function<void()> aHandler)
 {
-  Impl* connection = this->impl.get();
-  const std::uint64_t number = ++*connection->watchNumber;
-  connection->socket.async_wait(TcpSocket::wait_read,
-                                [connection,
-                                 current = connection->watchNumber,
-                                 number,
-                                 onDisconnect = std::move(aOnDisconnect)](const IoError& aError) {
-                                  if (aError || *current != number) {
-                                    return;
-                                  }
-                                  char byte = 0;
-                                  IoError error;
-                                  connection->socket.non_blocking(true, error);
-                                  connection->socket.receive(
-                                    asio::buffer(&byte, 1), TcpSocket::message_peek, error);
-                                  // Readable bytes belong to the next request. The end of the
-                                  // stream or an error is a disconnect.
-                                  if (error && error != asio::error::would_block) {
-                                    onDisconnect();
-                                  }
-                                });
+  Impl* impl = this->impl.get();
+  const std::uint64_t number = ++*impl->watch;
+  impl->socket.async_wait(
+    TcpSocket::wait_read,
+    [impl, watch = impl->watch, number, handler = std::move(aHandler)](const IoError& aError) {
+      if (aError || *watch != number) {
+        return;
+      }
+      char byte = 0;
+      IoError error;
+      impl->socket.non_blocking(true, error);
+      impl->socket.receive(asio::buffer(&byte, 1), TcpSocket::message_peek, error);
+      // Readable bytes belong to the next request. The end of the stream or an error is a
+      // disconnect.
+      if (error && error != asio::error::would_block) {
+        handler();
+      }
+    });
 }
 
 void
 CallerChannel::StopWatching()
 {
-  ++*this->impl->watchNumber;
+  ++*this->impl->watch;
   IoError ignored;
   this->impl->socket.cancel(ignored);
 }
--- a/src/transport/EngineStream.cpp
+++ b/src/transport/EngineStream.cpp
@@ -101,7 +101,7 @@
     return Fail(chunk.error());
   }
   if (chunk.value().empty()) {
-    return Fail(ErrorKind::Interrupted, "the answer ended without its end mark", "try again");
+    return Fail(ErrorKind::Interrupted, "the answer ended before it was complete", "try again");
   }
   return this->reader.Feed(chunk.value());
 }
--- a/test/platform/DialectTest.cpp
+++ b/test/platform/DialectTest.cpp
@@ -338,7 +338,7 @@
   EXPECT_EQ(config.value().workspaces[0].allowedRegions.size(), 2U);
 }
 
-TEST(DialectTest, ReadsRemainingColdTimeOfHeartbeatsAndAnswers)
+TEST(DialectTest, ReadsRemainingColdTimeOfHeartbeatsAndResponses)
 {
   HttpRequestMessage request;
   request.head.method = "PUT";
--- a/test/transport/CallerChannelTest.cpp
+++ b/test/transport/CallerChannelTest.cpp
@@ -178,7 +178,7 @@
 }
 
 // Writing a response continues as long as the caller reads from it.
-TEST_F(CallerChannelTest, WritesLargeAnswerToSlowReader)
+TEST_F(CallerChannelTest, WritesLargeResponseToSlowReader)
 {
   HttpAnswerMessage response;
   response.head.status = 200;
--- a/test/transport/HttpClientTest.cpp
+++ b/test/transport/HttpClientTest.cpp
@@ -33,16 +33,16 @@
   std::unique_ptr<HttpServer> server;
 };
 
-TEST_F(HttpClientTest, ReadsAnswerWithContentLength)
+TEST_F(HttpClientTest, ReadsResponseWithContentLength)
 {
   this->Serve([](const HttpRequest& aRequest) {
     HttpResponse response;
     response.body = "answer to " + aRequest.body;
     return response;
   });
-  const auto answer = CallHttp(MakeCall(), ByteCount(1024));
-  ASSERT_TRUE(answer) << answer.error();
-  EXPECT_EQ(answer.value().body, "answer to question");
+  const auto response = CallHttp(MakeCall(), ByteCount(1024));
+  ASSERT_TRUE(response) << response.error();
+  EXPECT_EQ(response.value().body, "answer to question");
 }
 
 TEST_F(HttpClientTest, TruncatedStreamIsInterrupted)
@@ -55,9 +55,9 @@
     };
     return response;
   });
-  const auto answer = CallHttp(MakeCall(), ByteCount(1024));
-  ASSERT_FALSE(answer);
-  EXPECT_EQ(answer.error().kind, ErrorKind::Interrupted);
+  const auto response = CallHttp(MakeCall(), ByteCount(1024));
+  ASSERT_FALSE(response);
+  EXPECT_EQ(response.error().kind, ErrorKind::Interrupted);
 }
 
 TEST_F(HttpClientTest, RefusedConnectionIsUnavailable)
@@ -65,9 +65,9 @@
   this->Serve([](const HttpRequest&) { return HttpResponse(); });
   const HttpCall call = MakeCall();
   this->server->Stop();
-  const auto answer = CallHttp(call, ByteCount(1024));
-  ASSERT_FALSE(answer);
-  EXPECT_EQ(answer.error().kind, ErrorKind::Unavailable);
+  const auto response = CallHttp(call, ByteCount(1024));
+  ASSERT_FALSE(response);
+  EXPECT_EQ(response.error().kind, ErrorKind::Unavailable);
 }
 
 } // namespace
