--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -15,7 +15,7 @@
 #include "damasklink/protocol/ServingCodec.h"
 #include "damasklink/state/MetricsRegistry.h"
 #include "damasklink/state/Units.h"
-#include "damasklink/transport/ChannelListener.h"
+#include "damasklink/transport/ConnectionListener.h"
 #include "damasklink/transport/Log.h"
 #include "damasklink/transport/PeerMesh.h"
 
@@ -167,8 +167,8 @@
   ServingSignals signals;
   asio::steady_timer housekeeping;
   asio::steady_timer sharing;
-  ChannelListener callers{ this->loop };
-  ChannelListener probes{ this->loop };
+  ConnectionListener callers{ this->loop };
+  ConnectionListener probes{ this->loop };
   Channels open;
   ControlLinks links{ this->settings.host, this->settings.zone };
   // The control host that is told what this host has where.
@@ -439,7 +439,7 @@
   }
   for (const auto& [host, zone] : this->links.Known()) {
     if (std::find(wanted.begin(), wanted.end(), host) == wanted.end()) {
-      this->mesh.Hang(host);
+      this->mesh.Disconnect(host);
     }
   }
 }
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -63,7 +63,7 @@
   this->ending.emplace(this->context.loop.get_executor(),
                        [this] { this->OnInterrupt(Interrupt::Expired); });
   this->ending->Arm(std::max(this->TimeLeft(), Duration::zero()));
-  this->caller.WatchForLeaving([this] { this->OnInterrupt(Interrupt::CallerLeft); });
+  this->caller.WatchForDisconnect([this] { this->OnInterrupt(Interrupt::CallerLeft); });
   const bool kept = co_await this->Relay();
   this->ending->Disarm();
   this->caller.StopWatching();
@@ -381,7 +381,7 @@
 {
   RemoveHopByHopFields(aHead.fields);
   while (true) {
-    auto piece = co_await this->channel->ReadPiece();
+    auto piece = co_await this->channel->ReadChunk();
     if (!piece) {
       LogEvent(LogLevel::Info, "stream_broke")
         .With("request", this->call.request)
@@ -423,7 +423,7 @@
 Exchange::PassEvents(const HttpResponseHead& aHead, std::string_view aEvents)
 {
   if (this->plan->PassedOn()) {
-    co_return co_await this->caller.WritePiece(aEvents);
+    co_return co_await this->caller.WriteChunk(aEvents);
   }
   this->plan->MarkPassedOn();
   this->context.metrics.Observe(Sample::FirstToken,
--- a/src/program/MetricsPage.h
+++ b/src/program/MetricsPage.h
@@ -4,7 +4,7 @@
 #include <memory>
 
 #include "damasklink/state/MetricsRegistry.h"
-#include "damasklink/transport/ChannelListener.h"
+#include "damasklink/transport/ConnectionListener.h"
 
 namespace damasklink {
 
@@ -25,7 +25,7 @@
 private:
   Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
 
-  ChannelListener listener;
+  ConnectionListener listener;
   const MetricsRegistry& registry;
   const HostId& host;
 };
--- a/test/transport/CallerChannelTest.cpp
+++ b/test/transport/CallerChannelTest.cpp
@@ -9,7 +9,7 @@
 namespace damasklink {
 namespace {
 
-// Reads requests from one connection to which the test has written.
+// Writes to one end of a connection and reads requests from the other.
 class CallerChannelTest : public ::testing::Test
 {
 protected:
@@ -17,12 +17,12 @@
     : acceptor(this->loop, TcpEndpoint(asio::ip::make_address("127.0.0.1"), 0))
   {
     this->caller.connect(this->acceptor.local_endpoint());
-    this->channel = std::make_unique<CallerChannel>(this->acceptor.accept());
+    this->connection = std::make_unique<CallerChannel>(this->acceptor.accept());
   }
 
   void Send(const std::string& aBytes) { asio::write(this->caller, asio::buffer(aBytes)); }
 
-  // Returns the next request, or why there is none.
+  // Returns the next request or the error.
   Result<HttpRequestMessage> Read()
   {
     std::optional<Result<HttpRequestMessage>> read;
@@ -34,10 +34,11 @@
 
   Awaitable<void> ReadInto(std::optional<Result<HttpRequestMessage>>& aTo)
   {
-    aTo = co_await this->channel->Read(this->limits);
+    aTo = co_await this->connection->Read(this->limits);
   }
 
-  ErrorKind KindOf(const std::string& aBytes)
+  // Returns the error with which reading the bytes fails, Internal if it succeeds.
+  ErrorKind ErrorOf(const std::string& aBytes)
   {
     this->Send(aBytes);
     const auto read = this->Read();
@@ -47,11 +48,11 @@
   asio::io_context loop;
   TcpAcceptor acceptor;
   TcpSocket caller{ this->loop };
-  std::unique_ptr<CallerChannel> channel;
+  std::unique_ptr<CallerChannel> connection;
   CallerLimits limits;
 };
 
-TEST_F(CallerChannelTest, BodyWithLengthIsRead)
+TEST_F(CallerChannelTest, ReadsBodyWithContentLength)
 {
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
   const auto request = this->Read();
@@ -60,7 +61,7 @@
   EXPECT_EQ(request.value().body, "abc");
 }
 
-TEST_F(CallerChannelTest, BodyInChunksIsRead)
+TEST_F(CallerChannelTest, ReadsChunkedBody)
 {
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
              "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
@@ -69,66 +70,66 @@
   EXPECT_EQ(request.value().body, "abcde");
 }
 
-TEST_F(CallerChannelTest, RequestsThatFollowEachOtherAreReadOneByOne)
+TEST_F(CallerChannelTest, ReadsPipelinedRequestsOneByOne)
 {
   this->Send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   EXPECT_EQ(this->Read().value().head.target, "/1");
   EXPECT_EQ(this->Read().value().head.target, "/2");
 }
 
-TEST_F(CallerChannelTest, RejectsContentLengthWithChunked)
+TEST_F(CallerChannelTest, RefusesContentLengthBesideChunkedEncoding)
 {
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
-                         "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
+                          "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n"),
             ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, DoubledLengthsAreRefused)
+TEST_F(CallerChannelTest, RefusesRepeatedContentLength)
 {
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
-                         "Content-Length: 3\r\n\r\nabc"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
+                          "Content-Length: 3\r\n\r\nabc"),
             ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, BareLineFeedIsRefused)
+TEST_F(CallerChannelTest, RefusesBareLineFeed)
 {
-  EXPECT_EQ(this->KindOf("GET /a HTTP/1.1\nHost: h\n\n"), ErrorKind::InvalidArgument);
+  EXPECT_EQ(this->ErrorOf("GET /a HTTP/1.1\nHost: h\n\n"), ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, SpaceBeforeTheColonIsRefused)
+TEST_F(CallerChannelTest, RefusesSpaceBeforeColon)
 {
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\nabc"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\nabc"),
             ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, HeadBeyondTheLimitIsRefused)
+TEST_F(CallerChannelTest, RefusesHeadAboveLimit)
 {
   this->limits.headerBytes = 100;
-  EXPECT_EQ(this->KindOf("GET /a HTTP/1.1\r\nHost: " + std::string(200, 'h') + "\r\n\r\n"),
+  EXPECT_EQ(this->ErrorOf("GET /a HTTP/1.1\r\nHost: " + std::string(200, 'h') + "\r\n\r\n"),
             ErrorKind::Overloaded);
 }
 
-TEST_F(CallerChannelTest, BodyBeyondTheLimitIsRefusedBeforeItIsRead)
+TEST_F(CallerChannelTest, RefusesBodyAboveLimitBeforeReadingIt)
 {
   this->limits.bodyBytes = 10;
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"),
             ErrorKind::NotPermitted);
 }
 
-TEST_F(CallerChannelTest, SlowHeadIsCutOff)
+TEST_F(CallerChannelTest, SlowHeadExceedsDeadline)
 {
   this->limits.headerTimeout = std::chrono::milliseconds(20);
-  EXPECT_EQ(this->KindOf("GET /a HTT"), ErrorKind::DeadlineExceeded);
+  EXPECT_EQ(this->ErrorOf("GET /a HTT"), ErrorKind::DeadlineExceeded);
 }
 
-TEST_F(CallerChannelTest, IdleChannelEndsWithoutAnAnswer)
+TEST_F(CallerChannelTest, IdleTimeoutIsInterrupted)
 {
   this->limits.idleTimeout = std::chrono::milliseconds(20);
-  EXPECT_EQ(this->KindOf(""), ErrorKind::Interrupted);
-  EXPECT_TRUE(this->channel->IsIdle());
+  EXPECT_EQ(this->ErrorOf(""), ErrorKind::Interrupted);
+  EXPECT_TRUE(this->connection->IsIdle());
 }
 
-TEST_F(CallerChannelTest, CallerThatClosesBetweenRequestsIsNoFault)
+TEST_F(CallerChannelTest, CloseBetweenRequestsIsInterrupted)
 {
   this->caller.close();
   const auto read = this->Read();
@@ -136,29 +137,29 @@
   EXPECT_EQ(read.error().kind, ErrorKind::Interrupted);
 }
 
-TEST_F(CallerChannelTest, ChannelWithAWaitingRequestIsNotClosedAsIdle)
+TEST_F(CallerChannelTest, CloseIfIdleKeepsConnectionWithWaitingRequest)
 {
   this->Send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-  this->channel->CloseIfIdle();
+  this->connection->CloseIfIdle();
   EXPECT_EQ(this->Read().value().head.target, "/a");
 }
 
-TEST_F(CallerChannelTest, IdleChannelIsClosedAsIdle)
+TEST_F(CallerChannelTest, CloseIfIdleClosesIdleConnection)
 {
-  this->channel->CloseIfIdle();
+  this->connection->CloseIfIdle();
   char byte = 0;
   IoError error;
   this->caller.read_some(asio::buffer(&byte, 1), error);
   EXPECT_EQ(error, asio::error::eof);
 }
 
-// The time a caller may be idle is no time for a whole body: one over a thin link takes longer.
-TEST_F(CallerChannelTest, BodyThatKeepsComingIsReadHoweverLongItTakes)
+// The idle timeout does not limit a whole body: on a slow link it takes longer than that.
+TEST_F(CallerChannelTest, ReadsSlowBodyThatKeepsArriving)
 {
   this->limits.idleTimeout = std::chrono::seconds(1);
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n");
   std::thread sender([this] {
-    for (int piece = 0; piece < 40; ++piece) {
+    for (int chunk = 0; chunk < 40; ++chunk) {
       std::this_thread::sleep_for(std::chrono::milliseconds(50));
       this->Send("x");
     }
@@ -169,24 +170,24 @@
   EXPECT_EQ(request.value().body.size(), 40U);
 }
 
-TEST_F(CallerChannelTest, BodyThatStopsComingIsGivenUp)
+TEST_F(CallerChannelTest, StalledBodyExceedsDeadline)
 {
   this->limits.idleTimeout = std::chrono::milliseconds(100);
-  EXPECT_EQ(this->KindOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\nx"),
+  EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\nx"),
             ErrorKind::DeadlineExceeded);
 }
 
-// A ready answer goes on for as long as its caller takes bytes of it.
-TEST_F(CallerChannelTest, AnswerThatKeepsLeavingIsWrittenHoweverLongItTakes)
+// Writing a response continues as long as the caller reads from it.
+TEST_F(CallerChannelTest, WritesLargeResponseToSlowReader)
 {
-  HttpResponseMessage answer;
-  answer.head.status = 200;
-  answer.body = std::string(24 * kMebibyte, 'x');
-  const std::size_t expected = answer.body.size();
+  HttpResponseMessage response;
+  response.head.status = 200;
+  response.body = std::string(24 * kMebibyte, 'x');
+  const std::size_t expected = response.body.size();
   bool written = false;
   const auto write = [&]() -> Awaitable<void> {
-    written = co_await this->channel->WriteWhole(std::move(answer), true);
-    this->channel->Close();
+    written = co_await this->connection->WriteWhole(std::move(response), true);
+    this->connection->Close();
   };
   std::size_t received = 0;
   std::thread reader([&] {
@@ -194,7 +195,7 @@
     IoError error;
     while (!error) {
       received += this->caller.read_some(asio::buffer(bytes), error);
-      // Over ten seconds for all of it.
+      // Takes more than ten seconds in total, the write timeout.
       std::this_thread::sleep_for(std::chrono::milliseconds(received < expected / 2 ? 1000 : 0));
     }
   });
--- a/test/transport/DialPaceTest.cpp
+++ b/test/transport/DialPaceTest.cpp
@@ -5,60 +5,60 @@
 namespace damasklink {
 namespace {
 
-// Returns when a host is connected that tries from 0 on, to a peer that answers from aUpAt on. An
-// attempt whose first packet comes before that is lost.
+// Returns when a host that dials since time 0 is connected to a peer that listens since aUpAt.
+// An attempt that begins before that times out, since its first packet is lost.
 Duration
-ConnectedAt(Duration aUpAt)
+ConnectTime(Duration aUpAt)
 {
-  DialPace pace{ DialTiming() };
-  Duration begun{ 0 };
-  while (begun < aUpAt) {
-    begun += pace.Patience();
-    pace.OnFailed();
-    begun += pace.Pause();
+  DialPace backoff{ DialTiming() };
+  Duration time{ 0 };
+  while (time < aUpAt) {
+    time += backoff.ConnectTimeout();
+    backoff.OnFailed();
+    time += backoff.RetryDelay();
   }
-  return begun;
+  return time;
 }
 
-// The load: all hosts lost power and come back within half a second of each other. Whoever came
-// first must not wait long for those that came last, since nobody is served before they have met.
-TEST(DialPaceTest, HostsThatStartTogetherMeetSoonAfterTheLastOne)
+// All hosts lost power and restart within half a second of each other. The first ones must
+// connect soon to the last ones, since callers are not served before that.
+TEST(DialPaceTest, ConnectsSoonAfterPeerStarts)
 {
   for (Duration up{ 0 }; up < std::chrono::milliseconds(800); up += std::chrono::milliseconds(10)) {
-    EXPECT_LE(ConnectedAt(up), up + std::chrono::milliseconds(200));
+    EXPECT_LE(ConnectTime(up), up + std::chrono::milliseconds(200));
   }
 }
 
-TEST(DialPaceTest, HostThatStaysAwayIsAskedOnceASecond)
+TEST(DialPaceTest, DialsUnreachablePeerAboutOncePerSecond)
 {
-  DialPace pace{ DialTiming() };
+  DialPace backoff{ DialTiming() };
   Duration passed{ 0 };
   int attempts = 0;
   for (; passed < std::chrono::minutes(1); ++attempts) {
-    passed += pace.Patience() + pace.Pause();
-    pace.OnFailed();
+    passed += backoff.ConnectTimeout() + backoff.RetryDelay();
+    backoff.OnFailed();
   }
   EXPECT_LE(attempts, 65);
 }
 
-// On a full link packets wait for half a second.
-TEST(DialPaceTest, HostBehindAFullLinkIsGivenTime)
+// On a congested link, packets are queued for up to half a second.
+TEST(DialPaceTest, LaterAttemptsAllowForCongestedLink)
 {
-  DialPace pace{ DialTiming() };
+  DialPace backoff{ DialTiming() };
   for (int attempt = 0; attempt < DialTiming().firstAttempts; ++attempt) {
-    pace.OnFailed();
+    backoff.OnFailed();
   }
-  EXPECT_GE(pace.Patience(), std::chrono::milliseconds(600));
+  EXPECT_GE(backoff.ConnectTimeout(), std::chrono::milliseconds(600));
 }
 
-TEST(DialPaceTest, LostConnectionIsTriedAnewAtOnce)
+TEST(DialPaceTest, RedialsSoonAfterLostConnection)
 {
-  DialPace pace{ DialTiming() };
+  DialPace backoff{ DialTiming() };
   for (int attempt = 0; attempt < 20; ++attempt) {
-    pace.OnFailed();
+    backoff.OnFailed();
   }
-  pace.OnUp();
-  EXPECT_EQ(pace.Pause(), DialTiming().firstPause);
+  backoff.OnUp();
+  EXPECT_EQ(backoff.RetryDelay(), DialTiming().firstRetryDelay);
 }
 
 } // namespace
--- a/test/transport/PeerNetworkTest.cpp
+++ b/test/transport/PeerNetworkTest.cpp
@@ -12,7 +12,7 @@
   }
 }
 
-TEST(PeerNetworkTest, SendingToAnUnknownHostIsDropped)
+TEST(PeerNetworkTest, DropsMessageToUnknownHost)
 {
   HostSettings settings;
   settings.host = HostId("a");
@@ -21,11 +21,11 @@
   network.Send(HostId("nobody"), PeerMessage{ Channel::Claims, GroupId("g"), "x" });
 }
 
-TEST(PeerNetworkTest, AddressThatCannotBeBoundIsANamedError)
+TEST(PeerNetworkTest, StartFailsWhenAddressCannotBeBound)
 {
   HostSettings settings;
   settings.host = HostId("a");
-  // An address for documentation, which no machine holds.
+  // Reserved for documentation (RFC 5737), so no machine has it.
   settings.listen.peers = Endpoint{ "203.0.113.1", 7000 };
   NoMetrics metrics;
   PeerNetwork network(settings, metrics, [](HostId, PeerMessage) {});
