--- a/bench/SlopesBench.cpp
+++ b/bench/SlopesBench.cpp
@@ -3,8 +3,8 @@
 #include <memory>
 
 #include "Bench.h"
-#include "ControlPicture.h"
 #include "Slope.h"
+#include "TargetTracker.h"
 #include "damasklink/coordination/ClaimRegistry.h"
 #include "damasklink/coordination/Router.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
@@ -76,13 +76,13 @@
   std::vector<SlopePoint> step;
   for (const std::uint64_t size : { 300U, 1'000U, 3'000U }) {
     ManualClock clock;
-    ControlPicture picture(clock, kSilence);
+    TargetTracker picture(clock, kSilence);
     std::vector<TargetRecord> targets;
     for (std::uint64_t number = 0; number < size; ++number) {
       TargetRecord target = MakeTarget(number);
       target.endpoint.port = static_cast<std::uint16_t>(kFirstPort + number);
       targets.push_back(target);
-      picture.HearSecondHand(target);
+      picture.OnRelayedRecord(target);
     }
     picture.TakeChanges();
     std::uint64_t sequence = 1;
@@ -90,7 +90,7 @@
     const auto hear = [&] {
       TargetRecord& target = targets[next++ % size];
       target.sequence = Sequence(++sequence);
-      picture.HearSecondHand(target);
+      picture.OnRelayedRecord(target);
     };
     const auto count = static_cast<double>(size);
     heartbeat.push_back({ count, MicrosecondsPerCall(2'000, hear) });
--- a/src/program/ConfigClient.cpp
+++ b/src/program/ConfigClient.cpp
@@ -13,7 +13,7 @@
 constexpr int kStatusOk = 200;
 constexpr int kStatusBusy = 429;
 constexpr int kStatusServerSide = 500;
-constexpr ByteCount kMostAnswer{ 64 * kMebibyte };
+constexpr ByteCount kMaxAnswer{ 64 * kMebibyte };
 // Longer than a host waits for the group and for hosts to follow.
 constexpr Duration kReadTimeout = std::chrono::seconds(40);
 
@@ -39,7 +39,7 @@
                      { "content-type", "application/json" } };
     call.body = aBody;
     call.readTimeout = kReadTimeout;
-    auto answer = CallHttp(std::move(call), kMostAnswer);
+    auto answer = CallHttp(std::move(call), kMaxAnswer);
     if (!answer) {
       if (!this->answered) {
         last = answer.error();
@@ -188,7 +188,7 @@
 
 // Returns the version that each file with one subtree was made from.
 std::map<SubtreeName, Revision>
-MadeFrom(const std::vector<ConfigSource>& aSources, const SubtreePolicy& aDefaults)
+BaseVersionsOf(const std::vector<ConfigSource>& aSources, const SubtreePolicy& aDefaults)
 {
   std::map<SubtreeName, Revision> made;
   for (const ConfigSource& source : aSources) {
@@ -259,7 +259,7 @@
     std::cerr << "damasklink: nothing was applied\n";
     return keys;
   }
-  const auto madeFrom = MadeFrom(sources.value(), defaults.value());
+  const auto madeFrom = BaseVersionsOf(sources.value(), defaults.value());
   for (Subtree& subtree : SplitTree(parsed.value)) {
     auto view = aClient.Get(subtree.name);
     if (!view) {
--- a/src/program/ConfigurationApi.cpp
+++ b/src/program/ConfigurationApi.cpp
@@ -16,9 +16,9 @@
 // Longer than the group's own limit for a change, so that its answer is the one that is told.
 constexpr Duration kChangeWait = std::chrono::seconds(7);
 constexpr Duration kInForcePoll = std::chrono::milliseconds(50);
-constexpr Duration kMostInForceWait = std::chrono::seconds(30);
+constexpr Duration kMaxInForceWait = std::chrono::seconds(30);
 constexpr std::uint64_t kHistoryDefault = 100;
-constexpr std::uint64_t kHistoryMost = 20'000;
+constexpr std::uint64_t kHistoryMax = 20'000;
 
 HttpResponse
 JsonResponse(std::string aBody)
@@ -159,7 +159,7 @@
 {
   auto list = AskControl<SubtreeList>(
     this->context.control, kReadTimeout, [this](const ControlReply<SubtreeList>& aReply) {
-      const RevisionedTree& tree = this->module.Spread().Tree();
+      const RevisionedTree& tree = this->module.Distributor().Tree();
       SubtreeList list;
       list.revision = tree.Current();
       for (SubtreeName& name : tree.Names()) {
@@ -182,7 +182,7 @@
     this->context.control,
     kReadTimeout,
     [this, wanted = name.value()](const ControlReply<SubtreeView>& aReply) {
-      const RevisionedTree& tree = this->module.Spread().Tree();
+      const RevisionedTree& tree = this->module.Distributor().Tree();
       aReply(SubtreeView{ wanted, tree.VersionOf(wanted), FormatSubtree(tree.Get(wanted)) });
     });
   return view ? JsonResponse(FormatSubtreeView(view.value())) : RefusalResponse(view.error());
@@ -225,7 +225,7 @@
   auto entries = AskControl<Entries>(
     this->context.control,
     kChangeWait,
-    [this, subtree, count = std::min(most.value(), kHistoryMost)](ControlReply<Entries> aReply) {
+    [this, subtree, count = std::min(most.value(), kHistoryMax)](ControlReply<Entries> aReply) {
       this->module.ReadHistory(subtree, count, std::move(aReply));
     });
   return entries ? JsonResponse(FormatHistory(entries.value())) : RefusalResponse(entries.error());
@@ -236,14 +236,14 @@
 {
   auto status = AskControl<HostStatus>(
     this->context.control, kReadTimeout, [this](const ControlReply<HostStatus>& aReply) {
-      const ConfigDistributor& spread = this->module.Spread();
+      const ConfigDistributor& distributor = this->module.Distributor();
       const GroupStatus group = this->module.ControlStatus();
       HostStatus status;
       status.host = this->context.settings.host;
       status.zone = this->context.settings.zone;
-      status.revision = spread.Tree().Current();
-      status.confirmedAge = spread.ConfirmedAge();
-      status.stale = spread.Stale();
+      status.revision = distributor.Tree().Current();
+      status.confirmedAge = distributor.ConfirmedAge();
+      status.stale = distributor.Stale();
       status.leader = group.leader;
       status.term = group.term;
       status.leaseHeld = group.leaseHeld;
@@ -266,7 +266,7 @@
     if (!parsed) {
       return RefusalResponse(parsed.error());
     }
-    wait = std::min(parsed.value(), kMostInForceWait);
+    wait = std::min(parsed.value(), kMaxInForceWait);
   }
   const MonotonicTime until = this->context.clock.MonotonicNow() + wait;
   while (true) {
@@ -276,7 +276,7 @@
       [this, wanted = Revision(revision.value())](const ControlReply<InForceReport>& aReply) {
         InForceReport made = this->MakeInForceReport(wanted);
         if (!made.missing.empty()) {
-          this->module.Spread().QueryAllPeers();
+          this->module.Distributor().QueryAllPeers();
         }
         aReply(std::move(made));
       });
@@ -293,14 +293,14 @@
 InForceReport
 ConfigurationApi::MakeInForceReport(Revision aRevision) const
 {
-  const ConfigDistributor& spread = this->module.Spread();
+  const ConfigDistributor& distributor = this->module.Distributor();
   InForceReport report;
   report.revision = aRevision;
   for (const PeerSettings& peer : this->context.settings.peers) {
-    Revision held = spread.InForce();
+    Revision held = distributor.InForce();
     if (peer.host != this->context.settings.host) {
-      const auto found = spread.PeerRevisions().find(peer.host);
-      held = found == spread.PeerRevisions().end() ? Revision() : found->second;
+      const auto found = distributor.PeerRevisions().find(peer.host);
+      held = found == distributor.PeerRevisions().end() ? Revision() : found->second;
     }
     (held >= aRevision ? report.inForce : report.missing).push_back(peer.host);
   }
--- a/src/program/ConfigurationApi.h
+++ b/src/program/ConfigurationApi.h
@@ -1,8 +1,8 @@
 // The operators' calls on the configuration: changes, reading, history, status, in force where.
 #pragma once
 
+#include "AskControl.h"
 #include "ConfigurationModule.h"
-#include "ControlCall.h"
 #include "damasklink/protocol/OperatorApi.h"
 #include "damasklink/transport/HttpServer.h"
 
--- a/src/program/ConfigurationModule.cpp
+++ b/src/program/ConfigurationModule.cpp
@@ -15,7 +15,7 @@
                                          const HostMembership& aMembership)
   : context(aContext)
   , groups(aGroups)
-  , spread(aContext.clock, aContext.settings, aMembership, this->index)
+  , distributor(aContext.clock, aContext.settings, aMembership, this->index)
   , machine(this)
 {
   this->groups.AddMachine(ControlGroupId(), StateMachineId::Configuration, this->machine);
@@ -24,26 +24,26 @@
 Result<void>
 ConfigurationModule::UseStoredTree(const std::string& aFolder)
 {
-  this->keeper = std::make_unique<TreeKeeper>(this->context.clock, aFolder);
-  auto stored = this->keeper->Read();
+  this->writer = std::make_unique<TreeWriter>(this->context.clock, aFolder);
+  auto stored = this->writer->Read();
   if (!stored) {
     return Fail(stored.error());
   }
-  this->spread.OnTree(stored.value());
-  this->keeper->Start();
+  this->distributor.OnTree(stored.value());
+  this->writer->Start();
   return Success();
 }
 
 void
 ConfigurationModule::OnChange(const TreeChange& aChange)
 {
-  this->spread.OnCommitted(aChange, this->ControlStatus().leading);
+  this->distributor.OnCommitted(aChange, this->ControlStatus().leading);
 }
 
 void
 ConfigurationModule::OnTree(const RevisionedTree& aTree)
 {
-  this->spread.OnTree(aTree);
+  this->distributor.OnTree(aTree);
 }
 
 void
@@ -56,7 +56,7 @@
       .With("error", message.error());
     return;
   }
-  this->spread.OnMessage(aFrom, message.value());
+  this->distributor.OnMessage(aFrom, message.value());
   this->SendOutgoing();
   this->PublishChanges();
 }
@@ -65,7 +65,7 @@
 ConfigurationModule::OnTick(MonotonicTime /*aNow*/)
 {
   const GroupStatus status = this->ControlStatus();
-  this->spread.OnTick(status.leaseHeld);
+  this->distributor.OnTick(status.leaseHeld);
   this->SeedWhenEmpty(status.leaseHeld);
   this->SendOutgoing();
   this->PublishChanges();
@@ -110,15 +110,15 @@
 ConfigurationModule::SeedWhenEmpty(bool aLeaseHeld)
 {
   const bool empty = this->machine.Tree().Current() == Revision();
-  if (!aLeaseHeld || !empty || this->seeding || !this->spread.Joined()) {
+  if (!aLeaseHeld || !empty || this->seeding || !this->distributor.Joined()) {
     return;
   }
   // A tree that hosts still hold outlived the group's disks and goes before the initial one.
-  const bool outlived = this->spread.Tree().Current() != Revision();
+  const bool outlived = this->distributor.Tree().Current() != Revision();
   if (!outlived && !this->initialTree) {
     return;
   }
-  const RevisionedTree& seed = outlived ? this->spread.Tree() : *this->initialTree;
+  const RevisionedTree& seed = outlived ? this->distributor.Tree() : *this->initialTree;
   const ChangeId id(outlived ? "restored" : "initial");
   this->seeding = true;
   this->groups.Propose(
@@ -135,7 +135,7 @@
 void
 ConfigurationModule::SendOutgoing()
 {
-  for (OutgoingConfigMessage& outgoing : this->spread.TakeOutgoing()) {
+  for (OutgoingConfigMessage& outgoing : this->distributor.TakeOutgoing()) {
     this->context.peers.Send(
       outgoing.to,
       PeerMessage{ Channel::Configuration, GroupId(), EncodeConfigMessage(outgoing.message) });
@@ -145,14 +145,14 @@
 void
 ConfigurationModule::PublishChanges()
 {
-  const Revision revision = this->spread.Tree().Current();
-  const bool stale = this->spread.Stale();
+  const Revision revision = this->distributor.Tree().Current();
+  const bool stale = this->distributor.Stale();
   const bool same =
     this->published && revision == this->publishedRevision && stale == this->publishedStale;
-  if (same || !this->spread.Joined()) {
+  if (same || !this->distributor.Joined()) {
     return;
   }
-  if (const auto acceptedAt = this->spread.TakeAcceptedAt()) {
+  if (const auto acceptedAt = this->distributor.TakeAcceptedAt()) {
     const Duration elapsed = this->context.clock.WallNow() - *acceptedAt;
     this->context.metrics.Observe(Sample::ConfigSpread, MetricKey(), elapsed);
   }
@@ -161,8 +161,8 @@
       .With("stale", stale)
       .With("revision", revision);
   }
-  if (this->keeper != nullptr && revision != this->publishedRevision) {
-    this->keeper->Keep(this->spread.Tree());
+  if (this->writer != nullptr && revision != this->publishedRevision) {
+    this->writer->ScheduleWrite(this->distributor.Tree());
   }
   this->published = true;
   this->publishedRevision = revision;
--- a/src/program/ConfigurationModule.h
+++ b/src/program/ConfigurationModule.h
@@ -4,7 +4,7 @@
 #include <functional>
 
 #include "HostContext.h"
-#include "TreeKeeper.h"
+#include "TreeWriter.h"
 #include "damasklink/coordination/CallerIndex.h"
 #include "damasklink/coordination/ConfigStateMachine.h"
 #include "damasklink/coordination/Replication.h"
@@ -42,8 +42,8 @@
                    std::size_t aMost,
                    std::function<void(Result<std::vector<HistoryEntry>>)> aDone);
 
-  ConfigDistributor& Spread() { return this->spread; }
-  const ConfigDistributor& Spread() const { return this->spread; }
+  ConfigDistributor& Distributor() { return this->distributor; }
+  const ConfigDistributor& Distributor() const { return this->distributor; }
   GroupStatus ControlStatus() const { return this->groups.Status(ControlGroupId()); }
 
 private:
@@ -55,11 +55,11 @@
   const HostContext& context;
   Replicator& groups;
   CallerIndex index;
-  ConfigDistributor spread;
+  ConfigDistributor distributor;
   ConfigStateMachine machine;
   std::optional<RevisionedTree> initialTree;
   // Null on a host without a disk.
-  std::unique_ptr<TreeKeeper> keeper;
+  std::unique_ptr<TreeWriter> writer;
   bool seeding = false;
   bool published = false;
   Revision publishedRevision;
--- a/src/program/ConfigurationPart.cpp
+++ b/src/program/ConfigurationPart.cpp
@@ -39,14 +39,14 @@
   : context(aContext)
   , membership(aContext.clock, aContext.settings, IncarnationOf(aContext.clock.WallNow()))
   , configuration(aContext, aGroups, this->membership)
-  , heartbeats(aContext, this->membership, this->configuration.Spread())
+  , heartbeats(aContext, this->membership, this->configuration.Distributor())
   , targets(aContext.clock,
             aContext.settings,
             aContext.peers,
             [&publisher = aContext.publisher](std::vector<TargetRecord> aTargets) {
               publisher.Change([&](TrafficView& aView) { aView.targets = std::move(aTargets); });
             })
-  , orders(aContext, aGroups, this->configuration.Spread(), this->targets.Registry())
+  , orders(aContext, aGroups, this->configuration.Distributor(), this->targets.Registry())
   , api(aContext, this->configuration, [this](HostStatus& aStatus) { this->FillStatus(aStatus); })
 {
 }
@@ -143,7 +143,7 @@
 ConfigurationPart::FillStatus(HostStatus& aStatus) const
 {
   // The API asks on the control thread, which owns all of this.
-  const auto& known = this->configuration.Spread().PeerRevisions();
+  const auto& known = this->configuration.Distributor().PeerRevisions();
   for (const PeerSettings& peer : this->context.settings.peers) {
     PeerStatus status{ peer.host, this->membership.IsUp(peer.host), aStatus.revision };
     if (peer.host != this->context.settings.host) {
--- a/src/program/ControlCalls.cpp
+++ b/src/program/ControlCallHandler.cpp
@@ -1,4 +1,4 @@
-#include "ControlCalls.h"
+#include "ControlCallHandler.h"
 
 #include <set>
 #include <utility>
@@ -33,27 +33,27 @@
 
 } // namespace
 
-ControlCalls::ControlCalls(const Clock& aClock,
-                           const ServingSettings& aSettings,
-                           const ControlDialect& aDialect,
-                           ServingGroup& aGroup,
-                           ControlPicture& aPicture,
-                           Metrics& aMetrics,
-                           WorkAccount& aAccount,
-                           std::function<void()> aSpread)
+ControlCallHandler::ControlCallHandler(const Clock& aClock,
+                                       const ServingSettings& aSettings,
+                                       const ControlDialect& aDialect,
+                                       ServingGroup& aGroup,
+                                       TargetTracker& aTracker,
+                                       Metrics& aMetrics,
+                                       WorkAccount& aAccount,
+                                       std::function<void()> aPublish)
   : clock(aClock)
   , settings(aSettings)
   , dialect(aDialect)
   , group(aGroup)
-  , picture(aPicture)
+  , tracker(aTracker)
   , metrics(aMetrics)
   , account(aAccount)
-  , spread(std::move(aSpread))
+  , publishTargets(std::move(aPublish))
 {
 }
 
 Awaitable<void>
-ControlCalls::Serve(std::shared_ptr<CallerChannel> aChannel)
+ControlCallHandler::Serve(std::shared_ptr<CallerChannel> aChannel)
 {
   bool kept = true;
   while (kept) {
@@ -73,7 +73,7 @@
 }
 
 Awaitable<HttpAnswerMessage>
-ControlCalls::Answer(const HttpRequestMessage& aRequest)
+ControlCallHandler::Answer(const HttpRequestMessage& aRequest)
 {
   auto call = this->Read(aRequest);
   if (!call) {
@@ -83,22 +83,22 @@
     co_return this->dialect.ControlFailure(call.error());
   }
   if (const auto* heartbeat = std::get_if<TargetHeartbeat>(&call.value())) {
-    co_return this->TakeHeartbeat(*heartbeat);
+    co_return this->HandleHeartbeat(*heartbeat);
   }
   if (const auto* departure = std::get_if<TargetDeparture>(&call.value())) {
-    co_return this->TakeDeparture(*departure);
+    co_return this->HandleDeparture(*departure);
   }
   if (const auto* change = std::get_if<ConfigChange>(&call.value())) {
-    co_return co_await this->TakeChange(*change);
+    co_return co_await this->HandleChange(*change);
   }
   if (const auto* named = std::get_if<WeightsNamed>(&call.value())) {
-    co_return co_await this->TakeWeights(*named);
+    co_return co_await this->HandleWeights(*named);
   }
   if (const auto* release = std::get_if<RequestRelease>(&call.value())) {
-    co_return co_await this->TakeRelease(*release);
+    co_return co_await this->HandleRelease(*release);
   }
   if (const auto* change = std::get_if<EvacuationChange>(&call.value())) {
-    co_return co_await this->TakeEvacuation(*change);
+    co_return co_await this->HandleEvacuation(*change);
   }
   if (std::holds_alternative<EvacuationQuestion>(call.value())) {
     co_return this->dialect.EvacuationAnswer(this->group.State().Evacuated());
@@ -106,11 +106,11 @@
   if (std::holds_alternative<RefusedQuestion>(call.value())) {
     co_return this->dialect.RefusedAnswer(this->group.State().Refused());
   }
-  co_return co_await this->AnswerQuestion();
+  co_return co_await this->HandleConfigQuery();
 }
 
 Result<ControlCall>
-ControlCalls::Read(const HttpRequestMessage& aRequest)
+ControlCallHandler::Read(const HttpRequestMessage& aRequest)
 {
   const WorkTimer timer(this->account, Work::Heartbeats);
   this->account.NoteHeard(Work::Heartbeats, aRequest.body.size());
@@ -118,10 +118,10 @@
 }
 
 HttpAnswerMessage
-ControlCalls::TakeHeartbeat(const TargetHeartbeat& aHeartbeat)
+ControlCallHandler::HandleHeartbeat(const TargetHeartbeat& aHeartbeat)
 {
   const WorkTimer timer(this->account, Work::Heartbeats);
-  if (!this->picture.Hear(aHeartbeat.record)) {
+  if (!this->tracker.OnHeartbeat(aHeartbeat.record)) {
     LogEvent(LogLevel::Warning, "target_refused")
       .With("target", aHeartbeat.record.id)
       .With("service", aHeartbeat.record.service);
@@ -131,25 +131,25 @@
   }
   if (aHeartbeat.record.leaving) {
     // What is acknowledged as leaving must reach entry hosts in time, so it does not wait.
-    this->spread();
+    this->publishTargets();
   }
-  return this->AnswerTarget();
+  return this->MakeTargetAnswer();
 }
 
 HttpAnswerMessage
-ControlCalls::TakeDeparture(const TargetDeparture& aDeparture)
+ControlCallHandler::HandleDeparture(const TargetDeparture& aDeparture)
 {
-  this->picture.Depart(aDeparture.target, aDeparture.incarnation);
-  this->spread();
-  return this->AnswerTarget();
+  this->tracker.OnDeparture(aDeparture.target, aDeparture.incarnation);
+  this->publishTargets();
+  return this->MakeTargetAnswer();
 }
 
 // A host that hears no leader is cut off: what targets tell it may reach nobody else. It takes note
 // for the entry hosts on its side, and sends the target on to the other control hosts.
 HttpAnswerMessage
-ControlCalls::AnswerTarget() const
+ControlCallHandler::MakeTargetAnswer() const
 {
-  if (this->group.HearsLeader()) {
+  if (this->group.HasRecentLeader()) {
     return this->dialect.Acknowledgement();
   }
   return this->dialect.ControlFailure(
@@ -157,14 +157,13 @@
 }
 
 HttpAnswerMessage
-ControlCalls::AnswerCommit(const Result<ServingCommandResult>& aStanding) const
+ControlCallHandler::MakeCommitAnswer(const Result<ServingCommandResult>& aResult) const
 {
-  return aStanding ? this->dialect.Acknowledgement()
-                   : this->dialect.ControlFailure(aStanding.error());
+  return aResult ? this->dialect.Acknowledgement() : this->dialect.ControlFailure(aResult.error());
 }
 
 Awaitable<HttpAnswerMessage>
-ControlCalls::TakeChange(const ConfigChange& aChange)
+ControlCallHandler::HandleChange(const ConfigChange& aChange)
 {
   auto config = this->dialect.ReadConfig(aChange.document);
   auto checked = config ? CheckServingConfig(config.value()) : Result<void>(Fail(config.error()));
@@ -178,41 +177,41 @@
   const Revision version = config.value().version;
   const Revision before = this->group.State().Version();
   const ServingCommand command = PutDocument{ version, aChange.document };
-  auto standing = co_await this->group.Commit(command);
-  LogEvent(LogLevel::Info, standing ? "configuration_acknowledged" : "configuration_not_committed")
+  auto result = co_await this->group.Commit(command);
+  LogEvent(LogLevel::Info, result ? "configuration_acknowledged" : "configuration_not_committed")
     .With("version", version)
     .With("before", before)
-    .With("in_force", standing ? standing.value().version : Revision())
-    .With("error", standing ? Error{} : standing.error());
-  if (standing) {
+    .With("in_force", result ? result.value().version : Revision())
+    .With("error", result ? Error{} : result.error());
+  if (result) {
     this->metrics.Add(Counter::ConfigChanges, MetricKey{}, 1);
   }
-  co_return this->AnswerCommit(standing);
+  co_return this->MakeCommitAnswer(result);
 }
 
 Awaitable<HttpAnswerMessage>
-ControlCalls::TakeWeights(const WeightsNamed& aNamed)
+ControlCallHandler::HandleWeights(const WeightsNamed& aNamed)
 {
   const ServingCommand command = SetWeightVersion{ aNamed.model, aNamed.version };
-  auto standing = co_await this->group.Commit(command);
-  LogEvent(LogLevel::Info, standing ? "weights_acknowledged" : "weights_not_committed")
+  auto result = co_await this->group.Commit(command);
+  LogEvent(LogLevel::Info, result ? "weights_acknowledged" : "weights_not_committed")
     .With("model", aNamed.model)
     .With("version", aNamed.version);
-  co_return this->AnswerCommit(standing);
+  co_return this->MakeCommitAnswer(result);
 }
 
 Awaitable<HttpAnswerMessage>
-ControlCalls::TakeRelease(const RequestRelease& aRelease)
+ControlCallHandler::HandleRelease(const RequestRelease& aRelease)
 {
   const ServingCommand command = ReleaseRequest{ aRelease.request };
-  auto standing = co_await this->group.Commit(command);
-  LogEvent(LogLevel::Info, standing ? "release_acknowledged" : "release_not_committed")
+  auto result = co_await this->group.Commit(command);
+  LogEvent(LogLevel::Info, result ? "release_acknowledged" : "release_not_committed")
     .With("fingerprint", aRelease.request);
-  co_return this->AnswerCommit(standing);
+  co_return this->MakeCommitAnswer(result);
 }
 
 Awaitable<HttpAnswerMessage>
-ControlCalls::TakeEvacuation(const EvacuationChange& aChange)
+ControlCallHandler::HandleEvacuation(const EvacuationChange& aChange)
 {
   if (!this->settings.regions.empty() && !this->settings.regions.contains(aChange.zone)) {
     co_return this->dialect.ControlFailure(
@@ -223,36 +222,36 @@
   const std::uint64_t seen = this->group.State().Evacuated().ChangesOf(aChange.zone);
   const ServingCommand command =
     SetEvacuation{ aChange.zone, aChange.evacuated, seen, this->clock.WallNow() };
-  const auto standing = co_await this->group.Commit(command);
-  const bool acknowledged = standing && !standing.value().superseded;
+  const auto result = co_await this->group.Commit(command);
+  const bool acknowledged = result && !result.value().superseded;
   LogEvent(LogLevel::Info, acknowledged ? "evacuation_acknowledged" : "evacuation_not_committed")
     .With("zone", aChange.zone)
     .With("evacuated", aChange.evacuated)
     .With("seen_changes", seen)
-    .With("superseded", standing && standing.value().superseded)
-    .With("error", standing ? Error{} : standing.error());
-  if (standing && standing.value().superseded) {
+    .With("superseded", result && result.value().superseded)
+    .With("error", result ? Error{} : result.error());
+  if (result && result.value().superseded) {
     co_return this->dialect.ControlFailure(
       Error{ ErrorKind::Unavailable,
              "another order for the zone was committed first, which this host had not seen",
              "send the order again if it is still wanted" });
   }
-  co_return this->AnswerCommit(standing);
+  co_return this->MakeCommitAnswer(result);
 }
 
 // A leader within its lease knows the newest configuration. Any other host asks the group: what it
 // has applied itself must be as new as what the group answers.
 Awaitable<HttpAnswerMessage>
-ControlCalls::AnswerQuestion()
+ControlCallHandler::HandleConfigQuery()
 {
   const ServingStateMachine& state = this->group.State();
   if (!this->group.HoldsLease()) {
     const ServingCommand command = ReadBarrier{};
-    auto standing = co_await this->group.Commit(command);
-    if (!standing) {
-      co_return this->dialect.ControlFailure(standing.error());
+    auto result = co_await this->group.Commit(command);
+    if (!result) {
+      co_return this->dialect.ControlFailure(result.error());
     }
-    if (standing.value().version > state.Version()) {
+    if (result.value().version > state.Version()) {
       co_return this->dialect.ControlFailure(
         Error{ ErrorKind::Unavailable, "this host is behind the group", "ask another host" });
     }
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -1,14 +1,14 @@
 #include "ControlHost.h"
 
-#include "ControlCalls.h"
-#include "ControlPicture.h"
+#include "ControlCallHandler.h"
 #include "MetricsPage.h"
-#include "PictureTeller.h"
-#include "RefusalDesk.h"
+#include "RefusalProposer.h"
+#include "RolloutExecutor.h"
 #include "ServingGroup.h"
 #include "ServingSignals.h"
+#include "ServingUpdatePublisher.h"
 #include "StoreWatcher.h"
-#include "WeightsDesk.h"
+#include "TargetTracker.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
 #include "damasklink/coordination/SettledWeights.h"
 #include "damasklink/protocol/ServingCodec.h"
@@ -24,17 +24,17 @@
 constexpr Duration kTick = std::chrono::milliseconds(25);
 
 // What is heard of targets is passed on in batches this far apart.
-constexpr Duration kSpreadStep = std::chrono::milliseconds(100);
+constexpr Duration kPublishInterval = std::chrono::milliseconds(100);
 
 // What entry hosts tell of their loads is added up for so long before it is passed on: they tell
 // every 100 ms, not all at once, and a shorter wait would only make more messages.
-constexpr Duration kTellStep = std::chrono::milliseconds(50);
+constexpr Duration kLoadInterval = std::chrono::milliseconds(50);
 
 // Heartbeats that may be missed before a target counts as silent, and how long its search for a
 // control host that answers may take on top: a second for each that does not, with pauses between.
 // A target that is gone shows by its connections long before.
-constexpr int kMissedHeartbeats = 3;
-constexpr Duration kHeartbeatSearch = std::chrono::seconds(4);
+constexpr int kMaxMissedHeartbeats = 3;
+constexpr Duration kFailoverTime = std::chrono::seconds(4);
 
 // On top of the time that orders of two holders must be apart: an order may wait this long in a
 // queue after its lease was checked.
@@ -46,19 +46,19 @@
 
 // From a failure of the log until the process ends: one that starts again at once would only fail
 // again.
-constexpr Duration kFailurePause = std::chrono::milliseconds(1500);
+constexpr Duration kFailureExitDelay = std::chrono::milliseconds(1500);
 
 // From the moment at which the last engine has newer weights until what older ones made is freed:
 // a transfer waits two seconds at most, and an engine says what it has some hundred milliseconds
 // late.
-constexpr Duration kSettling = std::chrono::seconds(4);
+constexpr Duration kWeightsSettleTime = std::chrono::seconds(4);
 
 // Between two looks for parts that nobody will read any more: each goes through all that the stores
 // hold.
 constexpr Duration kFreeInterval = std::chrono::seconds(1);
 
 // For the handover of leadership to reach the successor before the process ends.
-constexpr Duration kHandoverTime = std::chrono::milliseconds(400);
+constexpr Duration kLeadershipTransferTime = std::chrono::milliseconds(400);
 
 } // namespace
 
@@ -78,13 +78,13 @@
             this->settings,
             this->metrics,
             this->mesh,
-            [this] { this->PushDocument(); })
-    , picture(this->clock, this->settings.targetHeartbeat * kMissedHeartbeats + kHeartbeatSearch)
+            [this] { this->OnStateApplied(); })
+    , tracker(this->clock, this->settings.targetHeartbeat * kMaxMissedHeartbeats + kFailoverTime)
     , stores(this->loop,
              this->clock,
              aStores,
-             [this](const auto& aStatements) { this->teller.TellStores(aStatements); })
-    , weights(this->loop,
+             [this](const auto& aStatements) { this->publisher.PublishStores(aStatements); })
+    , rollout(this->loop,
               this->clock,
               aEngines,
               this->Options(),
@@ -93,10 +93,10 @@
             this->settings,
             aDialect,
             this->group,
-            this->picture,
+            this->tracker,
             this->metrics,
             this->account,
-            [this] { this->SpreadTargets(); })
+            [this] { this->PublishTargets(); })
     , signals(this->loop, std::move(aReader))
     , ticker(this->loop)
   {
@@ -110,22 +110,22 @@
 
 private:
   RolloutOptions Options() const;
-  void StepWeights();
+  void StepRollout();
   void FreeUnusedParts();
   void Stop();
   void Tick();
   void StepGroup();
   bool EndsAfterFailure();
-  void SpreadTargets();
-  void PushDocument();
-  void FollowServices();
-  void FollowEvacuations();
-  void NoteEvacuation(const ZoneId& aZone, bool aEvacuated);
+  void PublishTargets();
+  void OnStateApplied();
+  void ApplyServices();
+  void ApplyEvacuations();
+  void RecordEvacuation(const ZoneId& aZone, bool aEvacuated);
   Result<ServingMessage> Decode(const std::string& aPayload);
-  void TakeServingMessage(const HostId& aPeer, const ServingMessage& aMessage);
-  void TakeGreeting(const HostId& aPeer, const Greeting& aGreeting);
-  void KnowControlHosts(const std::vector<HostId>& aHosts);
-  void KnowControlHost(const HostId& aHost, const ZoneId& aZone);
+  void OnServingMessage(const HostId& aPeer, const ServingMessage& aMessage);
+  void OnGreeting(const HostId& aPeer, const Greeting& aGreeting);
+  void AddControlHosts(const std::vector<HostId>& aHosts);
+  void AddControlHost(const HostId& aHost, const ZoneId& aZone);
 
   ServingSettings settings;
   const ControlDialect& dialect;
@@ -136,28 +136,29 @@
   asio::io_context loop{ 1 };
   PeerMesh mesh;
   ServingGroup group;
-  ControlPicture picture;
+  TargetTracker tracker;
   StoreWatcher stores;
-  WeightsDesk weights;
-  SettledWeights settled{ this->clock, kSettling };
-  HostRegistry roster{ this->settings.host, this->settings.zone };
+  RolloutExecutor rollout;
+  SettledWeights settledWeights{ this->clock, kWeightsSettleTime };
+  HostRegistry hosts{ this->settings.host, this->settings.zone };
   CrashLedger crashes{ this->clock };
-  RefusalDesk refusals{ this->loop, this->group, this->crashes };
-  PictureTeller teller{ this->clock,  this->settings, this->group, this->stores, this->picture,
-                        this->roster, this->crashes,  this->mesh,  this->account };
+  RefusalProposer refusals{ this->loop, this->group, this->crashes };
+  ServingUpdatePublisher publisher{ this->clock,   this->settings, this->group,
+                                    this->stores,  this->tracker,  this->hosts,
+                                    this->crashes, this->mesh,     this->account };
   MetricsPage metricsPage{ this->loop, this->metrics, this->settings.host };
-  ControlCalls calls;
+  ControlCallHandler calls;
   ChannelListener callers{ this->loop };
   ServingSignals signals;
   asio::steady_timer ticker;
-  // The version whose services are followed.
-  Revision followed;
+  // The version whose services are appliedVersion.
+  Revision appliedVersion;
   // Zones that were evacuated when the state was looked at last.
   std::set<ZoneId> evacuated;
-  MonotonicTime nextSpread;
+  MonotonicTime nextPublish;
   MonotonicTime nextFreeing;
-  MonotonicTime nextTelling;
-  MonotonicTime worksUntil;
+  MonotonicTime nextLoads;
+  MonotonicTime failureExitAt;
 };
 
 RolloutOptions
@@ -179,20 +180,20 @@
     return;
   }
   this->nextFreeing = this->clock.MonotonicNow() + kFreeInterval;
-  this->settled.Update(this->picture.RemainingEngines());
+  this->settledWeights.Update(this->tracker.RemainingEngines());
   if (this->group.HoldsLease()) {
-    this->stores.FreeUnused(this->settled.MinimumVersions());
+    this->stores.FreeUnused(this->settledWeights.MinimumVersions());
   }
 }
 
 void
-ControlHost::Impl::StepWeights()
+ControlHost::Impl::StepRollout()
 {
   const WorkTimer timer(this->account, Work::TargetSteps);
-  this->weights.Step(this->group.State().Weights(), this->picture.UsableEngines());
+  this->rollout.Step(this->group.State().Weights(), this->tracker.UsableEngines());
   this->FreeUnusedParts();
-  this->picture.SetPaused(this->weights.Rollout().Paused());
-  this->picture.SetReported(this->weights.Rollout().Reported());
+  this->tracker.SetPaused(this->rollout.Rollout().Paused());
+  this->tracker.SetReportedWeights(this->rollout.Rollout().Reported());
 }
 
 Result<void>
@@ -217,13 +218,13 @@
     .With("zone", this->settings.zone)
     .With("first_start", this->settings.firstStart)
     .With("control", FormatEndpoint(this->settings.control));
-  this->KnowControlHosts(this->settings.seeds);
+  this->AddControlHosts(this->settings.seeds);
   // After a start of all, the seeds alone would wait until the other members reach them.
-  this->KnowControlHosts(this->group.Members());
+  this->AddControlHosts(this->group.Members());
   this->signals.Wait(
     [this](const ServingSettings& aFresh) {
       this->settings.regions = aFresh.regions;
-      this->KnowControlHosts(aFresh.seeds);
+      this->AddControlHosts(aFresh.seeds);
     },
     [this] { this->Stop(); });
   this->Tick();
@@ -243,12 +244,12 @@
   if (this->EndsAfterFailure()) {
     return;
   }
-  if (this->clock.MonotonicNow() >= this->nextSpread) {
-    this->SpreadTargets();
+  if (this->clock.MonotonicNow() >= this->nextPublish) {
+    this->PublishTargets();
   }
-  if (this->clock.MonotonicNow() >= this->nextTelling || this->teller.HasUrgentSends()) {
-    this->nextTelling = this->clock.MonotonicNow() + kTellStep;
-    this->teller.TellSends();
+  if (this->clock.MonotonicNow() >= this->nextLoads || this->publisher.HasUrgentReport()) {
+    this->nextLoads = this->clock.MonotonicNow() + kLoadInterval;
+    this->publisher.PublishLoads();
     this->stores.TellChanges();
   }
   this->ticker.expires_after(kTick);
@@ -274,10 +275,10 @@
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   if (!this->group.Failure()) {
-    this->worksUntil = now + kFailurePause;
+    this->failureExitAt = now + kFailureExitDelay;
     return false;
   }
-  if (now < this->worksUntil) {
+  if (now < this->failureExitAt) {
     return false;
   }
   this->mesh.Stop();
@@ -286,38 +287,38 @@
 }
 
 void
-ControlHost::Impl::SpreadTargets()
+ControlHost::Impl::PublishTargets()
 {
-  this->StepWeights();
+  this->StepRollout();
   this->refusals.Step();
-  this->nextSpread = this->clock.MonotonicNow() + kSpreadStep;
-  this->teller.TellChanges();
+  this->nextPublish = this->clock.MonotonicNow() + kPublishInterval;
+  this->publisher.PublishChanges();
 }
 
 void
-ControlHost::Impl::PushDocument()
+ControlHost::Impl::OnStateApplied()
 {
   const ServingStateMachine& state = this->group.State();
   LogEvent(LogLevel::Info, "configuration_applied")
     .With("version", state.Version())
-    .With("entry_hosts", this->roster.EntryHosts().size());
-  this->FollowEvacuations();
-  this->teller.TellStanding();
-  if (state.Version() != this->followed) {
-    this->followed = state.Version();
-    this->FollowServices();
+    .With("entry_hosts", this->hosts.EntryHosts().size());
+  this->ApplyEvacuations();
+  this->publisher.PublishGroupState();
+  if (state.Version() != this->appliedVersion) {
+    this->appliedVersion = state.Version();
+    this->ApplyServices();
   }
 }
 
 // Reads the whole document, which takes long where it has thousands of routes, so not when only
 // weights were named.
 void
-ControlHost::Impl::FollowServices()
+ControlHost::Impl::ApplyServices()
 {
   const auto config = this->dialect.ReadConfig(this->group.State().Document());
   if (!config) {
     LogEvent(LogLevel::Error, "configuration_unreadable")
-      .With("version", this->followed)
+      .With("version", this->appliedVersion)
       .With("error", config.error());
     return;
   }
@@ -330,30 +331,30 @@
       cold.emplace(service.name, *service.cold);
     }
   }
-  this->picture.SetServices(std::move(services));
-  this->picture.SetColdTraits(std::move(cold));
+  this->tracker.SetServices(std::move(services));
+  this->tracker.SetColdStartSpecs(std::move(cold));
 }
 
 void
-ControlHost::Impl::FollowEvacuations()
+ControlHost::Impl::ApplyEvacuations()
 {
   std::set<ZoneId> now = this->group.State().Evacuated().Current().zones;
   for (const ZoneId& zone : this->evacuated) {
     if (!now.contains(zone)) {
-      this->NoteEvacuation(zone, false);
-      this->picture.OnZoneReturned(zone);
+      this->RecordEvacuation(zone, false);
+      this->tracker.OnZoneReturned(zone);
     }
   }
   for (const ZoneId& zone : now) {
     if (!this->evacuated.contains(zone)) {
-      this->NoteEvacuation(zone, true);
+      this->RecordEvacuation(zone, true);
     }
   }
   this->evacuated = std::move(now);
 }
 
 void
-ControlHost::Impl::NoteEvacuation(const ZoneId& aZone, bool aEvacuated)
+ControlHost::Impl::RecordEvacuation(const ZoneId& aZone, bool aEvacuated)
 {
   LogEvent(LogLevel::Info, "evacuation_applied").With("zone", aZone).With("evacuated", aEvacuated);
   this->metrics.Add(
@@ -364,7 +365,7 @@
 ControlHost::Impl::OnPeerUp(const HostId& aPeer, LinkSide aSide)
 {
   if (aSide == LinkSide::Dialed) {
-    this->teller.GreetControlHost(aPeer);
+    this->publisher.SendGreeting(aPeer);
   }
 }
 
@@ -372,8 +373,8 @@
 ControlHost::Impl::OnPeerDown(const HostId& aPeer, LinkSide aSide)
 {
   if (aSide == LinkSide::Accepted) {
-    this->roster.OnDisconnected(aPeer);
-    this->teller.OnLost(aPeer);
+    this->hosts.OnDisconnected(aPeer);
+    this->publisher.OnLost(aPeer);
   }
 }
 
@@ -396,7 +397,7 @@
   const Work work = WorkOf(message.value());
   const WorkTimer timer(this->account, work);
   this->account.NoteHeard(work, aMessage.payload.size());
-  this->TakeServingMessage(aPeer, message.value());
+  this->OnServingMessage(aPeer, message.value());
 }
 
 Result<ServingMessage>
@@ -407,62 +408,62 @@
 }
 
 void
-ControlHost::Impl::TakeServingMessage(const HostId& aPeer, const ServingMessage& aMessage)
+ControlHost::Impl::OnServingMessage(const HostId& aPeer, const ServingMessage& aMessage)
 {
   if (const auto* greeting = std::get_if<Greeting>(&aMessage)) {
-    this->TakeGreeting(aPeer, *greeting);
+    this->OnGreeting(aPeer, *greeting);
   } else if (const auto* news = std::get_if<LoadReport>(&aMessage)) {
-    this->teller.TakeSends(aPeer, *news);
+    this->publisher.OnLoadReport(aPeer, *news);
   } else if (const auto* question = std::get_if<DocumentRequest>(&aMessage)) {
-    this->teller.Answer(aPeer, *question);
+    this->publisher.Answer(aPeer, *question);
   } else if (const auto* list = std::get_if<EntryHostList>(&aMessage)) {
-    this->roster.SetEntryHostsOf(aPeer, *list);
+    this->hosts.SetEntryHostsOf(aPeer, *list);
   } else if (const auto* told = std::get_if<ServingUpdate>(&aMessage)) {
     for (const TargetUpdate& statement : told->targets) {
-      this->picture.HearSecondHand(statement.record);
+      this->tracker.OnRelayedRecord(statement.record);
     }
   }
 }
 
 void
-ControlHost::Impl::TakeGreeting(const HostId& aPeer, const Greeting& aGreeting)
+ControlHost::Impl::OnGreeting(const HostId& aPeer, const Greeting& aGreeting)
 {
   if (aGreeting.role == HostRole::Entry) {
-    this->roster.OnEntryHostConnected(aPeer);
-    this->teller.TellAll(aPeer);
+    this->hosts.OnEntryHostConnected(aPeer);
+    this->publisher.SendSnapshot(aPeer);
     return;
   }
-  this->KnowControlHost(aPeer, aGreeting.zone);
+  this->AddControlHost(aPeer, aGreeting.zone);
   for (const auto& [host, zone] : aGreeting.controlHosts) {
-    this->KnowControlHost(host, zone);
+    this->AddControlHost(host, zone);
   }
 }
 
 void
-ControlHost::Impl::KnowControlHosts(const std::vector<HostId>& aHosts)
+ControlHost::Impl::AddControlHosts(const std::vector<HostId>& aHosts)
 {
   for (const HostId& host : aHosts) {
-    this->KnowControlHost(host, ZoneId());
+    this->AddControlHost(host, ZoneId());
   }
 }
 
 // The zone is empty where the teller does not know it.
 void
-ControlHost::Impl::KnowControlHost(const HostId& aHost, const ZoneId& aZone)
+ControlHost::Impl::AddControlHost(const HostId& aHost, const ZoneId& aZone)
 {
-  if (!this->roster.AddControlHost(aHost, aZone)) {
+  if (!this->hosts.AddControlHost(aHost, aZone)) {
     return;
   }
   LogEvent(LogLevel::Info, "control_host_learnt").With("peer", aHost);
-  this->group.KnowHost(aHost);
+  this->group.AddDiscoveredHost(aHost);
   this->mesh.Dial(aHost);
 }
 
 void
 ControlHost::Impl::Stop()
 {
-  this->group.HandOver();
-  const auto last = std::make_shared<asio::steady_timer>(this->loop, kHandoverTime);
+  this->group.TransferLeadership();
+  const auto last = std::make_shared<asio::steady_timer>(this->loop, kLeadershipTransferTime);
   last->async_wait([this, last](const IoError&) {
     this->mesh.Stop();
     this->loop.stop();
--- a/src/program/OperatorCalls.cpp
+++ b/src/program/OperatorCalls.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr const char* kOperatorKeyVariable = "DAMASKLINK_OPERATOR_KEY";
-constexpr ByteCount kMostAnswer{ 64 * kMebibyte };
+constexpr ByteCount kMaxAnswer{ 64 * kMebibyte };
 constexpr Duration kAnswerTimeout = std::chrono::seconds(5);
 constexpr int kStatusOk = 200;
 constexpr int kStatusUnauthenticated = 401;
 
 std::vector<Endpoint>
-HostsNamed(const std::vector<std::string>& aAddresses)
+ParseHosts(const std::vector<std::string>& aAddresses)
 {
   std::vector<Endpoint> hosts;
   for (const std::string& address : aAddresses) {
@@ -29,7 +29,7 @@
 }
 
 std::string
-KeyOfFile(const std::string& aFile)
+ReadKeyFile(const std::string& aFile)
 {
   auto text = ReadWholeFile(aFile);
   if (!text) {
@@ -39,7 +39,7 @@
 }
 
 std::string
-KeyOfEnvironment()
+KeyFromEnvironment()
 {
   // Subcommands that call hosts run on one thread, so nobody changes the environment meanwhile.
   // NOLINTNEXTLINE(concurrency-mt-unsafe)
@@ -48,7 +48,7 @@
 }
 
 std::vector<Endpoint>
-HostsOfSettings(const std::string& aFile)
+HostsFromSettings(const std::string& aFile)
 {
   const auto parsed = LoadHostSettings(aFile);
   if (!parsed.Ok()) {
@@ -69,10 +69,10 @@
   const std::vector<std::string>& hosts = aArguments.at("--host").asStringList();
   const std::string settings = TextOf(aArguments, "--settings");
   if (!hosts.empty()) {
-    return HostsNamed(hosts);
+    return ParseHosts(hosts);
   }
   if (!settings.empty()) {
-    return HostsOfSettings(settings);
+    return HostsFromSettings(settings);
   }
   throw WrongUseError("no host was named; give --settings or --host");
 }
@@ -81,7 +81,7 @@
 OperatorKey(const Arguments& aArguments)
 {
   const std::string file = TextOf(aArguments, "--key-file");
-  std::string key = file.empty() ? KeyOfEnvironment() : KeyOfFile(file);
+  std::string key = file.empty() ? KeyFromEnvironment() : ReadKeyFile(file);
   key.erase(key.find_last_not_of("\r\n ") + 1);
   if (key.empty()) {
     throw WrongUseError(Concat("no operator key; set ", kOperatorKeyVariable, " or --key-file"));
@@ -99,7 +99,7 @@
   call.headers = { { "authorization", Concat("Bearer ", aCall.key) } };
   call.body = aCall.body;
   call.readTimeout = kAnswerTimeout;
-  auto answer = CallHttp(std::move(call), kMostAnswer);
+  auto answer = CallHttp(std::move(call), kMaxAnswer);
   if (!answer) {
     return Fail(ErrorKind::Unavailable, answer.error().message, answer.error().remedy);
   }
--- a/src/program/RefusalDesk.cpp
+++ b/src/program/RefusalProposer.cpp
@@ -1,4 +1,4 @@
-#include "RefusalDesk.h"
+#include "RefusalProposer.h"
 
 #include "damasklink/transport/Log.h"
 
@@ -24,7 +24,7 @@
 } // namespace
 
 void
-RefusalDesk::Step()
+RefusalProposer::Step()
 {
   this->ledger.SetRefused(this->group.State().Refused());
   if (this->committing || !this->group.HoldsLease()) {
@@ -44,11 +44,11 @@
 }
 
 Awaitable<void>
-RefusalDesk::Commit(std::vector<ServingCommand> aCommands)
+RefusalProposer::Commit(std::vector<ServingCommand> aCommands)
 {
   for (const ServingCommand& command : aCommands) {
-    const auto standing = co_await this->group.Commit(command);
-    LogCommand(command, standing.has_value());
+    const auto result = co_await this->group.Commit(command);
+    LogCommand(command, result.has_value());
   }
   this->committing = false;
 }
--- a/src/program/RefusalDesk.h
+++ b/src/program/RefusalProposer.h
@@ -9,11 +9,11 @@
 namespace damasklink {
 
 // The leader proposes what the ledger finds. Not thread-safe.
-class RefusalDesk
+class RefusalProposer
 {
 public:
   // Requires that all outlive the loop's work.
-  RefusalDesk(asio::io_context& aLoop, ServingGroup& aGroup, CrashLedger& aLedger)
+  RefusalProposer(asio::io_context& aLoop, ServingGroup& aGroup, CrashLedger& aLedger)
     : loop(aLoop)
     , group(aGroup)
     , ledger(aLedger)
--- a/src/program/WeightsDesk.cpp
+++ b/src/program/RolloutExecutor.cpp
@@ -1,4 +1,4 @@
-#include "WeightsDesk.h"
+#include "RolloutExecutor.h"
 
 #include <utility>
 
@@ -9,17 +9,17 @@
 namespace {
 
 // Engines answer reports and orders at once; one that does not is asked again.
-constexpr Duration kCallPatience = std::chrono::milliseconds(800);
+constexpr Duration kCallTimeout = std::chrono::milliseconds(800);
 
-constexpr std::size_t kMostAnswerBytes = std::size_t{ 1 } * 1024 * 1024;
+constexpr std::size_t kMaxAnswerBytes = std::size_t{ 1 } * 1024 * 1024;
 
 } // namespace
 
-WeightsDesk::WeightsDesk(asio::io_context& aLoop,
-                         const Clock& aClock,
-                         const EngineDialect& aDialect,
-                         RolloutOptions aOptions,
-                         std::function<OrderAuthority()> aAuthority)
+RolloutExecutor::RolloutExecutor(asio::io_context& aLoop,
+                                 const Clock& aClock,
+                                 const EngineDialect& aDialect,
+                                 RolloutOptions aOptions,
+                                 std::function<OrderAuthority()> aAuthority)
   : loop(aLoop)
   , clock(aClock)
   , dialect(aDialect)
@@ -29,11 +29,11 @@
 }
 
 void
-WeightsDesk::Step(const std::map<ModelName, std::uint64_t>& aWished,
-                  const std::vector<TargetRecord>& aEngines)
+RolloutExecutor::Step(const std::map<ModelName, std::uint64_t>& aDesired,
+                      const std::vector<TargetRecord>& aEngines)
 {
   const bool leaseHeld = this->authority().leaseHeld;
-  for (RolloutAction& action : this->rollout.Plan(leaseHeld, aWished, aEngines)) {
+  for (RolloutAction& action : this->rollout.Plan(leaseHeld, aDesired, aEngines)) {
     if (auto* read = std::get_if<ReadEngine>(&action)) {
       asio::co_spawn(this->loop, this->Read(std::move(*read)), asio::detached);
     } else {
@@ -44,7 +44,7 @@
 }
 
 Awaitable<void>
-WeightsDesk::Read(ReadEngine aEngine)
+RolloutExecutor::Read(ReadEngine aEngine)
 {
   auto answer = co_await this->Call(aEngine.endpoint, this->dialect.ReportQuestion(aEngine));
   std::optional<EngineReport> report;
@@ -62,7 +62,7 @@
 }
 
 Awaitable<void>
-WeightsDesk::Order(OrderWeights aOrder)
+RolloutExecutor::Order(OrderWeights aOrder)
 {
   const OrderAuthority now = this->authority();
   if (!now.leaseHeld) {
@@ -82,12 +82,12 @@
 }
 
 Awaitable<Result<HttpAnswerMessage>>
-WeightsDesk::Call(Endpoint aEndpoint, HttpRequestMessage aMessage)
+RolloutExecutor::Call(Endpoint aEndpoint, HttpRequestMessage aMessage)
 {
   TargetChannel channel(this->loop.get_executor(), this->clock);
   Watchdog watchdog(this->loop.get_executor(), [&channel] { channel.Close(); });
-  watchdog.Arm(kCallPatience);
-  auto connected = co_await channel.Connect(aEndpoint, kCallPatience);
+  watchdog.Arm(kCallTimeout);
+  auto connected = co_await channel.Connect(aEndpoint, kCallTimeout);
   if (!connected) {
     co_return Fail(connected.error());
   }
@@ -98,7 +98,7 @@
   if (!head) {
     co_return Fail(head.error());
   }
-  auto body = co_await channel.ReadRest(kMostAnswerBytes);
+  auto body = co_await channel.ReadRest(kMaxAnswerBytes);
   if (!body) {
     co_return Fail(body.error());
   }
--- a/src/program/WeightsDesk.h
+++ b/src/program/RolloutExecutor.h
@@ -21,18 +21,18 @@
   FencingNumber fencing;
 };
 
-class WeightsDesk
+class RolloutExecutor
 {
 public:
   // aAuthority is asked again just before an order leaves.
-  WeightsDesk(asio::io_context& aLoop,
-              const Clock& aClock,
-              const EngineDialect& aDialect,
-              RolloutOptions aOptions,
-              std::function<OrderAuthority()> aAuthority);
+  RolloutExecutor(asio::io_context& aLoop,
+                  const Clock& aClock,
+                  const EngineDialect& aDialect,
+                  RolloutOptions aOptions,
+                  std::function<OrderAuthority()> aAuthority);
 
   // Requires to be called several times a second.
-  void Step(const std::map<ModelName, std::uint64_t>& aWished,
+  void Step(const std::map<ModelName, std::uint64_t>& aDesired,
             const std::vector<TargetRecord>& aEngines);
 
   const WeightRollout& Rollout() const { return this->rollout; }
--- a/src/program/ServingGroup.cpp
+++ b/src/program/ServingGroup.cpp
@@ -15,13 +15,13 @@
                                      std::chrono::milliseconds(1400) };
 
 // Voters: five bear two lost at once, three bear one. Odd, since an even one more bears no more.
-constexpr std::size_t kMostVoters = 5;
+constexpr std::size_t kMaxVoters = 5;
 
 // How long an operator's call waits for its commitment: operators move on after a second.
-constexpr Duration kCommitPatience = std::chrono::milliseconds(2500);
+constexpr Duration kCommitTimeout = std::chrono::milliseconds(2500);
 
 // Between two attempts at a disk that refused a write: a full disk is full for seconds.
-constexpr Duration kDiskPause = std::chrono::seconds(1);
+constexpr Duration kDiskRetryDelay = std::chrono::seconds(1);
 
 std::vector<PeerSettings>
 DiskHosts(const std::vector<HostId>& aHosts)
@@ -84,8 +84,8 @@
     { ControlGroupId() },
     kServingTiming,
     this->settings.firstStart,
-    kMostVoters,
-    kDiskPause,
+    kMaxVoters,
+    kDiskRetryDelay,
   };
 }
 
@@ -98,7 +98,7 @@
     return opened;
   }
   LogEvent(LogLevel::Warning, "data_folder_waits").With("error", opened.error());
-  this->nextOpening = this->clock.MonotonicNow() + kDiskPause;
+  this->nextOpening = this->clock.MonotonicNow() + kDiskRetryDelay;
   return Success();
 }
 
@@ -124,7 +124,7 @@
   this->agreement.Propose(ControlGroupId(),
                           StateMachineId::Serving,
                           EncodeServingCommand(aCommand),
-                          kCommitPatience,
+                          kCommitTimeout,
                           [answered](Result<std::string> aResult) {
                             answered->result = std::move(aResult);
                             answered->wake.cancel();
@@ -136,13 +136,13 @@
   if (!*answered->result) {
     co_return Fail(answered->result->error());
   }
-  auto standing = DecodeServingCommandResult(answered->result->value());
-  if (standing && !standing.value().understood) {
+  auto result = DecodeServingCommandResult(answered->result->value());
+  if (result && !result.value().understood) {
     co_return Fail(ErrorKind::Internal,
                    "the replicated log did not understand the command",
                    "run the same program version on all control hosts");
   }
-  co_return standing;
+  co_return result;
 }
 
 void
@@ -153,14 +153,14 @@
 }
 
 void
-ServingGroup::HandOver()
+ServingGroup::TransferLeadership()
 {
   this->agreement.OnShutdown();
   this->Step();
 }
 
 const GroupReplica*
-ServingGroup::Working() const
+ServingGroup::WorkingReplica() const
 {
   const GroupReplica* replica = this->agreement.ReplicaOf(ControlGroupId());
   return replica == nullptr || replica->Failure() ? nullptr : replica;
@@ -169,14 +169,14 @@
 bool
 ServingGroup::HoldsLease() const
 {
-  const GroupReplica* replica = this->Working();
+  const GroupReplica* replica = this->WorkingReplica();
   return replica != nullptr && replica->Core().LeaseHeld();
 }
 
 bool
-ServingGroup::HearsLeader() const
+ServingGroup::HasRecentLeader() const
 {
-  const GroupReplica* replica = this->Working();
+  const GroupReplica* replica = this->WorkingReplica();
   return replica != nullptr && replica->Core().HasRecentLeader();
 }
 
@@ -201,7 +201,7 @@
 OrderAuthority
 ServingGroup::Authority() const
 {
-  const GroupReplica* replica = this->Working();
+  const GroupReplica* replica = this->WorkingReplica();
   if (replica == nullptr) {
     return OrderAuthority{};
   }
--- a/src/program/ServingGroup.h
+++ b/src/program/ServingGroup.h
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "AgreementModule.h"
-#include "WeightsDesk.h"
+#include "RolloutExecutor.h"
 #include "damasklink/coordination/ServingStateMachine.h"
 #include "damasklink/state/ServingSettings.h"
 #include "damasklink/transport/EventLoop.h"
@@ -38,16 +38,16 @@
   const ServingStateMachine& State() const { return this->machine; }
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage);
-  void KnowHost(const HostId& aHost) { this->agreement.KnowHost(aHost); }
+  void AddDiscoveredHost(const HostId& aHost) { this->agreement.KnowHost(aHost); }
 
   // Gives up leadership, because the process stops.
-  void HandOver();
+  void TransferLeadership();
 
   // Whether this host leads and no other can meanwhile.
   bool HoldsLease() const;
 
   // Whether a leader was heard lately: else this host may be cut off.
-  bool HearsLeader() const;
+  bool HasRecentLeader() const;
 
   // Whether this host may order now, and as which holder.
   OrderAuthority Authority() const;
@@ -63,7 +63,7 @@
   struct Answered;
 
   AgreementSetup Setup(Metrics& aMetrics, PeerSender& aPeers);
-  const GroupReplica* Working() const;
+  const GroupReplica* WorkingReplica() const;
 
   asio::io_context& loop;
   const Clock& clock;
--- /dev/null
+++ b/src/program/ServingUpdatePublisher.cpp
@@ -0,0 +1,389 @@
+#include "ServingUpdatePublisher.h"
+
+#include <utility>
+
+#include "damasklink/protocol/ServingCodec.h"
+#include "damasklink/transport/Log.h"
+
+namespace damasklink {
+namespace {
+
+// Between two urgent tellings of totals. Reading a prompt that is urgent to tell takes longer or
+// about as long, so a word that waits this long is still of use.
+constexpr Duration kMinUrgentInterval = std::chrono::milliseconds(10);
+
+// From the start of a control host until it knows the entry hosts of the others. Before that it
+// would divide limits among the few that it knows, beside what the other control hosts give to
+// theirs.
+constexpr Duration kRegistrySettleTime = std::chrono::milliseconds(1000);
+
+bool
+HasAnything(const LoadReport& aReport)
+{
+  return !aReport.sends.empty() || !aReport.excesses.empty() || !aReport.findings.empty() ||
+         !aReport.crashes.empty() || !aReport.sound.empty() || !aReport.limitReports.empty() ||
+         aReport.limits;
+}
+
+} // namespace
+
+ServingUpdatePublisher::ServingUpdatePublisher(const Clock& aClock,
+                                               const ServingSettings& aSettings,
+                                               const ServingGroup& aGroup,
+                                               const StoreWatcher& aStores,
+                                               TargetTracker& aTracker,
+                                               HostRegistry& aHosts,
+                                               CrashLedger& aCrashes,
+                                               PeerMesh& aMesh,
+                                               WorkAccount& aAccount)
+  : clock(aClock)
+  , settings(aSettings)
+  , group(aGroup)
+  , stores(aStores)
+  , tracker(aTracker)
+  , hosts(aHosts)
+  , crashes(aCrashes)
+  , mesh(aMesh)
+  , account(aAccount)
+  , startedAt(aClock.MonotonicNow())
+{
+}
+
+void
+ServingUpdatePublisher::PublishChanges()
+{
+  const WorkTimer timer(this->account, Work::Pictures);
+  ServingUpdate changes = this->MakeBaseUpdate();
+  changes.targets = this->tracker.TakeChanges();
+  changes.entryHosts = this->hosts.CountEntryHosts();
+  const bool named = this->hosts.TakeControlHostsChanged();
+  if (named) {
+    changes.controlHosts = this->hosts.AllControlHosts();
+  }
+  CrashingRequests crashing = this->crashes.Verdicts();
+  const bool crashingChanged = crashing != this->publishedCrashing;
+  if (crashingChanged) {
+    this->publishedCrashing = crashing;
+    changes.crashing = std::move(crashing);
+  }
+  const bool standingChanged = named || crashingChanged ||
+                               changes.entryHosts != this->publishedEntryHosts ||
+                               changes.isolated != this->publishedIsolated;
+  if (standingChanged || !changes.targets.empty()) {
+    this->publishedEntryHosts = changes.entryHosts;
+    this->publishedIsolated = changes.isolated;
+    this->SendToEntryHosts(Work::Pictures, changes);
+  }
+  if (this->hosts.TakeEntryHostsChanged()) {
+    this->SendToControlHosts(Work::Hosts, this->hosts.MakeEntryHostList());
+  }
+  ServingUpdate report;
+  report.targets = this->tracker.TakeDirectUpdates();
+  if (!report.targets.empty()) {
+    this->SendToControlHosts(Work::Pictures, report);
+  }
+}
+
+// What stands in every tracker.
+ServingUpdate
+ServingUpdatePublisher::MakeBaseUpdate() const
+{
+  ServingUpdate bare;
+  bare.documentVersion = this->group.State().Version();
+  bare.isolated = !this->group.HasRecentLeader();
+  return bare;
+}
+
+ServingUpdate
+ServingUpdatePublisher::MakeStateUpdate() const
+{
+  ServingUpdate base = this->MakeBaseUpdate();
+  base.weights = this->group.State().Weights();
+  base.entryHosts = this->hosts.CountEntryHosts();
+  base.controlHosts = this->hosts.AllControlHosts();
+  base.crashing = this->publishedCrashing;
+  base.evacuated = this->group.State().Evacuated().Current();
+  return base;
+}
+
+// The version alone: whoever does not hold the document asks one of those that announce it. Weights
+// go along when they have changed, not with each configuration.
+void
+ServingUpdatePublisher::PublishGroupState()
+{
+  const WorkTimer timer(this->account, Work::Pictures);
+  this->document.Publish(this->group.State().Version(), this->group.State().Document());
+  ServingUpdate standing = this->MakeBaseUpdate();
+  if (this->publishedWeights != this->group.State().Weights()) {
+    this->publishedWeights = this->group.State().Weights();
+    standing.weights = this->publishedWeights;
+  }
+  EvacuatedZones evacuated = this->group.State().Evacuated().Current();
+  if (this->publishedEvacuated != evacuated) {
+    this->publishedEvacuated = std::move(evacuated);
+    standing.evacuated = this->publishedEvacuated;
+  }
+  this->SendToEntryHosts(Work::Pictures, standing);
+}
+
+void
+ServingUpdatePublisher::Answer(const HostId& aEntryHost, const DocumentRequest& aRequest)
+{
+  this->document.Publish(this->group.State().Version(), this->group.State().Document());
+  if (const std::optional<DocumentChunk> piece = this->document.Answer(aRequest)) {
+    this->EncodeAndSend(Work::Documents, aEntryHost, *piece);
+  }
+}
+
+void
+ServingUpdatePublisher::PublishStores(const std::vector<StoreUpdate>& aStatements)
+{
+  const WorkTimer timer(this->account, Work::StoredParts);
+  ServingUpdate told = this->MakeBaseUpdate();
+  told.stores = aStatements;
+  this->SendToReportingHosts(Work::StoredParts, told);
+}
+
+void
+ServingUpdatePublisher::SendGreeting(const HostId& aPeer)
+{
+  Greeting greeting{ HostRole::Control, this->settings.zone, {} };
+  greeting.controlHosts = this->hosts.AllControlHosts();
+  this->EncodeAndSend(Work::Hosts, aPeer, greeting);
+  // Since what was told on an earlier connection may be lost.
+  this->SendAllTargets(aPeer);
+  this->EncodeAndSend(Work::Hosts, aPeer, this->hosts.MakeEntryHostList());
+  this->SendAllReports(aPeer);
+}
+
+void
+ServingUpdatePublisher::SendAllReports(const HostId& aControlHost)
+{
+  LoadReport report;
+  report.host = this->settings.host;
+  report.crashes = this->crashes.All();
+  report.limitReports = this->limits.All();
+  if (HasAnything(report)) {
+    this->EncodeAndSend(Work::Loads, aControlHost, report);
+  }
+}
+
+void
+ServingUpdatePublisher::SendSnapshot(const HostId& aEntryHost)
+{
+  // Targets first: a host that knows a configuration takes calls.
+  this->SendAllTargets(aEntryHost);
+  this->EncodeAndSend(Work::Pictures, aEntryHost, this->MakeStateUpdate());
+}
+
+// Heartbeats that said nothing new may be missing in it: the next change makes it anew.
+void
+ServingUpdatePublisher::SendAllTargets(const HostId& aHost)
+{
+  const WorkTimer timer(this->account, Work::Pictures);
+  const ServingUpdate base = this->MakeBaseUpdate();
+  const std::uint64_t revision = this->tracker.ChangeCount();
+  const bool current = base == this->allTargetsBase && revision == this->allTargetsRevision;
+  if (!current || this->allTargets.empty()) {
+    ServingUpdate all = base;
+    all.targets = this->tracker.All();
+    this->allTargets = EncodePacked(all);
+    this->allTargetsBase = base;
+    this->allTargetsRevision = revision;
+  }
+  this->Send(Work::Pictures, aHost, this->allTargets);
+}
+
+// An entry host that tells this control host what it has hears of stored parts from it alone: they
+// change a thousand times a second, and each further word of it goes between zones.
+void
+ServingUpdatePublisher::SendAllStores(const HostId& aEntryHost)
+{
+  const WorkTimer timer(this->account, Work::StoredParts);
+  ServingUpdate told = this->MakeBaseUpdate();
+  told.stores = this->stores.All();
+  this->EncodeAndSend(Work::StoredParts, aEntryHost, told);
+}
+
+void
+ServingUpdatePublisher::OnLoadReport(const HostId& aFrom, const LoadReport& aReport)
+{
+  const MonotonicTime now = this->clock.MonotonicNow();
+  const bool fromOwnHost = this->hosts.EntryHosts().contains(aFrom);
+  this->AddCrashes(aReport, fromOwnHost);
+  this->AddLimitReports(aReport, fromOwnHost);
+  if (!fromOwnHost) {
+    this->sends.UpdatePeerSum(aReport, now);
+  } else {
+    const bool known = this->sends.Publishers().contains(aFrom);
+    this->sends.Update(aReport, now);
+    if (!known && this->sends.Publishers().contains(aFrom)) {
+      this->SendAllStores(aFrom);
+      LoadReport totals = this->sends.AllTotals(this->settings.host);
+      totals.limits = this->LimitShares();
+      this->EncodeAndSend(Work::Totals, aFrom, totals);
+    }
+  }
+  if (aReport.urgent) {
+    this->OnUrgentReport(fromOwnHost);
+  }
+}
+
+void
+ServingUpdatePublisher::AddCrashes(const LoadReport& aReport, bool aFromOwnHost)
+{
+  this->crashes.Add(aReport.crashes);
+  this->crashes.AddSuccessfulRuns(aReport.sound);
+  if (aFromOwnHost) {
+    this->unpublishedCrashes.insert(
+      this->unpublishedCrashes.end(), aReport.crashes.begin(), aReport.crashes.end());
+    this->unpublishedSuccesses.insert(
+      this->unpublishedSuccesses.end(), aReport.sound.begin(), aReport.sound.end());
+  }
+}
+
+void
+ServingUpdatePublisher::AddLimitReports(const LoadReport& aReport, bool aFromOwnHost)
+{
+  this->limits.Update(aReport.limitReports);
+  if (aFromOwnHost) {
+    this->unpublishedLimits.insert(
+      this->unpublishedLimits.end(), aReport.limitReports.begin(), aReport.limitReports.end());
+  }
+}
+
+std::vector<TargetLimit>
+ServingUpdatePublisher::LimitShares() const
+{
+  const bool gathers = this->clock.MonotonicNow() - this->startedAt < kRegistrySettleTime;
+  return this->limits.Shares(gathers ? std::set<HostId>() : this->recentHosts.All());
+}
+
+// Tells the shares of all limits where any has changed: limits, targets or entry hosts.
+void
+ServingUpdatePublisher::PublishLimits()
+{
+  const MonotonicTime now = this->clock.MonotonicNow();
+  this->recentHosts.Update(this->hosts.AllEntryHosts(), now);
+  for (const ColdTarget& cold : this->tracker.TakeColdTargets()) {
+    this->limits.UpdateColdTarget(cold, now);
+  }
+  this->limits.RemoveWarmTargets(now);
+  if (this->limits.IsEmpty() && this->publishedLimits.empty()) {
+    return;
+  }
+  this->limits.KeepOnly([this](const TargetId& aTarget, Incarnation aIncarnation) {
+    const TargetRecord* record = this->tracker.Registry().Find(aTarget);
+    return record != nullptr && !record->leaving && record->incarnation <= aIncarnation;
+  });
+  std::vector<TargetLimit> shares = this->LimitShares();
+  if (shares == this->publishedLimits) {
+    return;
+  }
+  this->publishedLimits = std::move(shares);
+  for (const TargetLimit& limit : this->publishedLimits) {
+    LogEvent(LogLevel::Info, "target_limit_shared")
+      .With("target", limit.target)
+      .With("incarnation", limit.incarnation)
+      .With("limit_per_second", limit.limit.value_or(RequestRate()).perSecond)
+      .With("cold_ms", WholeMilliseconds(limit.coldFor))
+      .With("hosts", limit.hosts.size())
+      .With("share_per_second", limit.share.perSecond);
+  }
+  LoadReport report;
+  report.host = this->settings.host;
+  report.limits = this->publishedLimits;
+  const std::string payload = EncodePacked(report);
+  for (const HostId& host : this->sends.Publishers()) {
+    this->Send(Work::Totals, host, payload);
+  }
+}
+
+// Tells at once, unless entry hosts were told just now: with hundreds of them, one sends a long
+// prompt every few milliseconds, and each telling goes to all.
+void
+ServingUpdatePublisher::OnUrgentReport(bool aFromOwnHosts)
+{
+  this->urgentPending = true;
+  this->ownUrgentPending = this->ownUrgentPending || aFromOwnHosts;
+  if (this->clock.MonotonicNow() - this->totalsPublishedAt < kMinUrgentInterval) {
+    return;
+  }
+  if (this->ownUrgentPending) {
+    this->PublishLoads();
+  } else {
+    this->PublishTotals();
+  }
+}
+
+void
+ServingUpdatePublisher::PublishLoads()
+{
+  const WorkTimer timer(this->account, Work::Loads);
+  this->sends.RemovePeersSilentSince(this->clock.MonotonicNow() - SendsSum::kSilenceLimit);
+  LoadReport own = this->sends.TakeChanges(this->settings.host);
+  own.urgent = std::exchange(this->ownUrgentPending, false);
+  own.crashes = std::exchange(this->unpublishedCrashes, {});
+  own.sound = std::exchange(this->unpublishedSuccesses, {});
+  own.limitReports = std::exchange(this->unpublishedLimits, {});
+  if (HasAnything(own)) {
+    this->SendToControlHosts(Work::Loads, own);
+  }
+  this->PublishLimits();
+  this->PublishTotals();
+}
+
+void
+ServingUpdatePublisher::PublishTotals()
+{
+  const WorkTimer timer(this->account, Work::Totals);
+  this->urgentPending = this->ownUrgentPending;
+  this->totalsPublishedAt = this->clock.MonotonicNow();
+  const LoadReport totals = this->sends.TakeTotals(this->settings.host);
+  if (HasAnything(totals)) {
+    this->SendToReportingHosts(Work::Totals, totals);
+  }
+}
+
+void
+ServingUpdatePublisher::EncodeAndSend(Work aWork, const HostId& aTo, const ServingMessage& aMessage)
+{
+  this->Send(aWork, aTo, EncodeServingMessage(aMessage));
+}
+
+// Many hosts get the same bytes, in this and the next two: they are encoded once.
+void
+ServingUpdatePublisher::SendToEntryHosts(Work aWork, const ServingMessage& aMessage)
+{
+  const std::string payload = EncodePacked(aMessage);
+  for (const HostId& host : this->hosts.EntryHosts()) {
+    this->Send(aWork, host, payload);
+  }
+}
+
+void
+ServingUpdatePublisher::SendToControlHosts(Work aWork, const ServingMessage& aMessage)
+{
+  const std::string payload = EncodePacked(aMessage);
+  for (const auto& [host, zone] : this->hosts.ControlHosts()) {
+    this->Send(aWork, host, payload);
+  }
+}
+
+void
+ServingUpdatePublisher::SendToReportingHosts(Work aWork, const ServingMessage& aMessage)
+{
+  const std::string payload = EncodeServingMessage(aMessage);
+  for (const HostId& host : this->sends.Publishers()) {
+    this->Send(aWork, host, payload);
+  }
+}
+
+void
+ServingUpdatePublisher::Send(Work aWork, const HostId& aTo, std::string aPayload)
+{
+  this->account.NoteSent(aWork, aPayload.size());
+  this->mesh.Send(aTo, PeerMessage{ Channel::Serving, GroupId(), std::move(aPayload) });
+}
+
+} // namespace damasklink
--- a/src/program/ControlPicture.cpp
+++ b/src/program/TargetTracker.cpp
@@ -1,4 +1,4 @@
-#include "ControlPicture.h"
+#include "TargetTracker.h"
 
 #include <algorithm>
 #include <iterator>
@@ -9,13 +9,13 @@
 
 namespace damasklink {
 
-ControlPicture::ControlPicture(const Clock& aClock, Duration aSilence)
+TargetTracker::TargetTracker(const Clock& aClock, Duration aSilence)
   : registry(aClock, aSilence)
 {
 }
 
 bool
-ControlPicture::Hear(const TargetRecord& aRecord)
+TargetTracker::OnHeartbeat(const TargetRecord& aRecord)
 {
   const TargetRecord* known = this->registry.Find(aRecord.id);
   const bool itsService = known != nullptr && known->service == aRecord.service;
@@ -29,45 +29,45 @@
 }
 
 void
-ControlPicture::HearSecondHand(const TargetRecord& aRecord)
+TargetTracker::OnRelayedRecord(const TargetRecord& aRecord)
 {
   this->Merge(aRecord);
 }
 
 bool
-ControlPicture::Merge(const TargetRecord& aRecord)
+TargetTracker::Merge(const TargetRecord& aRecord)
 {
   const bool isNews = this->registry.Merge(aRecord);
   if (isNews) {
     this->touched.insert(aRecord.id);
-    this->NoteCold(aRecord, aRecord.coldFor);
+    this->AddColdTarget(aRecord, aRecord.coldFor);
   }
   return isNews;
 }
 
 void
-ControlPicture::NoteCold(const TargetRecord& aRecord, Duration aColdFor)
+TargetTracker::AddColdTarget(const TargetRecord& aRecord, Duration aColdFor)
 {
-  const auto traits = this->coldTraits.find(aRecord.service);
-  if (aColdFor > Duration::zero() && traits != this->coldTraits.end()) {
+  const auto traits = this->coldStartSpecs.find(aRecord.service);
+  if (aColdFor > Duration::zero() && traits != this->coldStartSpecs.end()) {
     this->cold.push_back(
       ColdTarget{ aRecord.id, aRecord.incarnation, aColdFor, traits->second.rate });
   }
 }
 
 void
-ControlPicture::OnZoneReturned(const ZoneId& aZone)
+TargetTracker::OnZoneReturned(const ZoneId& aZone)
 {
   for (const TargetRecord& record : this->registry.All()) {
-    const auto traits = this->coldTraits.find(record.service);
-    if (record.zone == aZone && traits != this->coldTraits.end()) {
-      this->NoteCold(record, traits->second.lasts);
+    const auto traits = this->coldStartSpecs.find(record.service);
+    if (record.zone == aZone && traits != this->coldStartSpecs.end()) {
+      this->AddColdTarget(record, traits->second.lasts);
     }
   }
 }
 
 void
-ControlPicture::Depart(const TargetId& aTarget, Incarnation aIncarnation)
+TargetTracker::OnDeparture(const TargetId& aTarget, Incarnation aIncarnation)
 {
   TargetRecord record;
   record.incarnation = aIncarnation;
@@ -89,7 +89,7 @@
 }
 
 TargetUpdate
-ControlPicture::StatementOn(const TargetRecord& aRecord) const
+TargetTracker::MakeTargetUpdate(const TargetRecord& aRecord) const
 {
   TargetUpdate statement;
   statement.record = aRecord;
@@ -109,7 +109,7 @@
 }
 
 void
-ControlPicture::FindChanges()
+TargetTracker::FindChanges()
 {
   for (TargetId& target : this->registry.TakeUsabilityChanges()) {
     this->touched.insert(std::move(target));
@@ -119,8 +119,8 @@
     if (record == nullptr) {
       continue;
     }
-    TargetUpdate statement = this->StatementOn(*record);
-    TargetUpdate& before = this->stated[target];
+    TargetUpdate statement = this->MakeTargetUpdate(*record);
+    TargetUpdate& before = this->published[target];
     // A heartbeat that says the same again is no news to an entry host.
     before.record.sequence = record->sequence;
     before.record.load = record->load;
@@ -135,46 +135,46 @@
       .With("paused", statement.paused)
       .With("sequence", record->sequence);
     before = std::move(statement);
-    this->untold.insert(target);
+    this->unpublished.insert(target);
     ++this->changeCount;
     this->enginesListed = false;
   }
 }
 
 std::vector<TargetUpdate>
-ControlPicture::TakeChanges()
+TargetTracker::TakeChanges()
 {
   this->FindChanges();
   std::vector<TargetUpdate> changes;
-  for (const TargetId& target : std::exchange(this->untold, {})) {
-    changes.push_back(this->stated.at(target));
+  for (const TargetId& target : std::exchange(this->unpublished, {})) {
+    changes.push_back(this->published.at(target));
   }
   return changes;
 }
 
 std::uint64_t
-ControlPicture::ChangeCount()
+TargetTracker::ChangeCount()
 {
   this->FindChanges();
   return this->changeCount;
 }
 
 const std::vector<TargetRecord>&
-ControlPicture::UsableEngines()
+TargetTracker::UsableEngines()
 {
   this->ListEngines();
   return this->usableEngines;
 }
 
 const std::vector<TargetRecord>&
-ControlPicture::RemainingEngines()
+TargetTracker::RemainingEngines()
 {
   this->ListEngines();
   return this->remainingEngines;
 }
 
 void
-ControlPicture::ListEngines()
+TargetTracker::ListEngines()
 {
   this->FindChanges();
   if (std::exchange(this->enginesListed, true)) {
@@ -182,7 +182,7 @@
   }
   this->usableEngines.clear();
   this->remainingEngines.clear();
-  for (const auto& [target, statement] : this->stated) {
+  for (const auto& [target, statement] : this->published) {
     if (statement.record.kind != TargetKind::Engine) {
       continue;
     }
@@ -196,7 +196,7 @@
 }
 
 void
-ControlPicture::SetPaused(std::set<TargetId> aTargets)
+TargetTracker::SetPaused(std::set<TargetId> aTargets)
 {
   std::set_symmetric_difference(this->paused.begin(),
                                 this->paused.end(),
@@ -207,7 +207,7 @@
 }
 
 void
-ControlPicture::SetReported(
+TargetTracker::SetReportedWeights(
   const std::map<std::pair<TargetId, ModelName>, std::uint64_t>& aReported)
 {
   if (aReported == this->reported) {
@@ -224,21 +224,21 @@
 }
 
 std::vector<TargetUpdate>
-ControlPicture::TakeNews()
+TargetTracker::TakeDirectUpdates()
 {
   std::vector<TargetUpdate> statements;
   for (const auto& [id, record] : std::exchange(this->news, {})) {
-    statements.push_back(this->StatementOn(record));
+    statements.push_back(this->MakeTargetUpdate(record));
   }
   return statements;
 }
 
 std::vector<TargetUpdate>
-ControlPicture::All() const
+TargetTracker::All() const
 {
   std::vector<TargetUpdate> statements;
   for (const TargetRecord& record : this->registry.All()) {
-    statements.push_back(this->StatementOn(record));
+    statements.push_back(this->MakeTargetUpdate(record));
   }
   return statements;
 }
--- a/src/program/ControlPicture.h
+++ b/src/program/TargetTracker.h
@@ -17,32 +17,32 @@
 // Hears the targets, directly or through other control hosts, and finds what has changed for entry
 // hosts. Not thread-safe.
 //
-//   ControlPicture picture(clock, silence);
-//   picture.Hear(record);                  // From the target.
-//   picture.HearSecondHand(record);        // From another control host.
-//   picture.TakeChanges();                 // For entry hosts.
-//   picture.TakeNews();                    // For other control hosts.
-class ControlPicture
+//   TargetTracker tracker(clock, silence);
+//   tracker.OnHeartbeat(record);                  // From the target.
+//   tracker.OnRelayedRecord(record);        // From another control host.
+//   tracker.TakeChanges();                 // For entry hosts.
+//   tracker.TakeDirectUpdates();                    // For other control hosts.
+class TargetTracker
 {
 public:
-  ControlPicture(const Clock& aClock, Duration aSilence);
+  TargetTracker(const Clock& aClock, Duration aSilence);
 
   // Returns false, and takes no note, when the target names a service that the configuration does
   // not: the writer is not one of the deployment's targets, and may bear the id of one.
-  bool Hear(const TargetRecord& aRecord);
-  void HearSecondHand(const TargetRecord& aRecord);
+  bool OnHeartbeat(const TargetRecord& aRecord);
+  void OnRelayedRecord(const TargetRecord& aRecord);
 
   // The target signed off; which start of it, where it said so. The word of an earlier start
   // changes nothing.
-  void Depart(const TargetId& aTarget, Incarnation aIncarnation = Incarnation());
+  void OnDeparture(const TargetId& aTarget, Incarnation aIncarnation = Incarnation());
 
   // Takes the services that the configuration names. Before the first call all are known.
   void SetServices(std::set<ServiceName> aServices) { this->services = std::move(aServices); }
 
   // Takes the services whose targets bear only a few requests while they are cold.
-  void SetColdTraits(std::map<ServiceName, ColdStartSpec> aTraits)
+  void SetColdStartSpecs(std::map<ServiceName, ColdStartSpec> aSpecs)
   {
-    this->coldTraits = std::move(aTraits);
+    this->coldStartSpecs = std::move(aSpecs);
   }
 
   // The zone was evacuated and is not any more: its targets may have become cold meanwhile without
@@ -50,14 +50,14 @@
   void OnZoneReturned(const ZoneId& aZone);
 
   // Returns the targets that were heard to be cold since the last call.
-  std::vector<ColdTarget> TakeCold() { return std::exchange(this->cold, {}); }
+  std::vector<ColdTarget> TakeColdTargets() { return std::exchange(this->cold, {}); }
 
   // Returns the statements that differ from what TakeChanges() returned before. Requires to be
   // called now and then, since silence is a change too. Costs little where nothing has changed.
   std::vector<TargetUpdate> TakeChanges();
 
   // Returns the records that were heard directly since the last call.
-  std::vector<TargetUpdate> TakeNews();
+  std::vector<TargetUpdate> TakeDirectUpdates();
 
   // Returns the statements on all targets.
   std::vector<TargetUpdate> All() const;
@@ -76,20 +76,20 @@
   void SetPaused(std::set<TargetId> aTargets);
 
   // Takes the weights that engines reported, which are newer than what their heartbeats said.
-  void SetReported(const std::map<std::pair<TargetId, ModelName>, std::uint64_t>& aReported);
+  void SetReportedWeights(const std::map<std::pair<TargetId, ModelName>, std::uint64_t>& aReported);
 
   const TargetRegistry& Registry() const { return this->registry; }
 
 private:
-  TargetUpdate StatementOn(const TargetRecord& aRecord) const;
+  TargetUpdate MakeTargetUpdate(const TargetRecord& aRecord) const;
   bool Merge(const TargetRecord& aRecord);
-  void NoteCold(const TargetRecord& aRecord, Duration aColdFor);
+  void AddColdTarget(const TargetRecord& aRecord, Duration aColdFor);
   void FindChanges();
   void ListEngines();
 
   TargetRegistry registry;
   std::optional<std::set<ServiceName>> services;
-  std::map<ServiceName, ColdStartSpec> coldTraits;
+  std::map<ServiceName, ColdStartSpec> coldStartSpecs;
   std::vector<ColdTarget> cold;
   std::set<TargetId> paused;
   std::map<std::pair<TargetId, ModelName>, std::uint64_t> reported;
@@ -97,12 +97,12 @@
   // what these do, not what all targets would.
   std::set<TargetId> touched;
   // As of the last look for changes.
-  std::map<TargetId, TargetUpdate> stated;
+  std::map<TargetId, TargetUpdate> published;
   std::uint64_t changeCount = 0;
   // Those that have changed since they were told.
-  std::set<TargetId> untold;
+  std::set<TargetId> unpublished;
   std::map<TargetId, TargetRecord> news;
-  // Made of what is stated; made anew after a change.
+  // Made of what is published; made anew after a change.
   bool enginesListed = false;
   std::vector<TargetRecord> usableEngines;
   std::vector<TargetRecord> remainingEngines;
--- a/src/program/TreeKeeper.cpp
+++ b/src/program/TreeWriter.cpp
@@ -1,4 +1,4 @@
-#include "TreeKeeper.h"
+#include "TreeWriter.h"
 
 #include <absl/time/time.h>
 
@@ -6,13 +6,13 @@
 
 namespace damasklink {
 
-TreeKeeper::TreeKeeper(const Clock& aClock, const std::string& aFolder)
+TreeWriter::TreeWriter(const Clock& aClock, const std::string& aFolder)
   : clock(aClock)
   , file(this->disk, aFolder)
 {
 }
 
-TreeKeeper::~TreeKeeper()
+TreeWriter::~TreeWriter()
 {
   {
     absl::MutexLock lock(&this->mutex);
@@ -24,20 +24,20 @@
 }
 
 void
-TreeKeeper::Start()
+TreeWriter::Start()
 {
   this->thread = std::thread([this] { this->Run(); });
 }
 
 void
-TreeKeeper::Keep(const RevisionedTree& aTree)
+TreeWriter::ScheduleWrite(const RevisionedTree& aTree)
 {
   absl::MutexLock lock(&this->mutex);
   this->next = aTree;
 }
 
 void
-TreeKeeper::Run()
+TreeWriter::Run()
 {
   const auto ready = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) {
     return this->stopped || this->next.has_value();
@@ -61,7 +61,7 @@
 }
 
 void
-TreeKeeper::Write(const RevisionedTree& aTree)
+TreeWriter::Write(const RevisionedTree& aTree)
 {
   if (auto written = this->file.Write(aTree); !written) {
     // The host goes on: its peers and the group's log hold the tree too.
--- a/src/program/TreeKeeper.h
+++ b/src/program/TreeWriter.h
@@ -14,16 +14,16 @@
 
 // Keeps the newest tree it was given. Rests after each write for kRestFactor times as long as the
 // write took, so that a large tree costs the disk little; the last one is written when it stops.
-class TreeKeeper
+class TreeWriter
 {
 public:
   static constexpr int kRestFactor = 20;
 
   // Requires aFolder not to be empty.
-  TreeKeeper(const Clock& aClock, const std::string& aFolder);
-  ~TreeKeeper();
-  TreeKeeper(const TreeKeeper&) = delete;
-  TreeKeeper& operator=(const TreeKeeper&) = delete;
+  TreeWriter(const Clock& aClock, const std::string& aFolder);
+  ~TreeWriter();
+  TreeWriter(const TreeWriter&) = delete;
+  TreeWriter& operator=(const TreeWriter&) = delete;
 
   // Returns what is stored. Requires to be called before Start().
   Result<RevisionedTree> Read() const { return this->file.Read(); }
@@ -31,7 +31,7 @@
   void Start();
 
   // Replaces what is to be written next; a copy that shares all contents.
-  void Keep(const RevisionedTree& aTree);
+  void ScheduleWrite(const RevisionedTree& aTree);
 
 private:
   void Run();
--- a/test/program/ConfigurationApiTest.cpp
+++ b/test/program/ConfigurationApiTest.cpp
@@ -108,7 +108,7 @@
 }
 
 // One host of three whose peers cannot be reached, with a tree on its disk.
-TEST(CutOffHostTest, ServesItsStoredTreeSaysSoAndRefusesChanges)
+TEST(IsolatedHostTest, ServesItsStoredTreeSaysSoAndRefusesChanges)
 {
   const std::filesystem::path folder =
     std::filesystem::temp_directory_path() / ("cut-off-host-" + std::to_string(::getpid()));
--- a/test/program/ConfigurationSpreadTest.cpp
+++ b/test/program/ConfigurationDistributionTest.cpp
@@ -86,12 +86,12 @@
 };
 
 // Three control hosts, and an entry host that reaches them over one slow link.
-class ConfigurationSpreadTest : public ::testing::Test
+class ConfigurationDistributionTest : public ::testing::Test
 {
 protected:
   static constexpr int kControlHosts = 3;
 
-  ConfigurationSpreadTest()
+  ConfigurationDistributionTest()
   {
     const std::string entryIp = OwnAddress(20);
     const std::uint16_t peers = FreeEndpoint(ControlIp(0)).port;
@@ -115,7 +115,7 @@
     this->threads.emplace_back([this] { EXPECT_TRUE(this->entryHost->Run()); });
   }
 
-  ~ConfigurationSpreadTest() override
+  ~ConfigurationDistributionTest() override
   {
     std::raise(SIGTERM);
     for (std::thread& thread : this->threads) {
@@ -202,7 +202,7 @@
   std::vector<std::thread> threads;
 };
 
-TEST_F(ConfigurationSpreadTest, RoutesByTheThousandAreInForceThoughMoreFollow)
+TEST_F(ConfigurationDistributionTest, RoutesByTheThousandAreInForceThoughMoreFollow)
 {
   this->routes.Add(50);
   this->Put();
@@ -216,7 +216,7 @@
   }
 }
 
-TEST_F(ConfigurationSpreadTest, AChangeCostsNoMoreThanOneCopyOfWhatIsNew)
+TEST_F(ConfigurationDistributionTest, AChangeCostsNoMoreThanOneCopyOfWhatIsNew)
 {
   this->routes.Add(2850);
   this->Put();
@@ -229,7 +229,7 @@
   EXPECT_LE(this->ReceivedInAll() - before, added + kStandingBytes);
 }
 
-TEST_F(ConfigurationSpreadTest, ASmallChangeAmongThousandsOfRoutesIsSmallOnTheLink)
+TEST_F(ConfigurationDistributionTest, ASmallChangeAmongThousandsOfRoutesIsSmallOnTheLink)
 {
   this->routes.Add(4250);
   this->Put();
--- /dev/null
+++ b/test/program/TargetTrackerTest.cpp
@@ -0,0 +1,207 @@
+#include "program/TargetTracker.h"
+
+#include <gtest/gtest.h>
+
+namespace damasklink {
+namespace {
+
+constexpr Duration kSilence = std::chrono::seconds(4);
+
+TargetRecord
+Record(const std::string& aId, std::uint64_t aSequence, std::uint16_t aPort = 8080)
+{
+  TargetRecord record;
+  record.id = TargetId(aId);
+  record.service = ServiceName("s");
+  record.sequence = Sequence(aSequence);
+  record.endpoint = Endpoint{ "10.1.0.9", aPort };
+  record.models = { ServedModel{ ModelName("m"), WeightVersion("1"), {} } };
+  return record;
+}
+
+class TargetTrackerTest : public ::testing::Test
+{
+protected:
+  ManualClock clock;
+  TargetTracker tracker{ this->clock, kSilence };
+};
+
+TEST_F(TargetTrackerTest, HeartbeatThatSaysTheSameIsNoChange)
+{
+  this->tracker.OnHeartbeat(Record("t", 1));
+  ASSERT_EQ(this->tracker.TakeChanges().size(), 1U);
+  this->tracker.OnHeartbeat(Record("t", 2));
+  EXPECT_TRUE(this->tracker.TakeChanges().empty());
+}
+
+TEST_F(TargetTrackerTest, SilenceIsAChange)
+{
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.TakeChanges();
+  this->clock.Advance(kSilence);
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_EQ(changes.front().standing, TargetAvailability::Silent);
+}
+
+TEST_F(TargetTrackerTest, SignedOffTargetStaysGoneWhateverComesLate)
+{
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.OnDeparture(TargetId("t"));
+  this->tracker.OnHeartbeat(Record("t", 9));
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_EQ(changes.front().standing, TargetAvailability::Leaving);
+}
+
+TEST_F(TargetTrackerTest, LaterTargetAtAnAddressTakesItOver)
+{
+  this->tracker.OnHeartbeat(Record("old", 5));
+  this->tracker.OnHeartbeat(Record("new", 1));
+  this->tracker.TakeChanges();
+  EXPECT_FALSE(this->tracker.Registry().IsUsable(TargetId("old")));
+  EXPECT_TRUE(this->tracker.Registry().IsUsable(TargetId("new")));
+}
+
+TEST_F(TargetTrackerTest, GhostAtAnAddressGivesItBackWithTheNextHeartbeat)
+{
+  this->tracker.OnHeartbeat(Record("new", 1));
+  this->tracker.OnHeartbeat(Record("old", 5));
+  this->tracker.OnHeartbeat(Record("new", 2));
+  EXPECT_TRUE(this->tracker.Registry().IsUsable(TargetId("new")));
+}
+
+TEST_F(TargetTrackerTest, OnlyWhatWasHeardDirectlyIsPassedOn)
+{
+  this->tracker.OnHeartbeat(Record("direct", 1, 1));
+  this->tracker.OnRelayedRecord(Record("second", 1, 2));
+  const auto news = this->tracker.TakeDirectUpdates();
+  ASSERT_EQ(news.size(), 1U);
+  EXPECT_EQ(news.front().record.id, TargetId("direct"));
+  EXPECT_TRUE(this->tracker.TakeDirectUpdates().empty());
+}
+
+TEST_F(TargetTrackerTest, ReportedWeightsGoBeforeThoseOfOlderHeartbeats)
+{
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.TakeChanges();
+  this->tracker.SetReportedWeights({ { { TargetId("t"), ModelName("m") }, 2 } });
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_EQ(changes.front().record.models.front().version, WeightVersion("2"));
+}
+
+TEST_F(TargetTrackerTest, TargetThatStartsAgainUnderItsIdCountsItsHeartbeatsAnew)
+{
+  TargetRecord earlier = Record("t", 50);
+  earlier.incarnation = Incarnation(1000);
+  this->tracker.OnHeartbeat(earlier);
+  this->tracker.OnDeparture(TargetId("t"), Incarnation(1000));
+  TargetRecord later = Record("t", 1);
+  later.incarnation = Incarnation(2000);
+  this->tracker.OnHeartbeat(later);
+  // Both of these come late.
+  this->tracker.OnHeartbeat(earlier);
+  this->tracker.OnDeparture(TargetId("t"), Incarnation(1000));
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_EQ(changes.front().standing, TargetAvailability::Usable);
+  EXPECT_EQ(changes.front().record.incarnation, Incarnation(2000));
+}
+
+TEST_F(TargetTrackerTest, EnginesAreListedAsTheyAreNow)
+{
+  this->tracker.OnHeartbeat(Record("a", 1, 1));
+  this->tracker.OnHeartbeat(Record("b", 1, 2));
+  TargetRecord service = Record("c", 1, 3);
+  service.kind = TargetKind::Service;
+  this->tracker.OnHeartbeat(service);
+  EXPECT_EQ(this->tracker.UsableEngines().size(), 2U);
+  this->clock.Advance(kSilence / 2);
+  this->tracker.OnHeartbeat(Record("b", 2, 2));
+  this->clock.Advance(kSilence / 2);
+  ASSERT_EQ(this->tracker.UsableEngines().size(), 1U);
+  EXPECT_EQ(this->tracker.UsableEngines().front().id, TargetId("b"));
+  EXPECT_EQ(this->tracker.RemainingEngines().size(), 2U);
+  this->tracker.OnDeparture(TargetId("a"));
+  EXPECT_EQ(this->tracker.RemainingEngines().size(), 1U);
+  TargetRecord newer = Record("b", 3, 2);
+  newer.models.front().version = WeightVersion("2");
+  this->tracker.OnHeartbeat(newer);
+  EXPECT_EQ(this->tracker.UsableEngines().front().models.front().version, WeightVersion("2"));
+}
+
+TEST_F(TargetTrackerTest, PauseIsToldOnceAndTakenBackOnce)
+{
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.TakeChanges();
+  for (const bool paused : { true, false }) {
+    const std::set<TargetId> targets{ TargetId("t") };
+    this->tracker.SetPaused(paused ? targets : std::set<TargetId>());
+    const auto changes = this->tracker.TakeChanges();
+    ASSERT_EQ(changes.size(), 1U);
+    EXPECT_EQ(changes.front().paused, paused);
+    EXPECT_TRUE(this->tracker.TakeChanges().empty());
+  }
+}
+
+TEST_F(TargetTrackerTest, WriterOfAServiceThatNobodyNamedLeavesTheOthersAsTheyAre)
+{
+  this->tracker.SetServices({ ServiceName("s") });
+  this->tracker.OnHeartbeat(Record("t", 1));
+  TargetRecord foreign = Record("t", 99);
+  foreign.service = ServiceName("other");
+  EXPECT_FALSE(this->tracker.OnHeartbeat(foreign));
+  const auto changes = this->tracker.TakeChanges();
+  ASSERT_EQ(changes.size(), 1U);
+  EXPECT_EQ(changes.front().standing, TargetAvailability::Usable);
+  EXPECT_EQ(changes.front().record.service, ServiceName("s"));
+}
+
+TEST_F(TargetTrackerTest, TargetOfAServiceThatWasDroppedMayStillSignOff)
+{
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.SetServices({ ServiceName("other") });
+  TargetRecord leaving = Record("t", 2);
+  leaving.leaving = true;
+  EXPECT_TRUE(this->tracker.OnHeartbeat(leaving));
+}
+
+TEST_F(TargetTrackerTest, ColdTargetsAreTold)
+{
+  const ColdStartSpec traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
+  this->tracker.SetColdStartSpecs({ { ServiceName("s"), traits } });
+  TargetRecord record = Record("t", 1);
+  record.coldFor = std::chrono::seconds(2);
+  this->tracker.OnHeartbeat(record);
+  const std::vector<ColdTarget> cold = this->tracker.TakeColdTargets();
+  ASSERT_EQ(cold.size(), 1U);
+  EXPECT_EQ(cold[0], (ColdTarget{ TargetId("t"), Incarnation(), record.coldFor, traits.rate }));
+  EXPECT_TRUE(this->tracker.TakeColdTargets().empty());
+}
+
+TEST_F(TargetTrackerTest, TargetsOfServicesThatDeclareNoRateAreNeverCold)
+{
+  TargetRecord record = Record("t", 1);
+  record.coldFor = std::chrono::seconds(2);
+  this->tracker.OnHeartbeat(record);
+  EXPECT_TRUE(this->tracker.TakeColdTargets().empty());
+}
+
+TEST_F(TargetTrackerTest, TargetsOfAZoneThatIsGivenBackCountAsCold)
+{
+  const ColdStartSpec traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
+  this->tracker.SetColdStartSpecs({ { ServiceName("s"), traits } });
+  TargetRecord here = Record("here", 1);
+  here.zone = ZoneId("hall");
+  this->tracker.OnHeartbeat(here);
+  this->tracker.OnHeartbeat(Record("elsewhere", 1, 8081));
+  this->tracker.OnZoneReturned(here.zone);
+  const std::vector<ColdTarget> cold = this->tracker.TakeColdTargets();
+  ASSERT_EQ(cold.size(), 1U);
+  EXPECT_EQ(cold[0].target, here.id);
+  EXPECT_EQ(cold[0].coldFor, traits.lasts);
+}
+
+} // namespace
+} // namespace damasklink
