--- a/src/program/ApplyCommand.cpp
+++ b/src/program/ApplyCommand.cpp
@@ -12,15 +12,16 @@
 
 struct ApplyOptions
 {
-  // A file, or a folder of subtrees; empty where a subtree is deleted.
+  // A file, or a folder of subtrees; empty if a subtree is deleted.
   std::string path;
   std::string deleted;
   std::string author;
-  // How long to wait until the change is in force everywhere; empty for not at all.
+  // How long to wait until the change is in force everywhere; empty for no wait.
   std::string wait;
 };
 
-// The same content from the same base has the same id, so running a command again is a resend.
+// Returns an id derived from content and base, so that running a command again resends the same
+// change, which is applied only once.
 ChangeId
 ChangeIdOf(const SubtreeName& aName, Revision aBase, const std::string& aContent)
 {
@@ -29,7 +30,7 @@
   return ChangeId(Concat("apply-", digest.Value().substr(0, kChangeIdDigits)));
 }
 
-// Prints what became of one subtree.
+// Prints the outcome for one subtree.
 void
 PrintOutcome(bool aJson, const SubtreeName& aName, const std::string& aOutcome, Revision aRevision)
 {
@@ -65,7 +66,7 @@
   return report.value().missing.empty() ? ExitCode::Done : ExitCode::Refused;
 }
 
-// Sends changes one after the other and remembers the worst that happened.
+// Sends changes one after the other, and keeps the worst exit code.
 class ChangeSender
 {
 public:
@@ -75,7 +76,7 @@
   {
   }
 
-  // Returns false when no host can be reached, so that further tries are in vain.
+  // Returns false if no host can be reached, so that the other changes need not be tried.
   bool Send(const SubtreeName& aName, Revision aBase, const std::string& aContent)
   {
     ChangeRequest request;
@@ -102,7 +103,8 @@
     this->highest = std::max(this->highest, aVersion);
   }
 
-  // Waits where asked to, and returns the exit code of the whole.
+  // Waits until the changes are in force if --wait was given, and returns the exit code of the
+  // command.
   ExitCode Finish()
   {
     if (this->worst == ExitCode::Done && !this->options.wait.empty()) {
@@ -124,7 +126,7 @@
   auto name = ParseSubtreeName(aOptions.deleted);
   if (!name) {
     std::cerr << "damasklink: " << Describe(name.error()) << '\n';
-    return ExitCode::WrongUse;
+    return ExitCode::InvalidUsage;
   }
   auto view = aClient.Get(name.value());
   if (!view) {
@@ -145,8 +147,8 @@
   damasklink apply --delete SUBTREE (--host ADDR)... [options]
   damasklink apply --delete SUBTREE --settings FILE [options]
 
-PATH is a file or a folder of subtrees. All are checked before any is sent; nothing of other
-workspaces is touched. Running the same command again resends: nothing is applied twice.
+PATH is a file or a folder of subtrees. All are checked before any is sent; other workspaces are
+not changed. The command may be run again: no change is applied twice.
 
 Options:
   --host ADDR        Operators' address of a host, as IP:PORT; the next is tried when it fails.
--- a/src/program/CheckCommand.cpp
+++ b/src/program/CheckCommand.cpp
@@ -10,14 +10,15 @@
 namespace damasklink {
 namespace {
 
-// Settings name a host; a tree does not.
+// Returns whether the text is a settings file: settings have a host, a tree has none.
 bool
 LooksLikeSettings(const std::string& aText)
 {
   return aText.starts_with("host:") || aText.find("\nhost:") != std::string::npos;
 }
 
-// Checks what one argument names: settings, a tree, or a folder whose trees belong together.
+// Checks the file or folder that one argument names: settings, a tree, or a folder whose files are
+// checked as one tree. Adds the number of files to aFiles.
 std::vector<Fault>
 CheckPath(const std::string& aPath, std::size_t& aFiles)
 {
--- a/src/program/Commands.cpp
+++ b/src/program/Commands.cpp
@@ -18,7 +18,7 @@
   -h --help          Show this text.
   --version          Show the version.
 
-Exit codes: 0 done, 1 refused, 2 wrong use, 3 unreachable.
+Exit codes: 0 done, 1 refused, 2 invalid usage, 3 unreachable.
 )";
 
 constexpr std::string_view kOverviewUsage = R"(
@@ -63,7 +63,7 @@
   LogLevel parsed = LogLevel::Info;
   if (!level.empty()) {
     if (!ParseLogLevel(level, parsed)) {
-      throw WrongUseError(
+      throw UsageError(
         Concat("--log-level '", level, "' is unknown; write debug, info, warning or error"));
     }
     SetLogLevel(parsed);
@@ -84,9 +84,9 @@
     return ExitCode::Done;
   }
   if (word.empty()) {
-    throw WrongUseError("no command was named");
+    throw UsageError("no command was named");
   }
-  throw WrongUseError(Concat("'", word, "' is not a command"));
+  throw UsageError(Concat("'", word, "' is not a command"));
 }
 
 } // namespace
@@ -108,7 +108,7 @@
   if (format == "json") {
     return OutputFormat::Json;
   }
-  throw WrongUseError(Concat("--output '", format, "' is unknown; write text or json"));
+  throw UsageError(Concat("--output '", format, "' is unknown; write text or json"));
 }
 
 const std::vector<Command>&
@@ -138,7 +138,7 @@
     const std::string name = command == nullptr ? "" : Concat(" ", command->name);
     std::cerr << "damasklink" << name << ": " << error.what() << "; see damasklink" << name
               << " --help\n";
-    return ExitCode::WrongUse;
+    return ExitCode::InvalidUsage;
   }
 }
 
--- a/src/program/Commands.h
+++ b/src/program/Commands.h
@@ -1,7 +1,7 @@
-// The subcommands of the program, one file each, and what they share: arguments and exit codes.
+// The subcommands of the program, and what they share: arguments and exit codes.
 //
-// To add one: write its file with a function that returns a Command, declare the function here and
-// add a row to AllCommands() in Commands.cpp.
+// To add a subcommand, write a file with a function that returns a Command, declare the function
+// here, and add it to AllCommands() in Commands.cpp.
 #pragma once
 
 #include <map>
@@ -19,7 +19,7 @@
 {
   Done = 0,
   Refused = 1,
-  WrongUse = 2,
+  InvalidUsage = 2,
   Unreachable = 3,
 };
 
@@ -30,23 +30,23 @@
   Json,
 };
 
-// Thrown by a subcommand whose arguments cannot be used; the program ends with WrongUse. docopt
-// reports wrong arguments in the same way.
-class WrongUseError : public std::invalid_argument
+// Thrown by a subcommand for invalid arguments. The program then prints the message and ends with
+// InvalidUsage, as it does for errors that docopt finds.
+class UsageError : public std::invalid_argument
 {
 public:
   using std::invalid_argument::invalid_argument;
 };
 
-// The arguments of a subcommand by their names in its usage text.
+// The arguments of a subcommand, by their names in its usage text.
 using Arguments = std::map<std::string, docopt::value>;
 
-// Returns the argument's text, empty when it was not given. Requires that the usage names it.
+// Returns the argument's text, or an empty text if it was not given. The usage text must name it.
 std::string
 TextOf(const Arguments& aArguments, const std::string& aName);
 
-// Returns the format that `--output` names, Text when it was not given. Throws WrongUseError for
-// any other word.
+// Returns the format that `--output` names, or Text if it was not given. Throws UsageError for an
+// unknown format.
 OutputFormat
 OutputOf(const Arguments& aArguments);
 
@@ -54,10 +54,10 @@
 struct Command
 {
   std::string_view name;
-  // What it is for, in one sentence.
+  // Its purpose in one sentence, for --help.
   std::string_view purpose;
-  // docopt's "Usage:" lines and "Options:" of its own; the common options are added. Each usage
-  // line starts with "damasklink NAME" and names [options].
+  // The "Usage:" and "Options:" sections for docopt. Each usage line starts with "damasklink NAME"
+  // and has [options]. The common options are appended.
   std::string_view usage;
   ExitCode (*run)(const Arguments& aArguments);
 };
@@ -66,20 +66,20 @@
 const std::vector<Command>&
 AllCommands();
 
-// Runs the program with the words that follow its name. Results go to standard output, what went
-// wrong to standard error.
+// Runs the program with its command-line arguments, without its name. Prints results to standard
+// output and errors to standard error.
 ExitCode
 RunProgram(const std::vector<std::string>& aWords);
 
-// Runs a host until SIGTERM or SIGINT; a second signal ends it at once.
+// Runs a host until SIGTERM or SIGINT. A second signal ends it at once.
 Command
 ServeCommand();
 
-// Checks settings and tree files and prints every fault.
+// Checks settings and tree files, and prints every fault.
 Command
 CheckCommand();
 
-// Applies subtrees. Each is accepted or refused as a whole; running it again resends.
+// Applies subtrees, each of which is accepted or refused as a whole. Idempotent.
 Command
 ApplyCommand();
 
@@ -87,7 +87,7 @@
 Command
 DiffCommand();
 
-// Prints a subtree as apply takes it, or the list of subtrees.
+// Prints a subtree in the format that apply reads, or the list of subtrees.
 Command
 GetCommand();
 
@@ -95,7 +95,7 @@
 Command
 HistoryCommand();
 
-// Prints what one host knows of the system.
+// Prints the status of the system as one host knows it.
 Command
 StatusCommand();
 
--- a/src/program/ConfigClient.cpp
+++ b/src/program/ConfigClient.cpp
@@ -14,7 +14,7 @@
 constexpr int kStatusBusy = 429;
 constexpr int kStatusServerSide = 500;
 constexpr ByteCount kMaxAnswer{ 64 * kMebibyte };
-// Longer than a host waits for the group and for hosts to follow.
+// Longer than a host waits for the group, and for other hosts to apply a revision.
 constexpr Duration kReadTimeout = std::chrono::seconds(40);
 
 } // namespace
@@ -51,9 +51,9 @@
       return std::move(answer.value().body);
     }
     last = ParseErrorBody(answer.value().status, answer.value().body);
-    const bool another =
+    const bool tryNext =
       answer.value().status >= kStatusServerSide || answer.value().status == kStatusBusy;
-    if (!another) {
+    if (!tryNext) {
       break;
     }
   }
@@ -164,7 +164,7 @@
   }
   if (sources.empty()) {
     return Fail(ErrorKind::NotFound,
-                Concat(aPath, " holds no .yaml file"),
+                Concat(aPath, " has no .yaml file"),
                 "name a file, or a folder of subtrees");
   }
   return sources;
@@ -172,7 +172,7 @@
 
 namespace {
 
-// Reads the defaults in force; a subtree that is not there gives none.
+// Returns the defaults in force, empty if there is no such subtree.
 Result<SubtreePolicy>
 DefaultsInForce(ConfigClient& aClient)
 {
@@ -186,19 +186,19 @@
   return ParseConfigTree(view.value().content, "defaults in force").value.defaults;
 }
 
-// Returns the version that each file with one subtree was made from.
+// Returns the version from which each file was made, for files with one subtree.
 std::map<SubtreeName, Revision>
 BaseVersionsOf(const std::vector<ConfigSource>& aSources, const SubtreePolicy& aDefaults)
 {
-  std::map<SubtreeName, Revision> made;
+  std::map<SubtreeName, Revision> versions;
   for (const ConfigSource& source : aSources) {
     const auto version = ParseMadeFrom(source);
     const auto subtrees = SplitTree(ParseConfigSources({ source }, aDefaults).value);
     if (version && subtrees.size() == 1) {
-      made[subtrees.front().name] = *version;
+      versions[subtrees.front().name] = *version;
     }
   }
-  return made;
+  return versions;
 }
 
 std::vector<Digest>
@@ -213,8 +213,8 @@
   return keys;
 }
 
-// Prints each key that a workspace outside the tree holds. Between the workspaces of the tree the
-// files themselves were checked.
+// Checks that no key of the tree belongs to a workspace in force that is not in the tree, and
+// prints each that does. Conflicts within the tree were found when the files were parsed.
 ExitCode
 CheckKeyHolders(ConfigClient& aClient, const ConfigTree& aTree)
 {
@@ -241,7 +241,7 @@
   auto sources = ReadConfigSources(aPath);
   if (!sources) {
     std::cerr << "damasklink: " << Describe(sources.error()) << '\n';
-    return ExitCode::WrongUse;
+    return ExitCode::InvalidUsage;
   }
   auto defaults = DefaultsInForce(aClient);
   if (!defaults) {
@@ -259,15 +259,15 @@
     std::cerr << "damasklink: nothing was applied\n";
     return keys;
   }
-  const auto madeFrom = BaseVersionsOf(sources.value(), defaults.value());
+  const auto baseVersions = BaseVersionsOf(sources.value(), defaults.value());
   for (Subtree& subtree : SplitTree(parsed.value)) {
     auto view = aClient.Get(subtree.name);
     if (!view) {
       return aClient.Report(view.error());
     }
-    const auto made = madeFrom.find(subtree.name);
+    const auto found = baseVersions.find(subtree.name);
     const Revision inForce = view.value().version;
-    const Revision base = made == madeFrom.end() ? inForce : made->second;
+    const Revision base = found == baseVersions.end() ? inForce : found->second;
     std::string content = FormatSubtree(subtree);
     aTo.push_back(PlannedChange{
       std::move(subtree), std::move(content), inForce, base, std::move(view.value().content) });
--- a/src/program/ConfigClient.h
+++ b/src/program/ConfigClient.h
@@ -1,4 +1,5 @@
-// The commands' side of the operators' calls: tries hosts in turn until one answers.
+// The client of the operators' configuration API, for subcommands. Tries hosts in turn until one
+// answers.
 #pragma once
 
 #include <string>
@@ -9,17 +10,18 @@
 
 namespace damasklink {
 
-// Calls the operators' addresses of hosts, in the order given.
+// Calls the operators' addresses of hosts, in the order of the arguments.
 //
-//   ConfigClient client(options);
+//   ConfigClient client(arguments);
 //   auto status = client.Status();
 //
-// A host that cannot be reached, breaks off or answers that it cannot do it now is followed by the
-// next one: all calls bear being made twice. Unavailable means that no host answered at all.
+// All calls are idempotent: if a host cannot be reached, breaks off or answers that it is busy or
+// failing, the next host is called. If no host gives a final answer, a call fails with the error of
+// the last one that answered, or of the last one if none did. Calls block. Not thread-safe.
 class ConfigClient
 {
 public:
-  // Reads hosts, key and output format. Throws WrongUseError.
+  // Reads hosts, key and output format. Throws UsageError.
   explicit ConfigClient(const Arguments& aArguments);
 
   Result<Revision> Change(const ChangeRequest& aRequest);
@@ -30,7 +32,8 @@
   Result<HostStatus> Status();
   Result<InForceReport> InForce(Revision aRevision, const std::string& aWait);
 
-  // Prints the error and returns the exit code for it.
+  // Prints the error, and returns its exit code: Unreachable if no host has answered any call so
+  // far, else Refused.
   ExitCode Report(const Error& aError) const;
 
   bool Json() const { return this->format == OutputFormat::Json; }
@@ -47,25 +50,28 @@
   bool answered = false;
 };
 
-// Reads the files that PATH names: one file, or all *.yaml files below a folder, in order.
+// Reads one file, or all *.yaml files below a folder, in the order of their paths. Fails if one
+// cannot be read, or there is none.
 Result<std::vector<ConfigSource>>
 ReadConfigSources(const std::string& aPath);
 
-// What a set of files asks for, held against what is in force.
+// The new content of one subtree, with the content in force.
 struct PlannedChange
 {
   Subtree subtree;
   std::string content;
-  // The version in force and the one that the file was made from.
+  // The version in force, and the version from which the file was made.
   Revision inForce;
   Revision base;
+  // The content in force.
   std::string before;
 
   bool Unchanged() const { return this->before == this->content; }
 };
 
-// Reads and checks all files before anything is sent. Prints every fault and returns Refused when
-// there are any, or Unreachable.
+// Reads and checks all files, and fills aTo with a change for each subtree; sends no change. Prints
+// every fault. Returns Refused if there is any, InvalidUsage if the files cannot be read, and
+// Unreachable if no host answers.
 ExitCode
 PlanChanges(ConfigClient& aClient, const std::string& aPath, std::vector<PlannedChange>& aTo);
 
--- a/src/program/ConfigurationApi.cpp
+++ b/src/program/ConfigurationApi.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Duration kReadTimeout = std::chrono::seconds(3);
-// Longer than the group's own limit for a change, so that its answer is the one that is told.
+// Longer than the group's own time limit for a change, so that callers get the group's answer.
 constexpr Duration kChangeWait = std::chrono::seconds(7);
 constexpr Duration kInForcePoll = std::chrono::milliseconds(50);
 constexpr Duration kMaxInForceWait = std::chrono::seconds(30);
@@ -28,7 +28,8 @@
   return response;
 }
 
-// The answer to a change that was not accepted. Only a lost answer leaves it open what happened.
+// Returns the response to a change that was not accepted. Only after a timeout is it unknown
+// whether the change was applied.
 HttpResponse
 NotAppliedResponse(Error aError)
 {
@@ -136,7 +137,8 @@
   if (aRequest.deleted) {
     return change;
   }
-  // Children are held against the defaults by the group, which alone knows those in force.
+  // Children are checked against the defaults by the group, which alone knows the defaults in
+  // force.
   const auto parsed =
     ParseConfigSources({ ConfigSource{ "content", aRequest.content } }, SubtreePolicy());
   if (!parsed.Ok()) {
@@ -195,7 +197,7 @@
   if (!keys) {
     return RefusalResponse(keys.error());
   }
-  // The picture of traffic threads is the tree in force, by key.
+  // The view of traffic threads has the tree in force, indexed by key.
   const auto view = this->context.views.Get();
   std::vector<KeyHolder> holders;
   for (const Digest& key : keys.value()) {
--- a/src/program/ConfigurationApi.h
+++ b/src/program/ConfigurationApi.h
@@ -1,4 +1,5 @@
-// The operators' calls on the configuration: changes, reading, history, status, in force where.
+// The operators' API of the configuration: changes, subtrees, history, status, and on which hosts a
+// revision is in force.
 #pragma once
 
 #include "AskControl.h"
@@ -8,16 +9,16 @@
 
 namespace damasklink {
 
-// Adds what other parts know to the status.
+// Fills in the fields of the status that other parts of the host know.
 using StatusFiller = std::function<void(HostStatus&)>;
 
-// Serves /v1/config/ on the operators' address. Every call needs an operator's key.
+// Serves /v1/config/ on the operators' address. Every call needs an operator key.
 //
-// Handlers run on the server's threads and ask the control thread.
+// Handlers run on the server's threads and call the control thread.
 class ConfigurationApi
 {
 public:
-  // aFill runs on the control thread.
+  // aFill is called on the control thread. The references must outlive this object.
   ConfigurationApi(const HostContext& aContext, ConfigurationModule& aModule, StatusFiller aFill);
 
   void AddRoutes(HttpServer& aOperators);
@@ -37,7 +38,7 @@
   HttpResponse Status(const HttpRequest& aRequest);
   HttpResponse InForce(const HttpRequest& aRequest);
 
-  // Turns a request into a change; fails with the first fault of its content.
+  // Parses the content of a change request. Fails with its first fault.
   Result<ConfigChange> ReadChange(const ChangeRequest& aRequest);
   InForceReport MakeInForceReport(Revision aRevision) const;
 
--- a/src/program/ConfigurationModule.cpp
+++ b/src/program/ConfigurationModule.cpp
@@ -113,7 +113,8 @@
   if (!aLeaseHeld || !empty || this->seeding || !this->distributor.Joined()) {
     return;
   }
-  // A tree that hosts still hold outlived the group's disks and goes before the initial one.
+  // A tree that hosts still have although the group's is empty has outlived the group's disks. It
+  // takes precedence over the initial tree.
   const bool outlived = this->distributor.Tree().Current() != Revision();
   if (!outlived && !this->initialTree) {
     return;
--- a/src/program/ConfigurationModule.h
+++ b/src/program/ConfigurationModule.h
@@ -1,4 +1,5 @@
-// The configuration on the control thread: machine, spread, and the picture of traffic threads.
+// The configuration on the control thread: its replicated state machine, its distribution to all
+// hosts, and its publication to traffic threads.
 #pragma once
 
 #include <functional>
@@ -11,8 +12,8 @@
 
 namespace damasklink {
 
-// Owns the replica's machine and the tree in force. All calls come on the control thread, but for
-// what the replicator does before the loop starts.
+// Owns the ConfigStateMachine and the ConfigDistributor, which has the tree in force. All calls are
+// made on the control thread, except those of the replicator before the control loop starts.
 class ConfigurationModule final
   : public ControlModule
   , public CommittedTreeObserver
@@ -22,11 +23,11 @@
                       Replicator& aGroups,
                       const HostMembership& aMembership);
 
-  // Sets the tree that is applied while none exists.
+  // Sets the tree that is proposed if the group has none.
   void SetInitialTree(RevisionedTree aTree) { this->initialTree = std::move(aTree); }
 
-  // Takes the tree that this host kept on its disk, and keeps later ones there. Fails with what is
-  // wrong with the file.
+  // Loads the tree from this host's disk, and stores later ones there. Fails if the file cannot be
+  // read.
   Result<void> UseStoredTree(const std::string& aFolder);
 
   void OnChange(const TreeChange& aChange) override;
@@ -35,9 +36,10 @@
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage) override;
   void OnTick(MonotonicTime aNow) override;
 
-  // Puts a change through the control group and hands on its answer.
+  // Proposes a change to the control group, and calls aDone with its answer.
   void Change(const ConfigChange& aChange, std::function<void(Result<ChangeAnswer>)> aDone);
 
+  // Calls aDone with at most aMost accepted changes, of one subtree if aName is set.
   void ReadHistory(const std::optional<SubtreeName>& aName,
                    std::size_t aMost,
                    std::function<void(Result<std::vector<HistoryEntry>>)> aDone);
@@ -47,7 +49,7 @@
   GroupStatus ControlStatus() const { return this->groups.Status(ControlGroupId()); }
 
 private:
-  // Fills the empty tree of a new group.
+  // Proposes a tree if that of the group is empty.
   void SeedWhenEmpty(bool aLeaseHeld);
   void SendOutgoing();
   void PublishChanges();
@@ -58,7 +60,7 @@
   ConfigDistributor distributor;
   ConfigStateMachine machine;
   std::optional<RevisionedTree> initialTree;
-  // Null on a host without a disk.
+  // Null on a host without a data folder.
   std::unique_ptr<TreeWriter> writer;
   bool seeding = false;
   bool published = false;
--- a/src/program/ConfigurationPart.cpp
+++ b/src/program/ConfigurationPart.cpp
@@ -13,7 +13,8 @@
 constexpr Duration kFirstTreeLimit = std::chrono::seconds(4);
 constexpr Duration kFirstTreePoll = std::chrono::milliseconds(5);
 
-// A later start has a later wall clock; should it have gone back, membership rises above.
+// Returns an incarnation that rises with each start, by the wall clock. If the clock was set back,
+// membership raises the incarnation above that of the earlier start.
 Incarnation
 IncarnationOf(WallTime aStart)
 {
@@ -22,7 +23,7 @@
   return Incarnation(static_cast<std::uint64_t>(count));
 }
 
-// The tree of the initial file, one revision for each subtree.
+// Returns the tree of the initial file, with one revision for each subtree.
 RevisionedTree
 TreeOf(const ConfigTree& aTree)
 {
@@ -132,7 +133,7 @@
     this->context.control.Post([this, taken = record.value()] { this->targets.Announce(taken); });
   if (!posted) {
     return RefusalResponse(
-      Error{ ErrorKind::Overloaded, "the control thread is behind", "announce again shortly" });
+      Error{ ErrorKind::Overloaded, "the control thread is overloaded", "announce again shortly" });
   }
   HttpResponse response;
   response.body = "{}";
@@ -142,13 +143,13 @@
 void
 ConfigurationPart::FillStatus(HostStatus& aStatus) const
 {
-  // The API asks on the control thread, which owns all of this.
-  const auto& known = this->configuration.Distributor().PeerRevisions();
+  // The API calls this on the control thread, which owns all that is read here.
+  const auto& revisions = this->configuration.Distributor().PeerRevisions();
   for (const PeerSettings& peer : this->context.settings.peers) {
     PeerStatus status{ peer.host, this->membership.IsUp(peer.host), aStatus.revision };
     if (peer.host != this->context.settings.host) {
-      const auto found = known.find(peer.host);
-      status.revision = found == known.end() ? Revision() : found->second;
+      const auto found = revisions.find(peer.host);
+      status.revision = found == revisions.end() ? Revision() : found->second;
     }
     aStatus.peers.push_back(std::move(status));
   }
--- a/src/program/ConfigurationPart.h
+++ b/src/program/ConfigurationPart.h
@@ -1,4 +1,4 @@
-// Configuration, membership of hosts and targets, and orders to targets, on one host.
+// Wires up configuration, membership of hosts and targets, and orders to targets on one host.
 #pragma once
 
 #include "ConfigurationApi.h"
@@ -11,19 +11,22 @@
 
 namespace damasklink {
 
+// Start() is called before the control loop starts; HTTP handlers run on the servers' threads.
 class ConfigurationPart
 {
 public:
+  // The context and the replicator must outlive this object.
   ConfigurationPart(const HostContext& aContext, Replicator& aGroups);
 
-  // Loads what must be there before traffic and adds its modules to the control loop. Requires to
-  // be called before the loop starts.
+  // Loads the initial and the stored tree, and adds its modules to the control loop. Must be called
+  // before the loop starts. Fails if one of the trees cannot be read.
   Result<void> Start();
 
   void AddRoutes(const HostServers& aServers);
 
-  // Waits until a tree is in force, a few seconds at most: a host that is announced as started
-  // should know its callers. Requires the control thread and the links between hosts to run.
+  // Waits until a tree is in force, for a few seconds at most, so that a host knows its callers
+  // when it reports that it has started. The control thread and the links between hosts must be
+  // running.
   void AwaitFirstTree() const;
 
 private:
--- a/src/program/ControlCallHandler.cpp
+++ b/src/program/ControlCallHandler.cpp
@@ -10,7 +10,8 @@
 namespace damasklink {
 namespace {
 
-// What a call to a control host may be like: configurations grow to some megabytes.
+// Limits of a call to a control host. The body limit leaves room for configurations, which grow to
+// some megabytes.
 CallerLimits
 ControlLimits()
 {
@@ -126,11 +127,11 @@
       .With("target", aHeartbeat.record.id)
       .With("service", aHeartbeat.record.service);
     return this->dialect.ControlFailure(Error{ ErrorKind::InvalidArgument,
-                                               "the configuration names no such service",
-                                               "put a configuration that names it first" });
+                                               "the configuration has no such service",
+                                               "put a configuration with the service first" });
   }
   if (aHeartbeat.record.leaving) {
-    // What is acknowledged as leaving must reach entry hosts in time, so it does not wait.
+    // Published at once: entry hosts must learn in time of a departure that was acknowledged.
     this->publishTargets();
   }
   return this->MakeTargetAnswer();
@@ -144,8 +145,9 @@
   return this->MakeTargetAnswer();
 }
 
-// A host that hears no leader is cut off: what targets tell it may reach nobody else. It takes note
-// for the entry hosts on its side, and sends the target on to the other control hosts.
+// A host without a recent leader is isolated: what targets report to it may reach no other host. It
+// records the report for the entry hosts on its side, and answers with an error so that the target
+// reports to another control host, too.
 HttpAnswerMessage
 ControlCallHandler::MakeTargetAnswer() const
 {
@@ -153,7 +155,7 @@
     return this->dialect.Acknowledgement();
   }
   return this->dialect.ControlFailure(
-    Error{ ErrorKind::Unavailable, "this host hears no leader", "tell another control host" });
+    Error{ ErrorKind::Unavailable, "this host has no leader", "report to another control host" });
 }
 
 HttpAnswerMessage
@@ -239,8 +241,8 @@
   co_return this->MakeCommitAnswer(result);
 }
 
-// A leader within its lease knows the newest configuration. Any other host asks the group: what it
-// has applied itself must be as new as what the group answers.
+// A leader within its lease has the newest configuration. Any other host commits a read barrier,
+// and answers only if it has applied the version that the barrier returns.
 Awaitable<HttpAnswerMessage>
 ControlCallHandler::HandleConfigQuery()
 {
--- a/src/program/ControlCallHandler.h
+++ b/src/program/ControlCallHandler.h
@@ -1,4 +1,4 @@
-// Answers the calls of targets and operators at a control host, on its event loop.
+// Serves the HTTP calls of targets and operators at a control host, on its event loop.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,13 @@
 
 namespace damasklink {
 
+// Heartbeats and departures go to the TargetTracker, changes to the replicated log, and queries are
+// answered from its state. Not thread-safe.
 class ControlCallHandler
 {
 public:
-  // aPublish tells entry hosts at once what has changed. Requires that all outlive this object.
+  // aPublish sends changes of targets to entry hosts at once. The references must outlive this
+  // object.
   ControlCallHandler(const Clock& aClock,
                      const ServingSettings& aSettings,
                      const ControlDialect& aDialect,
@@ -26,7 +29,7 @@
                      WorkAccount& aAccount,
                      std::function<void()> aPublish);
 
-  // Serves one connection until it ends.
+  // Serves the calls of one connection until it is closed.
   Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
 
 private:
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -20,44 +20,45 @@
 namespace damasklink {
 namespace {
 
-// Between two looks at timers of agreement; an election is late by as much at most.
+// Interval at which the timers of the control group are checked. An election may be late by as
+// much.
 constexpr Duration kTick = std::chrono::milliseconds(25);
 
-// What is heard of targets is passed on in batches this far apart.
+// Interval at which changes of targets are published, in batches.
 constexpr Duration kPublishInterval = std::chrono::milliseconds(100);
 
-// What entry hosts tell of their loads is added up for so long before it is passed on: they tell
-// every 100 ms, not all at once, and a shorter wait would only make more messages.
+// Interval at which the load reports of entry hosts are summed and passed on. Entry hosts report
+// every 100 ms at different moments; a shorter interval would only cause more messages.
 constexpr Duration kLoadInterval = std::chrono::milliseconds(50);
 
-// Heartbeats that may be missed before a target counts as silent, and how long its search for a
-// control host that answers may take on top: a second for each that does not, with pauses between.
-// A target that is gone shows by its connections long before.
+// A target counts as silent after this many heartbeats plus kFailoverTime without one. The latter
+// allows for its search for a control host that answers: a second for each that does not, with
+// pauses between. The long limit is harmless since a target that is unreachable is detected by
+// failing connections long before.
 constexpr int kMaxMissedHeartbeats = 3;
 constexpr Duration kFailoverTime = std::chrono::seconds(4);
 
-// On top of the time that orders of two holders must be apart: an order may wait this long in a
-// queue after its lease was checked.
+// Added to the time that must pass between orders of two lease holders, since an order may wait
+// this long in a queue after the lease was checked.
 constexpr Duration kOrderMargin = std::chrono::milliseconds(300);
 
-// Share of the time for new weights in which all engines are ordered; the rest is for the last ones
-// to finish their runs and load, and for orders that are lost.
+// Share of the time allowed for new weights within which orders to all engines are sent. The rest
+// is for the last engines to finish their runs and load the weights, and for lost orders.
 constexpr double kRolloutShare = 0.5;
 
-// From a failure of the log until the process ends: one that starts again at once would only fail
-// again.
+// Delay between a failure of the log and the end of the process: a process that is restarted at
+// once would only fail again.
 constexpr Duration kFailureExitDelay = std::chrono::milliseconds(1500);
 
-// From the moment at which the last engine has newer weights until what older ones made is freed:
-// a transfer waits two seconds at most, and an engine says what it has some hundred milliseconds
-// late.
+// Delay between the moment at which the last engine has newer weights and the freeing of parts made
+// by older weights. A transfer may take two seconds, and engines report their weights some hundred
+// milliseconds late.
 constexpr Duration kWeightsSettleTime = std::chrono::seconds(4);
 
-// Between two looks for parts that nobody will read any more: each goes through all that the stores
-// hold.
+// Interval between two searches for unused parts. Each search visits all stored parts.
 constexpr Duration kFreeInterval = std::chrono::seconds(1);
 
-// For the handover of leadership to reach the successor before the process ends.
+// Time for the transfer of leadership to reach the successor before the process ends.
 constexpr Duration kLeadershipTransferTime = std::chrono::milliseconds(400);
 
 } // namespace
@@ -83,7 +84,7 @@
     , stores(this->loop,
              this->clock,
              aStores,
-             [this](const auto& aStatements) { this->publisher.PublishStores(aStatements); })
+             [this](const auto& aUpdates) { this->publisher.PublishStores(aUpdates); })
     , rollout(this->loop,
               this->clock,
               aEngines,
@@ -151,9 +152,9 @@
   ChannelListener callers{ this->loop };
   ServingSignals signals;
   asio::steady_timer ticker;
-  // The version whose services are appliedVersion.
+  // The version of the configuration whose services were applied last.
   Revision appliedVersion;
-  // Zones that were evacuated when the state was looked at last.
+  // Zones that were evacuated in the state that was applied last.
   std::set<ZoneId> evacuated;
   MonotonicTime nextPublish;
   MonotonicTime nextFreeing;
@@ -171,8 +172,8 @@
   return options;
 }
 
-// Parts that older weights made, and those that were never written whole, fill the stores and are
-// of no use to anybody.
+// Frees parts made by older weights and parts that were never completely written: they use space in
+// the stores and cannot be read.
 void
 ControlHost::Impl::FreeUnusedParts()
 {
@@ -219,7 +220,8 @@
     .With("first_start", this->settings.firstStart)
     .With("control", FormatEndpoint(this->settings.control));
   this->AddControlHosts(this->settings.seeds);
-  // After a start of all, the seeds alone would wait until the other members reach them.
+  // Members that are not seeds are dialed, too. After a restart of all hosts, the seeds would
+  // otherwise wait until the other members connect to them.
   this->AddControlHosts(this->group.Members());
   this->signals.Wait(
     [this](const ServingSettings& aFresh) {
@@ -267,9 +269,10 @@
   this->group.Step();
 }
 
-// Ends a process whose log is damaged, with the reason. A disk that only refuses writes is waited
-// for: meanwhile this host says nothing in the group, so the others elect without it, and goes on
-// hearing targets and telling entry hosts. Returns whether it ends now.
+// Stops the event loop when the log has failed for good, and returns whether it did; Run() then
+// returns the error. A disk that only refuses writes is no such failure: the log is retried, this
+// host sends nothing to the group meanwhile, so the others elect a leader without it, and it still
+// serves targets and entry hosts.
 bool
 ControlHost::Impl::EndsAfterFailure()
 {
@@ -310,8 +313,8 @@
   }
 }
 
-// Reads the whole document, which takes long where it has thousands of routes, so not when only
-// weights were named.
+// Parses the whole document, which takes long with thousands of routes. Therefore it is called only
+// for a new version of the document, not for each change of weights.
 void
 ControlHost::Impl::ApplyServices()
 {
@@ -412,15 +415,15 @@
 {
   if (const auto* greeting = std::get_if<Greeting>(&aMessage)) {
     this->OnGreeting(aPeer, *greeting);
-  } else if (const auto* news = std::get_if<LoadReport>(&aMessage)) {
-    this->publisher.OnLoadReport(aPeer, *news);
-  } else if (const auto* question = std::get_if<DocumentRequest>(&aMessage)) {
-    this->publisher.Answer(aPeer, *question);
+  } else if (const auto* report = std::get_if<LoadReport>(&aMessage)) {
+    this->publisher.OnLoadReport(aPeer, *report);
+  } else if (const auto* request = std::get_if<DocumentRequest>(&aMessage)) {
+    this->publisher.Answer(aPeer, *request);
   } else if (const auto* list = std::get_if<EntryHostList>(&aMessage)) {
     this->hosts.SetEntryHostsOf(aPeer, *list);
-  } else if (const auto* told = std::get_if<ServingUpdate>(&aMessage)) {
-    for (const TargetUpdate& statement : told->targets) {
-      this->tracker.OnRelayedRecord(statement.record);
+  } else if (const auto* update = std::get_if<ServingUpdate>(&aMessage)) {
+    for (const TargetUpdate& target : update->targets) {
+      this->tracker.OnRelayedRecord(target.record);
     }
   }
 }
@@ -447,7 +450,8 @@
   }
 }
 
-// The zone is empty where the teller does not know it.
+// Registers and dials a control host that was not known. The zone is empty if the source does not
+// know it.
 void
 ControlHost::Impl::AddControlHost(const HostId& aHost, const ZoneId& aZone)
 {
--- a/src/program/ControlHost.h
+++ b/src/program/ControlHost.h
@@ -1,5 +1,5 @@
-// A control host of a serving deployment: holds the replicated log, hears targets and operators,
-// and tells entry hosts what to relay by.
+// A control host of a serving deployment: keeps a replica of the control group's log, serves
+// targets and operators, and publishes the routing state to entry hosts.
 #pragma once
 
 #include <memory>
@@ -10,10 +10,14 @@
 
 namespace damasklink {
 
+// Runs one control host.
+//
+//   ControlHost host(settings, dialect, dialect, dialect, reader);
+//   auto ended = host.Run();
 class ControlHost
 {
 public:
-  // Requires that the dialects outlive the host.
+  // aReader reads the settings again on SIGHUP. The dialects must outlive the host.
   ControlHost(ServingSettings aSettings,
               const ControlDialect& aDialect,
               const StoreDialect& aStores,
@@ -23,8 +27,8 @@
   ControlHost(const ControlHost&) = delete;
   ControlHost& operator=(const ControlHost&) = delete;
 
-  // Runs until SIGTERM or SIGINT. Fails with Unavailable when an address is taken, and with Corrupt
-  // or Storage when the data folder cannot be used.
+  // Runs the event loop on the calling thread until SIGTERM or SIGINT. Fails with Unavailable when
+  // an address is in use, and with Corrupt or Storage when the data folder cannot be used.
   Result<void> Run();
 
 private:
--- a/src/program/GetCommand.cpp
+++ b/src/program/GetCommand.cpp
@@ -27,8 +27,8 @@
   damasklink get [SUBTREE] (--host ADDR)... [options]
   damasklink get [SUBTREE] --settings FILE [options]
 
-SUBTREE is defaults, deployments or workspaces/NAME. The first line tells the version that the
-subtree has, so that apply can tell whether another change came first.
+SUBTREE is defaults, deployments or workspaces/NAME. The first line has the version of the
+subtree, from which apply detects that another change came first.
 
 Options:
   --host ADDR        Operators' address of a host, as IP:PORT; the next is tried when it fails.
@@ -48,7 +48,7 @@
   auto name = ParseSubtreeName(subtree);
   if (!name) {
     std::cerr << "damasklink: " << Describe(name.error()) << '\n';
-    return ExitCode::WrongUse;
+    return ExitCode::InvalidUsage;
   }
   auto view = client.Get(name.value());
   if (!view) {
--- a/src/program/LogLevelCommand.cpp
+++ b/src/program/LogLevelCommand.cpp
@@ -21,7 +21,7 @@
   --key-file FILE    File with the operator key; else the environment's DAMASKLINK_OPERATOR_KEY.
 )";
 
-// Returns the exit code for one host and prints what became of it.
+// Changes the level of one host, prints the outcome, and returns the exit code for this host.
 ExitCode
 ChangeLevel(const Endpoint& aHost, const std::string& aLevel, const std::string& aKey)
 {
@@ -42,7 +42,8 @@
   const std::string level = TextOf(aArguments, "LEVEL");
   LogLevel parsed = LogLevel::Info;
   if (!ParseLogLevel(level, parsed)) {
-    throw WrongUseError(Concat("'", level, "' is no level; write debug, info, warning or error"));
+    throw UsageError(
+      Concat("'", level, "' is not a log level; write debug, info, warning or error"));
   }
   const std::string key = OperatorKey(aArguments);
   ExitCode worst = ExitCode::Done;
--- a/src/program/OperatorCalls.cpp
+++ b/src/program/OperatorCalls.cpp
@@ -21,7 +21,7 @@
   for (const std::string& address : aAddresses) {
     auto host = ParseEndpoint(address);
     if (!host) {
-      throw WrongUseError(Concat("--host '", address, "' ", Describe(host.error())));
+      throw UsageError(Concat("--host '", address, "' ", Describe(host.error())));
     }
     hosts.push_back(host.value());
   }
@@ -33,7 +33,7 @@
 {
   auto text = ReadWholeFile(aFile);
   if (!text) {
-    throw WrongUseError(Describe(text.error()));
+    throw UsageError(Describe(text.error()));
   }
   return text.value();
 }
@@ -41,7 +41,7 @@
 std::string
 KeyFromEnvironment()
 {
-  // Subcommands that call hosts run on one thread, so nobody changes the environment meanwhile.
+  // Subcommands that call hosts have one thread, so the environment is not changed concurrently.
   // NOLINTNEXTLINE(concurrency-mt-unsafe)
   const char* key = std::getenv(kOperatorKeyVariable);
   return key == nullptr ? "" : key;
@@ -52,7 +52,7 @@
 {
   const auto parsed = LoadHostSettings(aFile);
   if (!parsed.Ok()) {
-    throw WrongUseError(FormatFault(parsed.faults.front()));
+    throw UsageError(FormatFault(parsed.faults.front()));
   }
   std::vector<Endpoint> hosts;
   for (const PeerSettings& peer : parsed.value.peers) {
@@ -74,7 +74,7 @@
   if (!settings.empty()) {
     return HostsFromSettings(settings);
   }
-  throw WrongUseError("no host was named; give --settings or --host");
+  throw UsageError("no host was named; give --settings or --host");
 }
 
 std::string
@@ -84,7 +84,7 @@
   std::string key = file.empty() ? KeyFromEnvironment() : ReadKeyFile(file);
   key.erase(key.find_last_not_of("\r\n ") + 1);
   if (key.empty()) {
-    throw WrongUseError(Concat("no operator key; set ", kOperatorKeyVariable, " or --key-file"));
+    throw UsageError(Concat("no operator key; set ", kOperatorKeyVariable, " or --key-file"));
   }
   return key;
 }
--- a/src/program/OperatorCalls.h
+++ b/src/program/OperatorCalls.h
@@ -1,4 +1,4 @@
-// What subcommands that talk to hosts share: which hosts, with which key.
+// Helpers of the subcommands that call the operators' address of hosts.
 #pragma once
 
 #include <string>
@@ -10,18 +10,18 @@
 
 namespace damasklink {
 
-// Returns the operators' addresses that `--host` or `--settings` names. Throws WrongUseError when
-// neither or a malformed one was given.
+// Returns the operators' addresses of the hosts that `--host` or `--settings` names. Throws
+// UsageError if neither was given or one is malformed.
 std::vector<Endpoint>
 HostsOf(const Arguments& aArguments);
 
-// Returns the operator key from the file that `--key-file` names, else from the environment's
-// DAMASKLINK_OPERATOR_KEY: on the command line it would show in the list of processes. Throws
-// WrongUseError when there is none.
+// Returns the operator key from the file that `--key-file` names, or else from the environment
+// variable DAMASKLINK_OPERATOR_KEY. There is no option for the key itself, which would be visible
+// in the list of processes. Throws UsageError if there is no key.
 std::string
 OperatorKey(const Arguments& aArguments);
 
-// A call to one host's operators' address.
+// A call to the operators' address of one host.
 struct OperatorCall
 {
   Endpoint host;
@@ -31,8 +31,9 @@
   std::string body;
 };
 
-// Makes the call and returns the body of the answer. Fails with what the host answered, or
-// Unavailable when it could not be reached.
+// Makes the call and returns the body of the answer. Fails with Unavailable if the host cannot be
+// reached, with Unauthenticated if it refuses the key, and with Internal for any other status.
+// Blocks for some seconds at most.
 Result<std::string>
 CallOperator(const OperatorCall& aCall);
 
--- a/src/program/OperatorPart.cpp
+++ b/src/program/OperatorPart.cpp
@@ -42,7 +42,7 @@
     return TextResponse("ready\n");
   }
   return RefusalResponse(
-    Error{ ErrorKind::Unavailable, "this host is starting or leaving", "use another host" });
+    Error{ ErrorKind::Unavailable, "this host is starting or stopping", "use another host" });
 }
 
 HttpResponse
@@ -75,7 +75,7 @@
   if (named == body.end() || !named->is_string() ||
       !ParseLogLevel(named->get<std::string>(), level)) {
     return RefusalResponse(Error{ ErrorKind::InvalidArgument,
-                                  "the body names no known level",
+                                  "the body has no known log level",
                                   R"(send {"level": "debug"}, or info, warning, error)" });
   }
   SetLogLevel(level);
--- a/src/program/OperatorPart.h
+++ b/src/program/OperatorPart.h
@@ -1,4 +1,4 @@
-// What operators see of one host: health, readiness, metrics, burn, log level.
+// The operators' API of one host: health, readiness, metrics, burn rates and log level.
 #pragma once
 
 #include "HostContext.h"
@@ -7,10 +7,12 @@
 
 namespace damasklink {
 
-// Adds its routes to the operators' address. All but /healthz and /readyz ask for an operator key.
+// Adds its routes to the operators' address. All but /healthz and /readyz require an operator key.
+// Handlers run on the server's threads.
 class OperatorPart
 {
 public:
+  // The references must outlive this object.
   OperatorPart(const HostContext& aContext,
                const MetricsRegistry& aMetrics,
                const ServiceLevelWindows& aServiceLevels);
--- a/src/program/OrderSender.cpp
+++ b/src/program/OrderSender.cpp
@@ -80,7 +80,7 @@
   call.body = FormatTargetOrder(aOrder);
   call.readTimeout = this->orderInFlight;
   auto exchange = HttpExchange::Connect(std::move(call));
-  // The last look before the first byte: connecting may have taken long.
+  // The lease is checked again before the first byte, since connecting may have taken long.
   if (!exchange || !this->lease.Held()) {
     return OrderOutcome::NotSent;
   }
--- a/src/program/OrderSender.h
+++ b/src/program/OrderSender.h
@@ -1,4 +1,5 @@
-// Sends orders to targets on a thread of its own, with the lease checked around each.
+// Sends orders to targets on a separate thread, and checks the leader's lease before and after
+// each.
 #pragma once
 
 #include <atomic>
@@ -13,10 +14,10 @@
 
 namespace damasklink {
 
-// What the control thread last knew of its lease, readable from other threads.
+// Lets other threads read whether the control thread holds the leader's lease. Thread-safe.
 //
-// A process that was frozen wakes up with an old stamp: the lease counts as held only for kFresh
-// after the control thread saw it held.
+// The lease counts as held only for kFresh after the control thread last confirmed it, so that a
+// process that was suspended does not rely on an outdated lease when it continues.
 class LeaseStamp
 {
 public:
@@ -27,7 +28,7 @@
   {
   }
 
-  // Requires to be called every control tick.
+  // Must be called in each tick of the control thread.
   void Set(bool aHeld)
   {
     const MonotonicTime until = aHeld ? this->clock.MonotonicNow() + kFresh : MonotonicTime();
@@ -44,19 +45,27 @@
   std::atomic<MonotonicTime::rep> heldUntil{ 0 };
 };
 
-// Sends queued orders one after the other; they are rare.
+// Sends queued orders one after the other, which is sufficient since orders are rare.
+//
+//   OrderSender sender(lease, orderInFlight, done);
+//   sender.Start();
+//   sender.Send(order);
+//
+// Send() may be called on any thread, Start() and Stop() on one.
 class OrderSender
 {
 public:
-  // Called on the sender's thread.
+  // Called on the sender's thread with the outcome of each order.
   using Done = std::function<void(const TargetId&, OrderOutcome)>;
 
+  // aOrderInFlight limits how long an answer is awaited. aLease must outlive the sender.
   OrderSender(const LeaseStamp& aLease, Duration aOrderInFlight, Done aDone);
   ~OrderSender();
   OrderSender(const OrderSender&) = delete;
   OrderSender& operator=(const OrderSender&) = delete;
 
   void Start();
+  // Waits for the order in flight; orders still in the queue are dropped.
   void Stop();
   void Send(TargetOrder aOrder);
 
--- a/src/program/RefusalProposer.h
+++ b/src/program/RefusalProposer.h
@@ -1,4 +1,4 @@
-// Keeps the replicated log's list of refused requests in step with what crashes targets.
+// Keeps the list of refused requests in the replicated log up to date with the crashes of targets.
 #pragma once
 
 #include <vector>
@@ -8,11 +8,11 @@
 
 namespace damasklink {
 
-// The leader proposes what the ledger finds. Not thread-safe.
+// On the leader, proposes the refusals and releases that the CrashLedger finds. Not thread-safe.
 class RefusalProposer
 {
 public:
-  // Requires that all outlive the loop's work.
+  // The references must outlive the work of the loop.
   RefusalProposer(asio::io_context& aLoop, ServingGroup& aGroup, CrashLedger& aLedger)
     : loop(aLoop)
     , group(aGroup)
@@ -20,7 +20,7 @@
   {
   }
 
-  // Requires to be called now and then. Costs little where nothing crashes.
+  // Must be called regularly. Cheap while no target crashes.
   void Step();
 
 private:
@@ -29,7 +29,7 @@
   asio::io_context& loop;
   ServingGroup& group;
   CrashLedger& ledger;
-  // Proposals are under way; the next ones wait for them.
+  // True while proposals are in flight; the next ones wait until they are answered.
   bool committing = false;
 };
 
--- a/src/program/ReportCommand.cpp
+++ b/src/program/ReportCommand.cpp
@@ -14,8 +14,8 @@
   damasklink report burn --settings FILE [options]
   damasklink report burn (--host ADDR)... [options]
 
-Prints how fast each workspace uses up its service-level objective, added up over all hosts that
-can be reached, and names those that cannot. Ends with 3 when a host could not be reached, with 1
+Prints how fast each workspace uses up its service-level objective, summed over all hosts that
+can be reached, and lists those that cannot. Ends with 3 when a host could not be reached, with 1
 when a host refused the key or gave no report.
 
 Options:
@@ -25,7 +25,7 @@
   --output FORMAT    text or json [default: text].
 )";
 
-// What came of asking all hosts.
+// The reports of the hosts, and the hosts and errors without one.
 struct Collected
 {
   std::vector<HostBurn> burns;
--- a/src/program/RolloutExecutor.cpp
+++ b/src/program/RolloutExecutor.cpp
@@ -8,7 +8,7 @@
 namespace damasklink {
 namespace {
 
-// Engines answer reports and orders at once; one that does not is asked again.
+// Engines answer reports and orders at once. One that does not answer in time is asked again.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(800);
 
 constexpr std::size_t kMaxAnswerBytes = std::size_t{ 1 } * 1024 * 1024;
--- a/src/program/RolloutExecutor.h
+++ b/src/program/RolloutExecutor.h
@@ -1,4 +1,5 @@
-// Carries out the rollout of weights on the event loop of the leading control host.
+// Carries out the rollout of weights from the leading control host: reads engines and sends them
+// orders, as WeightRollout plans it.
 #pragma once
 
 #include <functional>
@@ -12,26 +13,29 @@
 
 namespace damasklink {
 
-// Whether this host may order now, and as which holder.
+// Whether this host may send orders now, and the lease holder and fencing number for them.
 struct OrderAuthority
 {
   bool leaseHeld = false;
   HostId holder;
-  // Rises with each leader: the term of the control group.
+  // The term of the control group, which rises with each leader.
   FencingNumber fencing;
 };
 
+// All calls run on the event loop of the host; not thread-safe.
 class RolloutExecutor
 {
 public:
-  // aAuthority is asked again just before an order leaves.
+  // aAuthority is called in each step, and again just before an order is sent. The references must
+  // outlive the work of the loop.
   RolloutExecutor(asio::io_context& aLoop,
                   const Clock& aClock,
                   const EngineDialect& aDialect,
                   RolloutOptions aOptions,
                   std::function<OrderAuthority()> aAuthority);
 
-  // Requires to be called several times a second.
+  // Starts the reads and orders that are due. aDesired has the desired version of the weights of
+  // each model. Must be called several times a second.
   void Step(const std::map<ModelName, std::uint64_t>& aDesired,
             const std::vector<TargetRecord>& aEngines);
 
--- a/src/program/ServingGroup.cpp
+++ b/src/program/ServingGroup.cpp
@@ -7,20 +7,22 @@
 namespace damasklink {
 namespace {
 
-// Elections of a serving deployment: operators are answered within seconds, so a leader must be
-// missed within one. Three heartbeats fit into the least election timeout, which two lost packets
-// (200 ms each until they are sent again) do not exceed.
+// Elections of a serving deployment. Operators are answered within seconds, so the loss of a leader
+// must be detected within one. The minimum election timeout covers three heartbeats, and a delay by
+// two lost packets, which are sent again after 200 ms each, does not exceed it.
 constexpr RaftTiming kServingTiming{ std::chrono::milliseconds(200),
                                      std::chrono::milliseconds(700),
                                      std::chrono::milliseconds(1400) };
 
-// Voters: five bear two lost at once, three bear one. Odd, since an even one more bears no more.
+// Five voters tolerate the loss of two hosts, three of one. The number is odd, since one voter more
+// would not tolerate more losses.
 constexpr std::size_t kMaxVoters = 5;
 
-// How long an operator's call waits for its commitment: operators move on after a second.
+// How long an operator's call waits until its command is committed. Operators move on after a
+// second.
 constexpr Duration kCommitTimeout = std::chrono::milliseconds(2500);
 
-// Between two attempts at a disk that refused a write: a full disk is full for seconds.
+// Delay before a disk that refused a write is tried again: a full disk stays full for seconds.
 constexpr Duration kDiskRetryDelay = std::chrono::seconds(1);
 
 std::vector<PeerSettings>
@@ -68,7 +70,8 @@
 ServingGroup::Setup(Metrics& aMetrics, PeerSender& aPeers)
 {
   std::vector<HostId> hosts = this->settings.seeds;
-  // The founders are exactly the seeds; later this host may be known by its greeting alone.
+  // A new group is formed by exactly the seeds. Later a host that is not a seed may be known from
+  // its greeting only, so it adds itself here.
   const bool listed = std::find(hosts.begin(), hosts.end(), this->settings.host) != hosts.end();
   if (!listed && !this->settings.firstStart) {
     hosts.push_back(this->settings.host);
@@ -139,7 +142,7 @@
   auto result = DecodeServingCommandResult(answered->result->value());
   if (result && !result.value().understood) {
     co_return Fail(ErrorKind::Internal,
-                   "the replicated log did not understand the command",
+                   "the replicated state machine did not understand the command",
                    "run the same program version on all control hosts");
   }
   co_return result;
--- a/src/program/ServingGroup.h
+++ b/src/program/ServingGroup.h
@@ -1,4 +1,4 @@
-// The control group of a serving deployment as one control host holds it, on its event loop.
+// The replica of the control group of a serving deployment on one control host.
 #pragma once
 
 #include <functional>
@@ -12,10 +12,16 @@
 
 namespace damasklink {
 
+// Wraps agreement and the replicated ServingStateMachine for the event loop, on which all calls
+// run.
+//
+//   auto result = co_await group.Commit(SetWeightVersion{ model, version });
+//   group.State().Weights();
 class ServingGroup
 {
 public:
-  // aApplied is called on the event loop when the state has changed.
+  // aApplied is called on the event loop when the state has changed. The references must outlive
+  // the group.
   ServingGroup(asio::io_context& aLoop,
                const Clock& aClock,
                const ServingSettings& aSettings,
@@ -23,43 +29,44 @@
                PeerSender& aPeers,
                std::function<void()> aApplied);
 
-  // Opens the data folder; where its disk takes no writes, Step() goes on trying. Fails when the
-  // folder is not as it must be, or another process has it.
+  // Opens the data folder. If its disk refuses writes, succeeds, and Step() tries again. Fails if
+  // the folder is damaged, or another process uses it.
   Result<void> Open();
 
-  // Lets agreement act on what has come in. Requires to be called every few milliseconds.
+  // Runs the timers of agreement and applies committed commands. Must be called every few
+  // milliseconds.
   void Step();
 
-  // Commits a command and returns what is in force after it. Fails with Unavailable, NotLeader or
-  // DeadlineExceeded; after the last it may be committed all the same.
+  // Commits a command and returns its result. Fails with Unavailable, NotLeader or
+  // DeadlineExceeded; after the last the command may still be committed.
   Awaitable<Result<ServingCommandResult>> Commit(const ServingCommand& aCommand);
 
-  // What is committed, as far as this host has applied it.
+  // The committed state as far as this host has applied it.
   const ServingStateMachine& State() const { return this->machine; }
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage);
   void AddDiscoveredHost(const HostId& aHost) { this->agreement.KnowHost(aHost); }
 
-  // Gives up leadership, because the process stops.
+  // Transfers leadership to another host, because the process stops.
   void TransferLeadership();
 
-  // Whether this host leads and no other can meanwhile.
+  // Whether this host leads, and no other host can lead at the same time.
   bool HoldsLease() const;
 
-  // Whether a leader was heard lately: else this host may be cut off.
+  // Whether a leader was heard recently. If not, this host may be isolated.
   bool HasRecentLeader() const;
 
-  // Whether this host may order now, and as which holder.
+  // Whether this host may send orders to engines now, with holder and fencing number.
   OrderAuthority Authority() const;
 
-  // The hosts of the group's newest membership, as the log on this host has it.
+  // The hosts of the newest membership in this host's log.
   std::vector<HostId> Members() const;
 
-  // Why the replica has stopped for good, nothing while it works or waits for its disk.
+  // Why the replica has stopped for good; empty while it works or waits for its disk.
   std::optional<Error> Failure() const;
 
 private:
-  // The answer to a command, and the timer that wakes the coroutine which waits for it.
+  // The result of a command, and the timer that wakes the coroutine waiting for it.
   struct Answered;
 
   AgreementSetup Setup(Metrics& aMetrics, PeerSender& aPeers);
@@ -72,9 +79,9 @@
   ServingStateMachine machine;
   AgreementModule agreement;
   std::uint64_t seenChanges = 0;
-  // When the data folder is tried again, nothing once it is open.
+  // When the data folder is tried again; empty once it is open.
   std::optional<MonotonicTime> nextOpening;
-  // Why it could not be used when it was tried again.
+  // Why the data folder could not be used when it was tried again.
   std::optional<Error> folderFailure;
 };
 
--- a/src/program/ServingSetup.cpp
+++ b/src/program/ServingSetup.cpp
@@ -35,7 +35,7 @@
   }
   auto parsed = ParseEndpoint(Concat(aSettings.host.Value(), ":", aPort));
   if (!parsed) {
-    throw WrongUseError(Concat("--metrics '", aPort, "' is no port"));
+    throw UsageError(Concat("--metrics '", aPort, "' is no port"));
   }
   return parsed.value();
 }
--- a/src/program/ServingUpdatePublisher.cpp
+++ b/src/program/ServingUpdatePublisher.cpp
@@ -8,13 +8,13 @@
 namespace damasklink {
 namespace {
 
-// Between two urgent tellings of totals. Reading a prompt that is urgent to tell takes longer or
-// about as long, so a word that waits this long is still of use.
+// Minimum interval between two urgent publications of totals. The prefill of a prompt that is
+// reported as urgent takes about as long or longer, so a report delayed by this is still useful.
 constexpr Duration kMinUrgentInterval = std::chrono::milliseconds(10);
 
-// From the start of a control host until it knows the entry hosts of the others. Before that it
-// would divide limits among the few that it knows, beside what the other control hosts give to
-// theirs.
+// Time from the start of a control host until it knows the entry hosts of the other control hosts.
+// Earlier it would divide rate limits among the few hosts that it knows, in addition to the shares
+// that the other control hosts give to theirs.
 constexpr Duration kRegistrySettleTime = std::chrono::milliseconds(1000);
 
 bool
@@ -56,8 +56,8 @@
   ServingUpdate changes = this->MakeBaseUpdate();
   changes.targets = this->tracker.TakeChanges();
   changes.entryHosts = this->hosts.CountEntryHosts();
-  const bool named = this->hosts.TakeControlHostsChanged();
-  if (named) {
+  const bool controlHostsChanged = this->hosts.TakeControlHostsChanged();
+  if (controlHostsChanged) {
     changes.controlHosts = this->hosts.AllControlHosts();
   }
   CrashingRequests crashing = this->crashes.Verdicts();
@@ -66,10 +66,10 @@
     this->publishedCrashing = crashing;
     changes.crashing = std::move(crashing);
   }
-  const bool standingChanged = named || crashingChanged ||
-                               changes.entryHosts != this->publishedEntryHosts ||
-                               changes.isolated != this->publishedIsolated;
-  if (standingChanged || !changes.targets.empty()) {
+  const bool stateChanged = controlHostsChanged || crashingChanged ||
+                            changes.entryHosts != this->publishedEntryHosts ||
+                            changes.isolated != this->publishedIsolated;
+  if (stateChanged || !changes.targets.empty()) {
     this->publishedEntryHosts = changes.entryHosts;
     this->publishedIsolated = changes.isolated;
     this->SendToEntryHosts(Work::Pictures, changes);
@@ -77,14 +77,14 @@
   if (this->hosts.TakeEntryHostsChanged()) {
     this->SendToControlHosts(Work::Hosts, this->hosts.MakeEntryHostList());
   }
-  ServingUpdate report;
-  report.targets = this->tracker.TakeDirectUpdates();
-  if (!report.targets.empty()) {
-    this->SendToControlHosts(Work::Pictures, report);
+  ServingUpdate direct;
+  direct.targets = this->tracker.TakeDirectUpdates();
+  if (!direct.targets.empty()) {
+    this->SendToControlHosts(Work::Pictures, direct);
   }
 }
 
-// What stands in every tracker.
+// Makes an update with the fields that every update for entry hosts has.
 ServingUpdate
 ServingUpdatePublisher::MakeBaseUpdate() const
 {
@@ -106,42 +106,43 @@
   return base;
 }
 
-// The version alone: whoever does not hold the document asks one of those that announce it. Weights
-// go along when they have changed, not with each configuration.
+// Sends the version of the document only: a host that does not have the document requests it from
+// one of the hosts that announced the version. Weights are included if they have changed, not with
+// each configuration.
 void
 ServingUpdatePublisher::PublishGroupState()
 {
   const WorkTimer timer(this->account, Work::Pictures);
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
-  ServingUpdate standing = this->MakeBaseUpdate();
+  ServingUpdate update = this->MakeBaseUpdate();
   if (this->publishedWeights != this->group.State().Weights()) {
     this->publishedWeights = this->group.State().Weights();
-    standing.weights = this->publishedWeights;
+    update.weights = this->publishedWeights;
   }
   EvacuatedZones evacuated = this->group.State().Evacuated().Current();
   if (this->publishedEvacuated != evacuated) {
     this->publishedEvacuated = std::move(evacuated);
-    standing.evacuated = this->publishedEvacuated;
+    update.evacuated = this->publishedEvacuated;
   }
-  this->SendToEntryHosts(Work::Pictures, standing);
+  this->SendToEntryHosts(Work::Pictures, update);
 }
 
 void
 ServingUpdatePublisher::Answer(const HostId& aEntryHost, const DocumentRequest& aRequest)
 {
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
-  if (const std::optional<DocumentChunk> piece = this->document.Answer(aRequest)) {
-    this->EncodeAndSend(Work::Documents, aEntryHost, *piece);
+  if (const std::optional<DocumentChunk> chunk = this->document.Answer(aRequest)) {
+    this->EncodeAndSend(Work::Documents, aEntryHost, *chunk);
   }
 }
 
 void
-ServingUpdatePublisher::PublishStores(const std::vector<StoreUpdate>& aStatements)
+ServingUpdatePublisher::PublishStores(const std::vector<StoreUpdate>& aUpdates)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
-  ServingUpdate told = this->MakeBaseUpdate();
-  told.stores = aStatements;
-  this->SendToReportingHosts(Work::StoredParts, told);
+  ServingUpdate update = this->MakeBaseUpdate();
+  update.stores = aUpdates;
+  this->SendToReportingHosts(Work::StoredParts, update);
 }
 
 void
@@ -150,7 +151,7 @@
   Greeting greeting{ HostRole::Control, this->settings.zone, {} };
   greeting.controlHosts = this->hosts.AllControlHosts();
   this->EncodeAndSend(Work::Hosts, aPeer, greeting);
-  // Since what was told on an earlier connection may be lost.
+  // Everything is sent again, since messages on an earlier connection may have been lost.
   this->SendAllTargets(aPeer);
   this->EncodeAndSend(Work::Hosts, aPeer, this->hosts.MakeEntryHostList());
   this->SendAllReports(aPeer);
@@ -171,12 +172,13 @@
 void
 ServingUpdatePublisher::SendSnapshot(const HostId& aEntryHost)
 {
-  // Targets first: a host that knows a configuration takes calls.
+  // Targets go first: an entry host accepts calls as soon as it has a configuration.
   this->SendAllTargets(aEntryHost);
   this->EncodeAndSend(Work::Pictures, aEntryHost, this->MakeStateUpdate());
 }
 
-// Heartbeats that said nothing new may be missing in it: the next change makes it anew.
+// The cached message may lack heartbeats that changed nothing; it is made again after the next
+// change.
 void
 ServingUpdatePublisher::SendAllTargets(const HostId& aHost)
 {
@@ -194,15 +196,15 @@
   this->Send(Work::Pictures, aHost, this->allTargets);
 }
 
-// An entry host that tells this control host what it has hears of stored parts from it alone: they
-// change a thousand times a second, and each further word of it goes between zones.
+// An entry host gets stored parts only from the control host to which it reports: they change a
+// thousand times a second, and every further copy would be sent between zones.
 void
 ServingUpdatePublisher::SendAllStores(const HostId& aEntryHost)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
-  ServingUpdate told = this->MakeBaseUpdate();
-  told.stores = this->stores.All();
-  this->EncodeAndSend(Work::StoredParts, aEntryHost, told);
+  ServingUpdate update = this->MakeBaseUpdate();
+  update.stores = this->stores.All();
+  this->EncodeAndSend(Work::StoredParts, aEntryHost, update);
 }
 
 void
@@ -255,11 +257,11 @@
 std::vector<TargetLimit>
 ServingUpdatePublisher::LimitShares() const
 {
-  const bool gathers = this->clock.MonotonicNow() - this->startedAt < kRegistrySettleTime;
-  return this->limits.Shares(gathers ? std::set<HostId>() : this->recentHosts.All());
+  const bool settling = this->clock.MonotonicNow() - this->startedAt < kRegistrySettleTime;
+  return this->limits.Shares(settling ? std::set<HostId>() : this->recentHosts.All());
 }
 
-// Tells the shares of all limits where any has changed: limits, targets or entry hosts.
+// Sends the shares of all rate limits if any has changed because of limits, targets or entry hosts.
 void
 ServingUpdatePublisher::PublishLimits()
 {
@@ -299,8 +301,8 @@
   }
 }
 
-// Tells at once, unless entry hosts were told just now: with hundreds of them, one sends a long
-// prompt every few milliseconds, and each telling goes to all.
+// Publishes at once, unless entry hosts were sent totals within kMinUrgentInterval: with hundreds
+// of them, one sends a long prompt every few milliseconds, and each publication goes to all.
 void
 ServingUpdatePublisher::OnUrgentReport(bool aFromOwnHosts)
 {
@@ -351,7 +353,7 @@
   this->Send(aWork, aTo, EncodeServingMessage(aMessage));
 }
 
-// Many hosts get the same bytes, in this and the next two: they are encoded once.
+// This function and the next two encode a message once, since many hosts get the same bytes.
 void
 ServingUpdatePublisher::SendToEntryHosts(Work aWork, const ServingMessage& aMessage)
 {
--- a/src/program/ServingUpdatePublisher.h
+++ b/src/program/ServingUpdatePublisher.h
@@ -1,4 +1,4 @@
-// What one control host tells entry hosts and the other control hosts.
+// Sends the state of a control host to entry hosts and to the other control hosts.
 #pragma once
 
 #include <map>
@@ -20,8 +20,12 @@
 
 namespace damasklink {
 
-// Makes pictures of what this control host knows and sends them. Requires what it is made of to
-// outlive it. Not thread-safe.
+// Makes the messages in which this control host passes on what it knows of targets, hosts, stores,
+// load and the group's state, and sends each to the hosts that need it. The objects it is
+// constructed with must outlive it. Not thread-safe.
+//
+// A host "reports to" this one if it is an entry host that has this control host as its hub and
+// sends it load reports.
 class ServingUpdatePublisher
 {
 public:
@@ -35,35 +39,36 @@
                          PeerMesh& aMesh,
                          WorkAccount& aAccount);
 
-  // Tells what has changed of targets and hosts since the last call.
+  // Sends what has changed of targets and hosts since the last call.
   void PublishChanges();
 
-  // Tells all entry hosts which configuration and weights are in force.
+  // Sends the version of the configuration document to all entry hosts, and the versions of weights
+  // and the evacuated zones if they have changed.
   void PublishGroupState();
 
-  // Gives an entry host the next piece of the configuration document.
+  // Answers a request for a chunk of the configuration document.
   void Answer(const HostId& aEntryHost, const DocumentRequest& aRequest);
 
-  // Tells changes in stores to the entry hosts that listen to this control host for them.
-  void PublishStores(const std::vector<StoreUpdate>& aStatements);
+  // Sends changes in stores to the entry hosts that report to this one.
+  void PublishStores(const std::vector<StoreUpdate>& aUpdates);
 
-  // Tells a control host that was just connected who this one is and what it knows.
+  // Sends a greeting and the state of this host to a control host that has just connected.
   void SendGreeting(const HostId& aPeer);
 
-  // Tells an entry host that was just connected everything but stored parts.
+  // Sends everything but stored parts to an entry host that has just connected.
   void SendSnapshot(const HostId& aEntryHost);
 
-  // Takes what an entry host has at targets, or the sum of another control host.
+  // Processes the load report of an entry host, or the sum of another control host.
   void OnLoadReport(const HostId& aFrom, const LoadReport& aReport);
 
-  // Tells the sums of this host to the other control hosts, and the totals to the entry hosts that
-  // tell this one what they have.
+  // Sends the load sums of this host to the other control hosts, and the totals to the entry hosts
+  // that report to this one.
   void PublishLoads();
 
-  // Returns whether something urgent was taken that is not told yet.
+  // Returns whether an urgent report was received that is not passed on yet.
   bool HasUrgentReport() const { return this->urgentPending; }
 
-  // A host's connection to this one is lost.
+  // The connection of a host to this one is lost.
   void OnLost(const HostId& aHost) { this->sends.Remove(aHost); }
 
 private:
@@ -95,31 +100,31 @@
   WorkAccount& account;
   SendsHub sends;
   DocumentPublisher document;
-  // When entry hosts were told totals last.
+  // When totals were last sent to entry hosts.
   MonotonicTime totalsPublishedAt;
-  // An urgent word of an entry host, or of any host, waits for the next telling.
+  // An urgent report of an own entry host, or of any host, waits to be passed on.
   bool ownUrgentPending = false;
   bool urgentPending = false;
-  // All targets as they are told to who connects, and what that was made of: hundreds of hosts
-  // connect at once, and each is told the same.
+  // The encoded update of all targets for hosts that connect, and what it was made from. It is kept
+  // since hundreds of hosts may connect at once, and each gets the same.
   std::string allTargets;
   ServingUpdate allTargetsBase;
   std::uint64_t allTargetsRevision = 0;
-  // What entry hosts were told last.
+  // What was last sent to entry hosts.
   std::uint64_t publishedEntryHosts = 0;
   bool publishedIsolated = false;
   std::map<ModelName, std::uint64_t> publishedWeights;
   EvacuatedZones publishedEvacuated;
   CrashingRequests publishedCrashing;
-  // What own entry hosts reported, for the other control hosts.
+  // Reports of own entry hosts that are not sent to the other control hosts yet.
   std::vector<CrashReport> unpublishedCrashes;
   std::vector<SuccessfulRun> unpublishedSuccesses;
-  // Since when this host has heard others tell of entry hosts.
+  // Start of the registry of entry hosts; see kRegistrySettleTime.
   MonotonicTime startedAt;
   RecentHosts recentHosts;
   RateLimitAllocator limits;
   std::vector<TargetLimit> publishedLimits;
-  // What own entry hosts reported, for the other control hosts.
+  // Reports of own entry hosts that are not sent to the other control hosts yet.
   std::vector<LimitReport> unpublishedLimits;
 };
 
--- a/src/program/StatusCommand.cpp
+++ b/src/program/StatusCommand.cpp
@@ -6,7 +6,7 @@
 namespace damasklink {
 namespace {
 
-// "how long ago" to the whole second; nothing more exact means anything to a reader.
+// Formats an age in whole seconds; more precision is of no use to a reader.
 std::string
 AgeText(Duration aAge)
 {
@@ -19,8 +19,9 @@
   std::cout << "host " << aStatus.host << " zone " << aStatus.zone << " revision "
             << aStatus.revision << '\n';
   if (aStatus.stale) {
-    std::cout << "STALE: cut off from the leader, last confirmed " << AgeText(aStatus.confirmedAge)
-              << " ago; serving by the revision above, changes are refused\n";
+    std::cout << "STALE: no contact with the leader, last confirmed "
+              << AgeText(aStatus.confirmedAge)
+              << " ago; serving the revision above, changes are refused\n";
   } else {
     std::cout << "confirmed by the leader " << AgeText(aStatus.confirmedAge) << " ago\n";
   }
@@ -45,7 +46,7 @@
   damasklink status (--host ADDR)... [options]
   damasklink status --settings FILE [options]
 
-The first host that answers is the one that is shown.
+Prints the status of the first host that answers.
 
 Options:
   --host ADDR        Operators' address of a host, as IP:PORT; the next is tried when it fails.
--- a/src/program/TargetTracker.cpp
+++ b/src/program/TargetTracker.cpp
@@ -18,12 +18,12 @@
 TargetTracker::OnHeartbeat(const TargetRecord& aRecord)
 {
   const TargetRecord* known = this->registry.Find(aRecord.id);
-  const bool itsService = known != nullptr && known->service == aRecord.service;
-  if (this->services && !this->services->contains(aRecord.service) && !itsService) {
+  const bool sameService = known != nullptr && known->service == aRecord.service;
+  if (this->services && !this->services->contains(aRecord.service) && !sameService) {
     return false;
   }
   if (this->Merge(aRecord)) {
-    this->news[aRecord.id] = aRecord;
+    this->directRecords[aRecord.id] = aRecord;
   }
   return true;
 }
@@ -37,21 +37,21 @@
 bool
 TargetTracker::Merge(const TargetRecord& aRecord)
 {
-  const bool isNews = this->registry.Merge(aRecord);
-  if (isNews) {
+  const bool isNew = this->registry.Merge(aRecord);
+  if (isNew) {
     this->touched.insert(aRecord.id);
     this->AddColdTarget(aRecord, aRecord.coldFor);
   }
-  return isNews;
+  return isNew;
 }
 
 void
 TargetTracker::AddColdTarget(const TargetRecord& aRecord, Duration aColdFor)
 {
-  const auto traits = this->coldStartSpecs.find(aRecord.service);
-  if (aColdFor > Duration::zero() && traits != this->coldStartSpecs.end()) {
+  const auto spec = this->coldStartSpecs.find(aRecord.service);
+  if (aColdFor > Duration::zero() && spec != this->coldStartSpecs.end()) {
     this->cold.push_back(
-      ColdTarget{ aRecord.id, aRecord.incarnation, aColdFor, traits->second.rate });
+      ColdTarget{ aRecord.id, aRecord.incarnation, aColdFor, spec->second.rate });
   }
 }
 
@@ -59,9 +59,9 @@
 TargetTracker::OnZoneReturned(const ZoneId& aZone)
 {
   for (const TargetRecord& record : this->registry.All()) {
-    const auto traits = this->coldStartSpecs.find(record.service);
-    if (record.zone == aZone && traits != this->coldStartSpecs.end()) {
-      this->AddColdTarget(record, traits->second.lasts);
+    const auto spec = this->coldStartSpecs.find(record.service);
+    if (record.zone == aZone && spec != this->coldStartSpecs.end()) {
+      this->AddColdTarget(record, spec->second.lasts);
     }
   }
 }
@@ -72,8 +72,9 @@
   TargetRecord record;
   record.incarnation = aIncarnation;
   if (const TargetRecord* known = this->registry.Find(aTarget); known != nullptr) {
-    const bool ofEarlierStart = aIncarnation > Incarnation() && aIncarnation < known->incarnation;
-    if (ofEarlierStart) {
+    const bool ofEarlierIncarnation =
+      aIncarnation > Incarnation() && aIncarnation < known->incarnation;
+    if (ofEarlierIncarnation) {
       return;
     }
     record = *known;
@@ -81,31 +82,31 @@
   }
   record.id = aTarget;
   record.leaving = true;
-  // Higher than any heartbeat that is still on its way.
+  // Higher than that of any heartbeat that may still arrive.
   record.sequence = Sequence(std::numeric_limits<std::uint64_t>::max());
   if (this->Merge(record)) {
-    this->news[aTarget] = record;
+    this->directRecords[aTarget] = record;
   }
 }
 
 TargetUpdate
 TargetTracker::MakeTargetUpdate(const TargetRecord& aRecord) const
 {
-  TargetUpdate statement;
-  statement.record = aRecord;
-  statement.paused = this->paused.contains(aRecord.id);
-  for (ServedModel& served : statement.record.models) {
+  TargetUpdate update;
+  update.record = aRecord;
+  update.paused = this->paused.contains(aRecord.id);
+  for (ServedModel& served : update.record.models) {
     const auto found = this->reported.find({ aRecord.id, served.model });
     if (found != this->reported.end() && found->second > WeightNumber(served.version)) {
       served.version = WeightVersion(std::to_string(found->second));
     }
   }
   if (aRecord.leaving) {
-    statement.standing = TargetAvailability::Leaving;
+    update.standing = TargetAvailability::Leaving;
   } else if (!this->registry.IsUsable(aRecord.id)) {
-    statement.standing = TargetAvailability::Silent;
+    update.standing = TargetAvailability::Silent;
   }
-  return statement;
+  return update;
 }
 
 void
@@ -119,22 +120,22 @@
     if (record == nullptr) {
       continue;
     }
-    TargetUpdate statement = this->MakeTargetUpdate(*record);
+    TargetUpdate update = this->MakeTargetUpdate(*record);
     TargetUpdate& before = this->published[target];
-    // A heartbeat that says the same again is no news to an entry host.
+    // Sequence and load differ in each heartbeat and are not published by themselves.
     before.record.sequence = record->sequence;
     before.record.load = record->load;
-    if (statement == before) {
+    if (update == before) {
       continue;
     }
     LogEvent(LogLevel::Info, "target_changed")
       .With("target", target)
       .With("service", record->service)
       .With("address", FormatEndpoint(record->endpoint))
-      .With("standing", static_cast<int>(statement.standing))
-      .With("paused", statement.paused)
+      .With("standing", static_cast<int>(update.standing))
+      .With("paused", update.paused)
       .With("sequence", record->sequence);
-    before = std::move(statement);
+    before = std::move(update);
     this->unpublished.insert(target);
     ++this->changeCount;
     this->enginesListed = false;
@@ -182,15 +183,15 @@
   }
   this->usableEngines.clear();
   this->remainingEngines.clear();
-  for (const auto& [target, statement] : this->published) {
-    if (statement.record.kind != TargetKind::Engine) {
+  for (const auto& [target, update] : this->published) {
+    if (update.record.kind != TargetKind::Engine) {
       continue;
     }
-    if (statement.standing == TargetAvailability::Usable) {
-      this->usableEngines.push_back(statement.record);
+    if (update.standing == TargetAvailability::Usable) {
+      this->usableEngines.push_back(update.record);
     }
-    if (statement.standing != TargetAvailability::Leaving) {
-      this->remainingEngines.push_back(statement.record);
+    if (update.standing != TargetAvailability::Leaving) {
+      this->remainingEngines.push_back(update.record);
     }
   }
 }
@@ -213,34 +214,34 @@
   if (aReported == this->reported) {
     return;
   }
-  const auto touchAll = [this](const auto& aReports) {
+  const auto markTouched = [this](const auto& aReports) {
     for (const auto& [engine, version] : aReports) {
       this->touched.insert(engine.first);
     }
   };
-  touchAll(this->reported);
-  touchAll(aReported);
+  markTouched(this->reported);
+  markTouched(aReported);
   this->reported = aReported;
 }
 
 std::vector<TargetUpdate>
 TargetTracker::TakeDirectUpdates()
 {
-  std::vector<TargetUpdate> statements;
-  for (const auto& [id, record] : std::exchange(this->news, {})) {
-    statements.push_back(this->MakeTargetUpdate(record));
+  std::vector<TargetUpdate> updates;
+  for (const auto& [id, record] : std::exchange(this->directRecords, {})) {
+    updates.push_back(this->MakeTargetUpdate(record));
   }
-  return statements;
+  return updates;
 }
 
 std::vector<TargetUpdate>
 TargetTracker::All() const
 {
-  std::vector<TargetUpdate> statements;
+  std::vector<TargetUpdate> updates;
   for (const TargetRecord& record : this->registry.All()) {
-    statements.push_back(this->MakeTargetUpdate(record));
+    updates.push_back(this->MakeTargetUpdate(record));
   }
-  return statements;
+  return updates;
 }
 
 } // namespace damasklink
--- a/src/program/TargetTracker.h
+++ b/src/program/TargetTracker.h
@@ -1,4 +1,4 @@
-// What a control host tells entry hosts and other control hosts: targets as it heard them.
+// What a control host knows of targets, and which updates other hosts have not been sent yet.
 #pragma once
 
 #include <map>
@@ -14,68 +14,71 @@
 
 namespace damasklink {
 
-// Hears the targets, directly or through other control hosts, and finds what has changed for entry
-// hosts. Not thread-safe.
+// Merges the records of targets, received from the targets or relayed by other control hosts, and
+// collects the updates for entry hosts and for other control hosts. Not thread-safe.
 //
 //   TargetTracker tracker(clock, silence);
-//   tracker.OnHeartbeat(record);                  // From the target.
-//   tracker.OnRelayedRecord(record);        // From another control host.
-//   tracker.TakeChanges();                 // For entry hosts.
-//   tracker.TakeDirectUpdates();                    // For other control hosts.
+//   tracker.OnHeartbeat(record);      // From the target.
+//   tracker.OnRelayedRecord(record);  // From another control host.
+//   tracker.TakeChanges();            // For entry hosts.
+//   tracker.TakeDirectUpdates();      // For other control hosts.
 class TargetTracker
 {
 public:
+  // A target without a heartbeat for aSilence counts as silent.
   TargetTracker(const Clock& aClock, Duration aSilence);
 
-  // Returns false, and takes no note, when the target names a service that the configuration does
-  // not: the writer is not one of the deployment's targets, and may bear the id of one.
+  // Returns false and ignores the record if the configuration does not have the target's service:
+  // the sender is not a target of the deployment, though it may use the id of one.
   bool OnHeartbeat(const TargetRecord& aRecord);
   void OnRelayedRecord(const TargetRecord& aRecord);
 
-  // The target signed off; which start of it, where it said so. The word of an earlier start
-  // changes nothing.
+  // The target signed off. aIncarnation is zero if the target did not name it; a departure of an
+  // earlier incarnation is ignored.
   void OnDeparture(const TargetId& aTarget, Incarnation aIncarnation = Incarnation());
 
-  // Takes the services that the configuration names. Before the first call all are known.
+  // Sets the services of the configuration. Before the first call every service is accepted.
   void SetServices(std::set<ServiceName> aServices) { this->services = std::move(aServices); }
 
-  // Takes the services whose targets bear only a few requests while they are cold.
+  // Sets the services whose targets take only a limited rate of requests while they are cold.
   void SetColdStartSpecs(std::map<ServiceName, ColdStartSpec> aSpecs)
   {
     this->coldStartSpecs = std::move(aSpecs);
   }
 
-  // The zone was evacuated and is not any more: its targets may have become cold meanwhile without
-  // having said so yet.
+  // Marks the targets of a zone as cold when its evacuation has ended: they may have become cold
+  // meanwhile and not reported it yet.
   void OnZoneReturned(const ZoneId& aZone);
 
-  // Returns the targets that were heard to be cold since the last call.
+  // Returns the targets that were found to be cold since the last call.
   std::vector<ColdTarget> TakeColdTargets() { return std::exchange(this->cold, {}); }
 
-  // Returns the statements that differ from what TakeChanges() returned before. Requires to be
-  // called now and then, since silence is a change too. Costs little where nothing has changed.
+  // Returns the updates that differ from what TakeChanges() returned before. Must be called
+  // regularly, since a target that becomes silent is a change, too. Cheap if nothing has changed.
   std::vector<TargetUpdate> TakeChanges();
 
-  // Returns the records that were heard directly since the last call.
+  // Returns updates for the records that were received from the targets themselves since the last
+  // call.
   std::vector<TargetUpdate> TakeDirectUpdates();
 
-  // Returns the statements on all targets.
+  // Returns the updates for all targets.
   std::vector<TargetUpdate> All() const;
 
-  // Rises whenever anything has changed that TakeChanges() tells.
+  // Returns a counter that rises with each change that TakeChanges() returns.
   std::uint64_t ChangeCount();
 
-  // Returns the engines that may get new work, with the newest weights that are known of them, as
-  // of now. Their sequence and load may be older.
+  // Returns the engines that may get new work now, with the newest known version of their weights.
+  // Sequence and load of the records may be older.
   const std::vector<TargetRecord>& UsableEngines();
 
-  // As above, with those that are silent and may come back.
+  // Returns the usable engines and the silent ones, which may come back.
   const std::vector<TargetRecord>& RemainingEngines();
 
-  // Takes targets out of use for new work, and back.
+  // Sets the targets that get no new work; all others get work again.
   void SetPaused(std::set<TargetId> aTargets);
 
-  // Takes the weights that engines reported, which are newer than what their heartbeats said.
+  // Sets the versions of weights that engines have reported; they may be newer than those of their
+  // heartbeats.
   void SetReportedWeights(const std::map<std::pair<TargetId, ModelName>, std::uint64_t>& aReported);
 
   const TargetRegistry& Registry() const { return this->registry; }
@@ -93,16 +96,17 @@
   std::vector<ColdTarget> cold;
   std::set<TargetId> paused;
   std::map<std::pair<TargetId, ModelName>, std::uint64_t> reported;
-  // Targets of which something was heard or decided since the last look for changes: a step costs
-  // what these do, not what all targets would.
+  // Targets that may have changed since the last FindChanges(), which looks at these only, so that
+  // its cost does not grow with the number of all targets.
   std::set<TargetId> touched;
-  // As of the last look for changes.
+  // The updates as of the last FindChanges().
   std::map<TargetId, TargetUpdate> published;
   std::uint64_t changeCount = 0;
-  // Those that have changed since they were told.
+  // Targets whose change TakeChanges() has not returned yet.
   std::set<TargetId> unpublished;
-  std::map<TargetId, TargetRecord> news;
-  // Made of what is published; made anew after a change.
+  // Records received from the targets themselves that are not relayed to other control hosts yet.
+  std::map<TargetId, TargetRecord> directRecords;
+  // Both lists are derived from `published` and made again after a change.
   bool enginesListed = false;
   std::vector<TargetRecord> usableEngines;
   std::vector<TargetRecord> remainingEngines;
--- a/src/program/TreeWriter.cpp
+++ b/src/program/TreeWriter.cpp
@@ -64,7 +64,7 @@
 TreeWriter::Write(const RevisionedTree& aTree)
 {
   if (auto written = this->file.Write(aTree); !written) {
-    // The host goes on: its peers and the group's log hold the tree too.
+    // The host continues: its peers and the group's log have the tree, too.
     LogEvent(LogLevel::Error, "tree_not_stored")
       .With("revision", aTree.Current())
       .With("error", written.error());
--- a/src/program/TreeWriter.h
+++ b/src/program/TreeWriter.h
@@ -1,4 +1,4 @@
-// Writes the tree in force to this host's disk on a thread of its own.
+// Writes the configuration tree in force to this host's disk in the background.
 #pragma once
 
 #include <optional>
@@ -12,25 +12,33 @@
 
 namespace damasklink {
 
-// Keeps the newest tree it was given. Rests after each write for kRestFactor times as long as the
-// write took, so that a large tree costs the disk little; the last one is written when it stops.
+// Writes the newest scheduled tree on a separate thread. After each write it pauses for kRestFactor
+// times as long as the write took, so that a large tree takes little of the disk's throughput. The
+// destructor writes a tree that is still scheduled.
+//
+//   TreeWriter writer(clock, folder);
+//   auto stored = writer.Read();
+//   writer.Start();
+//   writer.ScheduleWrite(tree);
+//
+// ScheduleWrite() may be called on any thread. Failed writes are logged.
 class TreeWriter
 {
 public:
   static constexpr int kRestFactor = 20;
 
-  // Requires aFolder not to be empty.
+  // aFolder must not be empty.
   TreeWriter(const Clock& aClock, const std::string& aFolder);
   ~TreeWriter();
   TreeWriter(const TreeWriter&) = delete;
   TreeWriter& operator=(const TreeWriter&) = delete;
 
-  // Returns what is stored. Requires to be called before Start().
+  // Returns the stored tree. Must be called before Start().
   Result<RevisionedTree> Read() const { return this->file.Read(); }
 
   void Start();
 
-  // Replaces what is to be written next; a copy that shares all contents.
+  // Replaces the tree to be written next. Copying is cheap, since copies of a tree share contents.
   void ScheduleWrite(const RevisionedTree& aTree);
 
 private:
--- a/test/program/ApplyCommandTest.cpp
+++ b/test/program/ApplyCommandTest.cpp
@@ -14,7 +14,7 @@
 
 using ::testing::HasSubstr;
 
-// A running host, and a folder of subtrees for the commands.
+// A running host, and a folder of subtrees that the commands read.
 class ApplyCommandTest : public ::testing::Test
 {
 protected:
@@ -61,7 +61,7 @@
   std::string errors;
 };
 
-TEST_F(ApplyCommandTest, TakeoverOfAFolderTouchesNothingElseAndCanBeRunAgain)
+TEST_F(ApplyCommandTest, AppliesFolderIdempotentlyAndTouchesNothingElse)
 {
   this->WriteFile("a.yaml", WorkspaceWithKey("a", "key-a"));
   this->WriteFile("b.yaml", WorkspaceWithKey("b", "key-b"));
@@ -74,7 +74,7 @@
   EXPECT_THAT(this->out, HasSubstr("made_from: 2"));
 }
 
-TEST_F(ApplyCommandTest, OneFaultAnywhereAndNothingIsSent)
+TEST_F(ApplyCommandTest, SendsNothingIfAnyFileHasFaults)
 {
   this->WriteFile("a.yaml", WorkspaceWithKey("a", "key-a"));
   this->WriteFile("b.yaml", WorkspaceWithKey("b", "counter-key"));
@@ -87,7 +87,7 @@
   EXPECT_THAT(this->out, HasSubstr("revision 2\n"));
 }
 
-TEST_F(ApplyCommandTest, FileMadeFromAnOldVersionIsRefusedAndDiffShowsBothSides)
+TEST_F(ApplyCommandTest, RefusesFileMadeFromOldVersionAndDiffShowsBothSides)
 {
   const std::string head = "made_from: 2\nworkspaces:\n  head-office:\n    share: ";
   this->WriteFile("office.yaml", head + "5\n");
@@ -102,7 +102,7 @@
   EXPECT_THAT(this->out, HasSubstr("changed by operator as apply-"));
 }
 
-TEST_F(ApplyCommandTest, HostThatCannotBeReachedIsFollowedByTheNext)
+TEST_F(ApplyCommandTest, TriesNextHostIfOneIsUnreachable)
 {
   EXPECT_EQ(this->Run({ "status", "--host", "127.0.0.1:1" }), ExitCode::Done) << this->errors;
   EXPECT_THAT(this->out, HasSubstr("host solo zone hall-north revision 2"));
--- a/test/program/CommandsTest.cpp
+++ b/test/program/CommandsTest.cpp
@@ -13,7 +13,7 @@
 using testing::HasSubstr;
 using Words = std::vector<std::string>;
 
-// Runs the program and keeps what it printed.
+// Runs the program and captures its output.
 class CommandsTest : public testing::Test
 {
 protected:
@@ -27,7 +27,7 @@
     return code;
   }
 
-  // Writes a file that lasts until the test ends, and returns its path.
+  // Writes a file named after the test, and returns its path.
   std::string Write(const std::string& aText)
   {
     const std::string path = testing::TempDir() + "/" +
@@ -60,21 +60,21 @@
   }
 }
 
-TEST_F(CommandsTest, WrongUseNamesTheHelp)
+TEST_F(CommandsTest, UsageErrorPointsToHelp)
 {
   const std::vector<Words> wrong{
     {}, { "dance" }, { "check" }, { "serve" }, { "check", "--colour", "x" }
   };
   for (const Words& words : wrong) {
-    EXPECT_EQ(this->Run(words), ExitCode::WrongUse);
+    EXPECT_EQ(this->Run(words), ExitCode::InvalidUsage);
     EXPECT_THAT(this->err, HasSubstr("--help"));
   }
 }
 
-TEST_F(CommandsTest, UnknownLogLevelAndFormatAreWrongUse)
+TEST_F(CommandsTest, UnknownLogLevelAndFormatAreUsageErrors)
 {
-  EXPECT_EQ(this->Run({ "check", "--log-level", "loud", "f" }), ExitCode::WrongUse);
-  EXPECT_EQ(this->Run({ "check", "--output", "xml", "f" }), ExitCode::WrongUse);
+  EXPECT_EQ(this->Run({ "check", "--log-level", "loud", "f" }), ExitCode::InvalidUsage);
+  EXPECT_EQ(this->Run({ "check", "--output", "xml", "f" }), ExitCode::InvalidUsage);
 }
 
 TEST_F(CommandsTest, CheckListsAllFaultsAsJson)
--- a/test/program/ConfigurationApiTest.cpp
+++ b/test/program/ConfigurationApiTest.cpp
@@ -55,7 +55,7 @@
   HostProcess host{ SampleSettings() };
 };
 
-TEST_F(ConfigurationApiTest, AcceptedChangeIsReadBackWithItsHistory)
+TEST_F(ConfigurationApiTest, ReturnsAcceptedChangeAndItsHistory)
 {
   const SubtreeView before = this->Office();
   const HttpAnswer answer = this->Apply(ShareChange("c1", before.version.Value()));
@@ -71,7 +71,7 @@
     << "a resend gets the first answer";
 }
 
-TEST_F(ConfigurationApiTest, ChangeFromAnOldVersionConflictsWithTheRemedy)
+TEST_F(ConfigurationApiTest, RefusesChangeFromOldVersionWithRemedy)
 {
   const HttpAnswer answer = this->Apply(ShareChange("c1", 77));
   EXPECT_EQ(answer.status, kConflict);
@@ -80,7 +80,7 @@
   EXPECT_THAT(answer.body, HasSubstr("not_run"));
 }
 
-TEST_F(ConfigurationApiTest, FaultyContentIsRefusedWithItsLine)
+TEST_F(ConfigurationApiTest, RefusesFaultyContentWithItsLine)
 {
   ChangeRequest request = ShareChange("c1", 0);
   request.content = "workspaces:\n  head-office:\n    colour: red\n";
@@ -91,7 +91,7 @@
   EXPECT_THAT(this->Apply(request).body, HasSubstr("not the one subtree"));
 }
 
-TEST_F(ConfigurationApiTest, EveryCallNeedsAnOperatorsKey)
+TEST_F(ConfigurationApiTest, EveryCallRequiresAnOperatorKey)
 {
   for (const char* path : { "subtrees", "subtrees/defaults", "history", "status", "in-force" }) {
     EXPECT_EQ(this->Ask("GET", path, "", kCallerKey).status, kUnauthenticated) << path;
@@ -99,7 +99,7 @@
   EXPECT_EQ(this->Ask("POST", "changes", "{}", "").status, kUnauthenticated);
 }
 
-TEST_F(ConfigurationApiTest, TellsWhereARevisionIsInForce)
+TEST_F(ConfigurationApiTest, ReportsHostsWhereRevisionIsInForce)
 {
   const auto inForce = ParseInForceReport(this->Ask("GET", "in-force?revision=1").body).value();
   EXPECT_EQ(inForce.inForce, std::vector<HostId>{ HostId("solo") });
@@ -107,8 +107,8 @@
   EXPECT_EQ(missing.missing, std::vector<HostId>{ HostId("solo") });
 }
 
-// One host of three whose peers cannot be reached, with a tree on its disk.
-TEST(IsolatedHostTest, ServesItsStoredTreeSaysSoAndRefusesChanges)
+// One host of three whose peers are unreachable, with a tree on its disk.
+TEST(IsolatedHostTest, ServesStoredTreeAsStaleAndRefusesChanges)
 {
   const std::filesystem::path folder =
     std::filesystem::temp_directory_path() / ("cut-off-host-" + std::to_string(::getpid()));
--- a/test/program/ConfigurationDistributionTest.cpp
+++ b/test/program/ConfigurationDistributionTest.cpp
@@ -1,11 +1,11 @@
-// How configurations reach an entry host over a thin link that calls share.
+// Distribution of configurations to an entry host over a slow link that it shares with calls.
 //
-// What was seen: routes were added by the thousand, and most entry hosts went on by the version
-// before for as long as they lived, while their links stayed full and calls came seconds late.
-// How it came about: each of three control hosts sent each version whole to each entry host, over
-// one link of 10 Mbit/s. A connection on which no whole message had come for 1.7 s was given up,
-// and the next one began with all of it again. What proved it: versions stood still while the
-// links were full without a change, and connections broke as often as that limit allows.
+// Guards against a failure in which entry hosts kept the previous version for good after thousands
+// of routes were added, while their links were full and calls came seconds late. Each of three
+// control hosts sent each version as a whole to each entry host, over one link of 10 Mbit/s. A
+// connection without a complete message for 1.7 s was closed, and the next one started from the
+// beginning: the links were full although nothing changed, and connections broke as often as that
+// limit allows.
 #include <csignal>
 #include <random>
 #include <thread>
@@ -33,15 +33,14 @@
 // 10 Mbit/s, the link of an entry host.
 constexpr double kLinkBytesPerSecond = 1'250'000;
 
-// What a link carries besides in the course of a test: signs of life and what hosts are told of
-// each other, below 2 KB/s.
-constexpr std::size_t kStandingBytes = 64 * 1024;
+// Other traffic on the link during a test: heartbeats and updates about hosts, less than 2 KB/s.
+constexpr std::size_t kBackgroundBytes = 64 * 1024;
 
-// Far above what a sound transfer takes, on a busy machine too: a transfer that never ends is what
-// the tests are after.
-constexpr auto kNever = std::chrono::seconds(20);
+// Much longer than a successful transfer takes, even on a busy machine: the tests look for
+// transfers that never end.
+constexpr auto kTransferTimeout = std::chrono::seconds(20);
 
-// A configuration of routes with names as long and as random as those of operators.
+// A configuration with routes whose names are as long and as random as those of operators.
 class Routes
 {
 public:
@@ -85,7 +84,7 @@
   std::vector<std::string> places;
 };
 
-// Three control hosts, and an entry host that reaches them over one slow link.
+// Three control hosts, and an entry host that is connected to them over one slow link.
 class ConfigurationDistributionTest : public ::testing::Test
 {
 protected:
@@ -142,7 +141,7 @@
     this->threads.emplace_back([&host] { EXPECT_TRUE(host.Run()); });
   }
 
-  // Puts the routes under the next version, and waits until they are acknowledged.
+  // Puts the routes as the next version, and waits until it is acknowledged.
   void Put()
   {
     const std::string document = this->routes.Document(++this->version);
@@ -151,8 +150,8 @@
     });
   }
 
-  // Returns whether the entry host relays by the newest route; there is no target, so a call on a
-  // known route is refused.
+  // Returns whether the newest route is in force on the entry host. A call on a known route is
+  // refused with 503, since there is no target.
   bool NewestIsInForce()
   {
     const std::string answer =
@@ -166,7 +165,7 @@
 
   bool AwaitNewest()
   {
-    const auto last = std::chrono::steady_clock::now() + kNever;
+    const auto last = std::chrono::steady_clock::now() + kTransferTimeout;
     while (std::chrono::steady_clock::now() < last) {
       if (this->NewestIsInForce()) {
         return true;
@@ -176,12 +175,12 @@
     return false;
   }
 
-  // Returns what the link has carried once nothing large is on its way any more.
-  std::size_t ReceivedInAll()
+  // Waits until no large transfer is in flight, and returns the bytes that the link has carried.
+  std::size_t ReceivedInTotal()
   {
     std::size_t before = 0;
     std::size_t now = this->link.Received();
-    while (now - before > kStandingBytes / 10) {
+    while (now - before > kBackgroundBytes / 10) {
       std::this_thread::sleep_for(std::chrono::milliseconds(500));
       before = std::exchange(now, this->link.Received());
     }
@@ -202,7 +201,7 @@
   std::vector<std::thread> threads;
 };
 
-TEST_F(ConfigurationDistributionTest, RoutesByTheThousandAreInForceThoughMoreFollow)
+TEST_F(ConfigurationDistributionTest, ThousandsOfRoutesComeIntoForceWhileMoreFollow)
 {
   this->routes.Add(50);
   this->Put();
@@ -210,35 +209,35 @@
   for (int change = 0; change < 3; ++change) {
     this->routes.Add(1400);
     this->Put();
-    // The same routes under the next version, before the first can have arrived everywhere.
+    // The same routes as the next version, before the first can have arrived everywhere.
     this->Put();
     ASSERT_TRUE(this->AwaitNewest()) << "after change " << change;
   }
 }
 
-TEST_F(ConfigurationDistributionTest, AChangeCostsNoMoreThanOneCopyOfWhatIsNew)
+TEST_F(ConfigurationDistributionTest, ChangeTransfersAddedRoutesOnlyOnce)
 {
   this->routes.Add(2850);
   this->Put();
   ASSERT_TRUE(this->AwaitNewest());
-  const std::size_t before = this->ReceivedInAll();
+  const std::size_t before = this->ReceivedInTotal();
   this->routes.Add(1400);
   this->Put();
   ASSERT_TRUE(this->AwaitNewest());
   const std::size_t added = 1400 * Routes::Route(this->routes.Newest()).size();
-  EXPECT_LE(this->ReceivedInAll() - before, added + kStandingBytes);
+  EXPECT_LE(this->ReceivedInTotal() - before, added + kBackgroundBytes);
 }
 
-TEST_F(ConfigurationDistributionTest, ASmallChangeAmongThousandsOfRoutesIsSmallOnTheLink)
+TEST_F(ConfigurationDistributionTest, SmallChangeOfLargeDocumentIsSmallOnTheLink)
 {
   this->routes.Add(4250);
   this->Put();
   ASSERT_TRUE(this->AwaitNewest());
-  const std::size_t before = this->ReceivedInAll();
+  const std::size_t before = this->ReceivedInTotal();
   this->routes.Add(1);
   this->Put();
   ASSERT_TRUE(this->AwaitNewest());
-  EXPECT_LE(this->ReceivedInAll() - before, kStandingBytes);
+  EXPECT_LE(this->ReceivedInTotal() - before, kBackgroundBytes);
 }
 
 } // namespace
--- a/test/program/OperatorPartTest.cpp
+++ b/test/program/OperatorPartTest.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(this->Ask("GET", "/readyz", "").status, kOk);
 }
 
-TEST_F(OperatorPartTest, EverythingElseNeedsAnOperatorKey)
+TEST_F(OperatorPartTest, OtherRoutesRequireAnOperatorKey)
 {
   for (const char* path : { "/metrics", "/v1/burn" }) {
     EXPECT_EQ(this->Ask("GET", path, "").status, kUnauthenticated) << path;
@@ -88,7 +88,7 @@
   EXPECT_EQ(burn.at("workspaces").at(0).at("windows").size(), 3U);
 }
 
-// Asks for the report with the key in the environment.
+// Runs the report command with the key in the environment.
 class ReportCommandTest : public OperatorPartTest
 {
 protected:
@@ -119,26 +119,27 @@
   EXPECT_THAT(this->out, HasSubstr("from 1 hosts"));
 }
 
-TEST_F(ReportCommandTest, NamesHostsItCouldNotReachAndStillPrintsTheRest)
+TEST_F(ReportCommandTest, ListsUnreachableHostsAndPrintsTheRest)
 {
-  // A server that was stopped leaves a port on which nothing listens.
-  HttpServer gone({ Endpoint{ "127.0.0.1", 0 }, 1, ByteCount(kMebibyte), std::chrono::seconds(1) });
-  ASSERT_TRUE(gone.Start());
-  const std::string absent = FormatEndpoint(gone.Address());
-  gone.Stop();
-  EXPECT_EQ(this->Report({ FormatEndpoint(this->operators), absent }, kOperatorKey.c_str()),
+  // After the server has stopped, nothing listens on its port.
+  HttpServer stopped(
+    { Endpoint{ "127.0.0.1", 0 }, 1, ByteCount(kMebibyte), std::chrono::seconds(1) });
+  ASSERT_TRUE(stopped.Start());
+  const std::string unreachable = FormatEndpoint(stopped.Address());
+  stopped.Stop();
+  EXPECT_EQ(this->Report({ FormatEndpoint(this->operators), unreachable }, kOperatorKey.c_str()),
             ExitCode::Unreachable);
   EXPECT_THAT(this->out, HasSubstr("head-office"));
-  EXPECT_THAT(this->out, HasSubstr("unreached: " + absent));
+  EXPECT_THAT(this->out, HasSubstr("unreached: " + unreachable));
 }
 
-TEST_F(ReportCommandTest, RefusedKeyIsSaidWithItsRemedy)
+TEST_F(ReportCommandTest, PrintsRemedyForRefusedKey)
 {
   EXPECT_EQ(this->Report({ FormatEndpoint(this->operators) }, "wrong"), ExitCode::Refused);
   EXPECT_THAT(this->err, HasSubstr("compare the key"));
 }
 
-TEST_F(ReportCommandTest, LogLevelCommandChangesTheHostOrSaysWhyNot)
+TEST_F(ReportCommandTest, LogLevelCommandChangesHostOrReportsError)
 {
   const std::string host = FormatEndpoint(this->operators);
   ::setenv("DAMASKLINK_OPERATOR_KEY", kOperatorKey.c_str(), 1);
@@ -147,15 +148,15 @@
   EXPECT_EQ(RunProgram({ "log-level", "debug", "--host", host }), ExitCode::Done);
   LogEvent(LogLevel::Debug, "now_written");
   EXPECT_EQ(RunProgram({ "log-level", "info", "--host", host }), ExitCode::Done);
-  EXPECT_EQ(RunProgram({ "log-level", "loud", "--host", host }), ExitCode::WrongUse);
+  EXPECT_EQ(RunProgram({ "log-level", "loud", "--host", host }), ExitCode::InvalidUsage);
   EXPECT_THAT(::testing::internal::GetCapturedStdout(), HasSubstr(host));
   EXPECT_THAT(::testing::internal::GetCapturedStderr(), HasSubstr("now_written"));
 }
 
-TEST_F(ReportCommandTest, WithoutKeyOrHostItIsWrongUse)
+TEST_F(ReportCommandTest, MissingKeyOrMalformedHostIsUsageError)
 {
-  EXPECT_EQ(this->Report({ FormatEndpoint(this->operators) }, ""), ExitCode::WrongUse);
-  EXPECT_EQ(this->Report({ "localhost:1" }, kOperatorKey.c_str()), ExitCode::WrongUse);
+  EXPECT_EQ(this->Report({ FormatEndpoint(this->operators) }, ""), ExitCode::InvalidUsage);
+  EXPECT_EQ(this->Report({ "localhost:1" }, kOperatorKey.c_str()), ExitCode::InvalidUsage);
 }
 
 } // namespace
--- a/test/program/OrderSenderTest.cpp
+++ b/test/program/OrderSenderTest.cpp
@@ -10,7 +10,7 @@
 namespace damasklink {
 namespace {
 
-// A target that counts the orders that reach it, and a sender with a lease that a test sets.
+// A target that counts the orders it receives, and a sender whose lease the test sets.
 class OrderSenderTest : public testing::Test
 {
 protected:
@@ -51,14 +51,14 @@
   int status = 200;
 };
 
-TEST_F(OrderSenderTest, SendsUnderTheLease)
+TEST_F(OrderSenderTest, SendsWhileLeaseIsHeld)
 {
   this->lease.Set(true);
   EXPECT_EQ(this->SendOne(), OrderOutcome::Accepted);
   EXPECT_EQ(this->arrived.load(), 1);
 }
 
-TEST_F(OrderSenderTest, NoByteLeavesOnceTheLeaseIsOver)
+TEST_F(OrderSenderTest, SendsNothingAfterLeaseEnded)
 {
   this->lease.Set(true);
   this->lease.Set(false);
@@ -66,7 +66,7 @@
   EXPECT_EQ(this->arrived.load(), 0);
 }
 
-TEST_F(OrderSenderTest, ProcessThatWasFrozenFindsItsLeaseOver)
+TEST_F(OrderSenderTest, LeaseExpiresWhenControlThreadIsSuspended)
 {
   this->lease.Set(true);
   this->clock.Advance(LeaseStamp::kFresh);
@@ -74,7 +74,7 @@
   EXPECT_EQ(this->arrived.load(), 0);
 }
 
-TEST_F(OrderSenderTest, RefusalOfTheTargetIsTold)
+TEST_F(OrderSenderTest, ReportsRefusalOfTarget)
 {
   this->lease.Set(true);
   this->status = 409;
--- a/test/program/TargetTrackerTest.cpp
+++ b/test/program/TargetTrackerTest.cpp
@@ -26,7 +26,7 @@
   TargetTracker tracker{ this->clock, kSilence };
 };
 
-TEST_F(TargetTrackerTest, HeartbeatThatSaysTheSameIsNoChange)
+TEST_F(TargetTrackerTest, UnchangedHeartbeatIsNoChange)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   ASSERT_EQ(this->tracker.TakeChanges().size(), 1U);
@@ -44,7 +44,7 @@
   EXPECT_EQ(changes.front().standing, TargetAvailability::Silent);
 }
 
-TEST_F(TargetTrackerTest, SignedOffTargetStaysGoneWhateverComesLate)
+TEST_F(TargetTrackerTest, DepartedTargetStaysLeavingAfterLateHeartbeat)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   this->tracker.OnDeparture(TargetId("t"));
@@ -54,7 +54,7 @@
   EXPECT_EQ(changes.front().standing, TargetAvailability::Leaving);
 }
 
-TEST_F(TargetTrackerTest, LaterTargetAtAnAddressTakesItOver)
+TEST_F(TargetTrackerTest, NewTargetReplacesOldOneAtSameAddress)
 {
   this->tracker.OnHeartbeat(Record("old", 5));
   this->tracker.OnHeartbeat(Record("new", 1));
@@ -63,7 +63,7 @@
   EXPECT_TRUE(this->tracker.Registry().IsUsable(TargetId("new")));
 }
 
-TEST_F(TargetTrackerTest, GhostAtAnAddressGivesItBackWithTheNextHeartbeat)
+TEST_F(TargetTrackerTest, LateHeartbeatOfReplacedTargetIsUndoneByNextOfNewTarget)
 {
   this->tracker.OnHeartbeat(Record("new", 1));
   this->tracker.OnHeartbeat(Record("old", 5));
@@ -71,17 +71,17 @@
   EXPECT_TRUE(this->tracker.Registry().IsUsable(TargetId("new")));
 }
 
-TEST_F(TargetTrackerTest, OnlyWhatWasHeardDirectlyIsPassedOn)
+TEST_F(TargetTrackerTest, OnlyDirectRecordsArePassedOn)
 {
   this->tracker.OnHeartbeat(Record("direct", 1, 1));
   this->tracker.OnRelayedRecord(Record("second", 1, 2));
-  const auto news = this->tracker.TakeDirectUpdates();
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_EQ(news.front().record.id, TargetId("direct"));
+  const auto updates = this->tracker.TakeDirectUpdates();
+  ASSERT_EQ(updates.size(), 1U);
+  EXPECT_EQ(updates.front().record.id, TargetId("direct"));
   EXPECT_TRUE(this->tracker.TakeDirectUpdates().empty());
 }
 
-TEST_F(TargetTrackerTest, ReportedWeightsGoBeforeThoseOfOlderHeartbeats)
+TEST_F(TargetTrackerTest, ReportedWeightsOverrideOlderHeartbeats)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   this->tracker.TakeChanges();
@@ -91,7 +91,7 @@
   EXPECT_EQ(changes.front().record.models.front().version, WeightVersion("2"));
 }
 
-TEST_F(TargetTrackerTest, TargetThatStartsAgainUnderItsIdCountsItsHeartbeatsAnew)
+TEST_F(TargetTrackerTest, RestartedTargetBeginsNewHeartbeatSequence)
 {
   TargetRecord earlier = Record("t", 50);
   earlier.incarnation = Incarnation(1000);
@@ -100,7 +100,7 @@
   TargetRecord later = Record("t", 1);
   later.incarnation = Incarnation(2000);
   this->tracker.OnHeartbeat(later);
-  // Both of these come late.
+  // Both of these arrive late.
   this->tracker.OnHeartbeat(earlier);
   this->tracker.OnDeparture(TargetId("t"), Incarnation(1000));
   const auto changes = this->tracker.TakeChanges();
@@ -109,7 +109,7 @@
   EXPECT_EQ(changes.front().record.incarnation, Incarnation(2000));
 }
 
-TEST_F(TargetTrackerTest, EnginesAreListedAsTheyAreNow)
+TEST_F(TargetTrackerTest, ListsEnginesInTheirCurrentState)
 {
   this->tracker.OnHeartbeat(Record("a", 1, 1));
   this->tracker.OnHeartbeat(Record("b", 1, 2));
@@ -131,7 +131,7 @@
   EXPECT_EQ(this->tracker.UsableEngines().front().models.front().version, WeightVersion("2"));
 }
 
-TEST_F(TargetTrackerTest, PauseIsToldOnceAndTakenBackOnce)
+TEST_F(TargetTrackerTest, PublishesPauseAndResumeOnceEach)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   this->tracker.TakeChanges();
@@ -145,7 +145,7 @@
   }
 }
 
-TEST_F(TargetTrackerTest, WriterOfAServiceThatNobodyNamedLeavesTheOthersAsTheyAre)
+TEST_F(TargetTrackerTest, RefusesTargetOfUnknownServiceAndKeepsKnownTargetOfSameId)
 {
   this->tracker.SetServices({ ServiceName("s") });
   this->tracker.OnHeartbeat(Record("t", 1));
@@ -158,7 +158,7 @@
   EXPECT_EQ(changes.front().record.service, ServiceName("s"));
 }
 
-TEST_F(TargetTrackerTest, TargetOfAServiceThatWasDroppedMayStillSignOff)
+TEST_F(TargetTrackerTest, TargetOfRemovedServiceMaySignOff)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   this->tracker.SetServices({ ServiceName("other") });
@@ -167,20 +167,20 @@
   EXPECT_TRUE(this->tracker.OnHeartbeat(leaving));
 }
 
-TEST_F(TargetTrackerTest, ColdTargetsAreTold)
+TEST_F(TargetTrackerTest, ReturnsColdTargetsOnce)
 {
-  const ColdStartSpec traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
-  this->tracker.SetColdStartSpecs({ { ServiceName("s"), traits } });
+  const ColdStartSpec spec{ RequestRate{ 16 }, std::chrono::seconds(3) };
+  this->tracker.SetColdStartSpecs({ { ServiceName("s"), spec } });
   TargetRecord record = Record("t", 1);
   record.coldFor = std::chrono::seconds(2);
   this->tracker.OnHeartbeat(record);
   const std::vector<ColdTarget> cold = this->tracker.TakeColdTargets();
   ASSERT_EQ(cold.size(), 1U);
-  EXPECT_EQ(cold[0], (ColdTarget{ TargetId("t"), Incarnation(), record.coldFor, traits.rate }));
+  EXPECT_EQ(cold[0], (ColdTarget{ TargetId("t"), Incarnation(), record.coldFor, spec.rate }));
   EXPECT_TRUE(this->tracker.TakeColdTargets().empty());
 }
 
-TEST_F(TargetTrackerTest, TargetsOfServicesThatDeclareNoRateAreNeverCold)
+TEST_F(TargetTrackerTest, TargetsOfServicesWithoutColdStartSpecAreNeverCold)
 {
   TargetRecord record = Record("t", 1);
   record.coldFor = std::chrono::seconds(2);
@@ -188,10 +188,10 @@
   EXPECT_TRUE(this->tracker.TakeColdTargets().empty());
 }
 
-TEST_F(TargetTrackerTest, TargetsOfAZoneThatIsGivenBackCountAsCold)
+TEST_F(TargetTrackerTest, TargetsOfReturnedZoneCountAsCold)
 {
-  const ColdStartSpec traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
-  this->tracker.SetColdStartSpecs({ { ServiceName("s"), traits } });
+  const ColdStartSpec spec{ RequestRate{ 16 }, std::chrono::seconds(3) };
+  this->tracker.SetColdStartSpecs({ { ServiceName("s"), spec } });
   TargetRecord here = Record("here", 1);
   here.zone = ZoneId("hall");
   this->tracker.OnHeartbeat(here);
@@ -200,7 +200,7 @@
   const std::vector<ColdTarget> cold = this->tracker.TakeColdTargets();
   ASSERT_EQ(cold.size(), 1U);
   EXPECT_EQ(cold[0].target, here.id);
-  EXPECT_EQ(cold[0].coldFor, traits.lasts);
+  EXPECT_EQ(cold[0].coldFor, spec.lasts);
 }
 
 } // namespace
