--- a/src/program/ControlCallHandler.cpp
+++ b/src/program/ControlCallHandler.cpp
@@ -38,7 +38,7 @@
                                        const ServingSettings& aSettings,
                                        const ControlDialect& aDialect,
                                        ServingGroup& aGroup,
-                                       TargetTracker& aTracker,
+                                       ControlPicture& aTracker,
                                        Metrics& aMetrics,
                                        WorkAccount& aAccount,
                                        std::function<void()> aPublish)
--- a/src/program/ControlCallHandler.h
+++ b/src/program/ControlCallHandler.h
@@ -4,8 +4,8 @@
 #include <functional>
 #include <memory>
 
+#include "ControlPicture.h"
 #include "ServingGroup.h"
-#include "TargetTracker.h"
 #include "WorkAccount.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
@@ -13,8 +13,8 @@
 
 namespace damasklink {
 
-// Heartbeats and departures go to the TargetTracker, changes to the replicated log, and queries are
-// answered from its state. Not thread-safe.
+// Heartbeats and departures go to the ControlPicture, changes to the replicated log, and queries
+// are answered from its state. Not thread-safe.
 class ControlCallHandler
 {
 public:
@@ -24,7 +24,7 @@
                      const ServingSettings& aSettings,
                      const ControlDialect& aDialect,
                      ServingGroup& aGroup,
-                     TargetTracker& aTracker,
+                     ControlPicture& aTracker,
                      Metrics& aMetrics,
                      WorkAccount& aAccount,
                      std::function<void()> aPublish);
@@ -49,7 +49,7 @@
   const ServingSettings& settings;
   const ControlDialect& dialect;
   ServingGroup& group;
-  TargetTracker& tracker;
+  ControlPicture& tracker;
   Metrics& metrics;
   WorkAccount& account;
   std::function<void()> publishTargets;
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -1,14 +1,14 @@
 #include "ControlHost.h"
 
 #include "ControlCallHandler.h"
+#include "ControlPicture.h"
 #include "MetricsPage.h"
+#include "PictureTeller.h"
 #include "RefusalProposer.h"
 #include "RolloutExecutor.h"
 #include "ServingGroup.h"
 #include "ServingSignals.h"
-#include "ServingUpdatePublisher.h"
 #include "StoreWatcher.h"
-#include "TargetTracker.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
 #include "damasklink/coordination/SettledWeights.h"
 #include "damasklink/protocol/ServingCodec.h"
@@ -137,16 +137,15 @@
   asio::io_context loop{ 1 };
   PeerMesh mesh;
   ServingGroup group;
-  TargetTracker tracker;
+  ControlPicture tracker;
   StoreWatcher stores;
   RolloutExecutor rollout;
   SettledWeights settledWeights{ this->clock, kWeightsSettleTime };
   HostRegistry hosts{ this->settings.host, this->settings.zone };
   CrashLedger crashes{ this->clock };
   RefusalProposer refusals{ this->loop, this->group, this->crashes };
-  ServingUpdatePublisher publisher{ this->clock,   this->settings, this->group,
-                                    this->stores,  this->tracker,  this->hosts,
-                                    this->crashes, this->mesh,     this->account };
+  PictureTeller publisher{ this->clock, this->settings, this->group, this->stores, this->tracker,
+                           this->hosts, this->crashes,  this->mesh,  this->account };
   MetricsPage metricsPage{ this->loop, this->metrics, this->settings.host };
   ControlCallHandler calls;
   ChannelListener callers{ this->loop };
--- a/src/program/TargetTracker.cpp
+++ b/src/program/ControlPicture.cpp
@@ -1,4 +1,4 @@
-#include "TargetTracker.h"
+#include "ControlPicture.h"
 
 #include <algorithm>
 #include <iterator>
@@ -9,13 +9,13 @@
 
 namespace damasklink {
 
-TargetTracker::TargetTracker(const Clock& aClock, Duration aSilence)
+ControlPicture::ControlPicture(const Clock& aClock, Duration aSilence)
   : registry(aClock, aSilence)
 {
 }
 
 bool
-TargetTracker::OnHeartbeat(const TargetRecord& aRecord)
+ControlPicture::OnHeartbeat(const TargetRecord& aRecord)
 {
   const TargetRecord* known = this->registry.Find(aRecord.id);
   const bool sameService = known != nullptr && known->service == aRecord.service;
@@ -29,13 +29,13 @@
 }
 
 void
-TargetTracker::OnRelayedRecord(const TargetRecord& aRecord)
+ControlPicture::OnRelayedRecord(const TargetRecord& aRecord)
 {
   this->Merge(aRecord);
 }
 
 bool
-TargetTracker::Merge(const TargetRecord& aRecord)
+ControlPicture::Merge(const TargetRecord& aRecord)
 {
   const bool isNew = this->registry.Merge(aRecord);
   if (isNew) {
@@ -46,7 +46,7 @@
 }
 
 void
-TargetTracker::AddColdTarget(const TargetRecord& aRecord, Duration aColdFor)
+ControlPicture::AddColdTarget(const TargetRecord& aRecord, Duration aColdFor)
 {
   const auto spec = this->coldStartSpecs.find(aRecord.service);
   if (aColdFor > Duration::zero() && spec != this->coldStartSpecs.end()) {
@@ -56,7 +56,7 @@
 }
 
 void
-TargetTracker::OnZoneReturned(const ZoneId& aZone)
+ControlPicture::OnZoneReturned(const ZoneId& aZone)
 {
   for (const TargetRecord& record : this->registry.All()) {
     const auto spec = this->coldStartSpecs.find(record.service);
@@ -67,7 +67,7 @@
 }
 
 void
-TargetTracker::OnDeparture(const TargetId& aTarget, Incarnation aIncarnation)
+ControlPicture::OnDeparture(const TargetId& aTarget, Incarnation aIncarnation)
 {
   TargetRecord record;
   record.incarnation = aIncarnation;
@@ -90,7 +90,7 @@
 }
 
 TargetUpdate
-TargetTracker::MakeTargetUpdate(const TargetRecord& aRecord) const
+ControlPicture::MakeTargetUpdate(const TargetRecord& aRecord) const
 {
   TargetUpdate update;
   update.record = aRecord;
@@ -110,7 +110,7 @@
 }
 
 void
-TargetTracker::FindChanges()
+ControlPicture::FindChanges()
 {
   for (TargetId& target : this->registry.TakeUsabilityChanges()) {
     this->touched.insert(std::move(target));
@@ -143,7 +143,7 @@
 }
 
 std::vector<TargetUpdate>
-TargetTracker::TakeChanges()
+ControlPicture::TakeChanges()
 {
   this->FindChanges();
   std::vector<TargetUpdate> changes;
@@ -154,28 +154,28 @@
 }
 
 std::uint64_t
-TargetTracker::ChangeCount()
+ControlPicture::ChangeCount()
 {
   this->FindChanges();
   return this->changeCount;
 }
 
 const std::vector<TargetRecord>&
-TargetTracker::UsableEngines()
+ControlPicture::UsableEngines()
 {
   this->ListEngines();
   return this->usableEngines;
 }
 
 const std::vector<TargetRecord>&
-TargetTracker::RemainingEngines()
+ControlPicture::RemainingEngines()
 {
   this->ListEngines();
   return this->remainingEngines;
 }
 
 void
-TargetTracker::ListEngines()
+ControlPicture::ListEngines()
 {
   this->FindChanges();
   if (std::exchange(this->enginesListed, true)) {
@@ -197,7 +197,7 @@
 }
 
 void
-TargetTracker::SetPaused(std::set<TargetId> aTargets)
+ControlPicture::SetPaused(std::set<TargetId> aTargets)
 {
   std::set_symmetric_difference(this->paused.begin(),
                                 this->paused.end(),
@@ -208,7 +208,7 @@
 }
 
 void
-TargetTracker::SetReportedWeights(
+ControlPicture::SetReportedWeights(
   const std::map<std::pair<TargetId, ModelName>, std::uint64_t>& aReported)
 {
   if (aReported == this->reported) {
@@ -225,7 +225,7 @@
 }
 
 std::vector<TargetUpdate>
-TargetTracker::TakeDirectUpdates()
+ControlPicture::TakeDirectUpdates()
 {
   std::vector<TargetUpdate> updates;
   for (const auto& [id, record] : std::exchange(this->directRecords, {})) {
@@ -235,7 +235,7 @@
 }
 
 std::vector<TargetUpdate>
-TargetTracker::All() const
+ControlPicture::All() const
 {
   std::vector<TargetUpdate> updates;
   for (const TargetRecord& record : this->registry.All()) {
--- a/src/program/ServingUpdatePublisher.cpp
+++ b/src/program/PictureTeller.cpp
@@ -1,4 +1,4 @@
-#include "ServingUpdatePublisher.h"
+#include "PictureTeller.h"
 
 #include <utility>
 
@@ -27,15 +27,15 @@
 
 } // namespace
 
-ServingUpdatePublisher::ServingUpdatePublisher(const Clock& aClock,
-                                               const ServingSettings& aSettings,
-                                               const ServingGroup& aGroup,
-                                               const StoreWatcher& aStores,
-                                               TargetTracker& aTracker,
-                                               HostRegistry& aHosts,
-                                               CrashLedger& aCrashes,
-                                               PeerMesh& aMesh,
-                                               WorkAccount& aAccount)
+PictureTeller::PictureTeller(const Clock& aClock,
+                             const ServingSettings& aSettings,
+                             const ServingGroup& aGroup,
+                             const StoreWatcher& aStores,
+                             ControlPicture& aTracker,
+                             HostRegistry& aHosts,
+                             CrashLedger& aCrashes,
+                             PeerMesh& aMesh,
+                             WorkAccount& aAccount)
   : clock(aClock)
   , settings(aSettings)
   , group(aGroup)
@@ -50,7 +50,7 @@
 }
 
 void
-ServingUpdatePublisher::PublishChanges()
+PictureTeller::PublishChanges()
 {
   const WorkTimer timer(this->account, Work::Pictures);
   ServingUpdate changes = this->MakeBaseUpdate();
@@ -86,7 +86,7 @@
 
 // Makes an update with the fields that every update for entry hosts has.
 ServingUpdate
-ServingUpdatePublisher::MakeBaseUpdate() const
+PictureTeller::MakeBaseUpdate() const
 {
   ServingUpdate bare;
   bare.documentVersion = this->group.State().Version();
@@ -95,7 +95,7 @@
 }
 
 ServingUpdate
-ServingUpdatePublisher::MakeStateUpdate() const
+PictureTeller::MakeStateUpdate() const
 {
   ServingUpdate base = this->MakeBaseUpdate();
   base.weights = this->group.State().Weights();
@@ -110,7 +110,7 @@
 // one of the hosts that announced the version. Weights are included if they have changed, not with
 // each configuration.
 void
-ServingUpdatePublisher::PublishGroupState()
+PictureTeller::PublishGroupState()
 {
   const WorkTimer timer(this->account, Work::Pictures);
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
@@ -128,7 +128,7 @@
 }
 
 void
-ServingUpdatePublisher::Answer(const HostId& aEntryHost, const DocumentRequest& aRequest)
+PictureTeller::Answer(const HostId& aEntryHost, const DocumentRequest& aRequest)
 {
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
   if (const std::optional<DocumentChunk> chunk = this->document.Answer(aRequest)) {
@@ -137,7 +137,7 @@
 }
 
 void
-ServingUpdatePublisher::PublishStores(const std::vector<StoreUpdate>& aUpdates)
+PictureTeller::PublishStores(const std::vector<StoreUpdate>& aUpdates)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
   ServingUpdate update = this->MakeBaseUpdate();
@@ -146,7 +146,7 @@
 }
 
 void
-ServingUpdatePublisher::SendGreeting(const HostId& aPeer)
+PictureTeller::SendGreeting(const HostId& aPeer)
 {
   Greeting greeting{ HostRole::Control, this->settings.zone, {} };
   greeting.controlHosts = this->hosts.AllControlHosts();
@@ -158,7 +158,7 @@
 }
 
 void
-ServingUpdatePublisher::SendAllReports(const HostId& aControlHost)
+PictureTeller::SendAllReports(const HostId& aControlHost)
 {
   LoadReport report;
   report.host = this->settings.host;
@@ -170,7 +170,7 @@
 }
 
 void
-ServingUpdatePublisher::SendSnapshot(const HostId& aEntryHost)
+PictureTeller::SendSnapshot(const HostId& aEntryHost)
 {
   // Targets go first: an entry host accepts calls as soon as it has a configuration.
   this->SendAllTargets(aEntryHost);
@@ -180,7 +180,7 @@
 // The cached message may lack heartbeats that changed nothing; it is made again after the next
 // change.
 void
-ServingUpdatePublisher::SendAllTargets(const HostId& aHost)
+PictureTeller::SendAllTargets(const HostId& aHost)
 {
   const WorkTimer timer(this->account, Work::Pictures);
   const ServingUpdate base = this->MakeBaseUpdate();
@@ -199,7 +199,7 @@
 // An entry host gets stored parts only from the control host to which it reports: they change a
 // thousand times a second, and every further copy would be sent between zones.
 void
-ServingUpdatePublisher::SendAllStores(const HostId& aEntryHost)
+PictureTeller::SendAllStores(const HostId& aEntryHost)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
   ServingUpdate update = this->MakeBaseUpdate();
@@ -208,7 +208,7 @@
 }
 
 void
-ServingUpdatePublisher::OnLoadReport(const HostId& aFrom, const LoadReport& aReport)
+PictureTeller::OnLoadReport(const HostId& aFrom, const LoadReport& aReport)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const bool fromOwnHost = this->hosts.EntryHosts().contains(aFrom);
@@ -232,7 +232,7 @@
 }
 
 void
-ServingUpdatePublisher::AddCrashes(const LoadReport& aReport, bool aFromOwnHost)
+PictureTeller::AddCrashes(const LoadReport& aReport, bool aFromOwnHost)
 {
   this->crashes.Add(aReport.crashes);
   this->crashes.AddSuccessfulRuns(aReport.sound);
@@ -245,7 +245,7 @@
 }
 
 void
-ServingUpdatePublisher::AddLimitReports(const LoadReport& aReport, bool aFromOwnHost)
+PictureTeller::AddLimitReports(const LoadReport& aReport, bool aFromOwnHost)
 {
   this->limits.Update(aReport.limitReports);
   if (aFromOwnHost) {
@@ -255,7 +255,7 @@
 }
 
 std::vector<TargetLimit>
-ServingUpdatePublisher::LimitShares() const
+PictureTeller::LimitShares() const
 {
   const bool settling = this->clock.MonotonicNow() - this->startedAt < kRegistrySettleTime;
   return this->limits.Shares(settling ? std::set<HostId>() : this->recentHosts.All());
@@ -263,7 +263,7 @@
 
 // Sends the shares of all rate limits if any has changed because of limits, targets or entry hosts.
 void
-ServingUpdatePublisher::PublishLimits()
+PictureTeller::PublishLimits()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   this->recentHosts.Update(this->hosts.AllEntryHosts(), now);
@@ -304,7 +304,7 @@
 // Publishes at once, unless entry hosts were sent totals within kMinUrgentInterval: with hundreds
 // of them, one sends a long prompt every few milliseconds, and each publication goes to all.
 void
-ServingUpdatePublisher::OnUrgentReport(bool aFromOwnHosts)
+PictureTeller::OnUrgentReport(bool aFromOwnHosts)
 {
   this->urgentPending = true;
   this->ownUrgentPending = this->ownUrgentPending || aFromOwnHosts;
@@ -319,7 +319,7 @@
 }
 
 void
-ServingUpdatePublisher::PublishLoads()
+PictureTeller::PublishLoads()
 {
   const WorkTimer timer(this->account, Work::Loads);
   this->sends.RemovePeersSilentSince(this->clock.MonotonicNow() - SendsSum::kSilenceLimit);
@@ -336,7 +336,7 @@
 }
 
 void
-ServingUpdatePublisher::PublishTotals()
+PictureTeller::PublishTotals()
 {
   const WorkTimer timer(this->account, Work::Totals);
   this->urgentPending = this->ownUrgentPending;
@@ -348,14 +348,14 @@
 }
 
 void
-ServingUpdatePublisher::EncodeAndSend(Work aWork, const HostId& aTo, const ServingMessage& aMessage)
+PictureTeller::EncodeAndSend(Work aWork, const HostId& aTo, const ServingMessage& aMessage)
 {
   this->Send(aWork, aTo, EncodeServingMessage(aMessage));
 }
 
 // This function and the next two encode a message once, since many hosts get the same bytes.
 void
-ServingUpdatePublisher::SendToEntryHosts(Work aWork, const ServingMessage& aMessage)
+PictureTeller::SendToEntryHosts(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodePacked(aMessage);
   for (const HostId& host : this->hosts.EntryHosts()) {
@@ -364,7 +364,7 @@
 }
 
 void
-ServingUpdatePublisher::SendToControlHosts(Work aWork, const ServingMessage& aMessage)
+PictureTeller::SendToControlHosts(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodePacked(aMessage);
   for (const auto& [host, zone] : this->hosts.ControlHosts()) {
@@ -373,7 +373,7 @@
 }
 
 void
-ServingUpdatePublisher::SendToReportingHosts(Work aWork, const ServingMessage& aMessage)
+PictureTeller::SendToReportingHosts(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodeServingMessage(aMessage);
   for (const HostId& host : this->sends.Publishers()) {
@@ -382,7 +382,7 @@
 }
 
 void
-ServingUpdatePublisher::Send(Work aWork, const HostId& aTo, std::string aPayload)
+PictureTeller::Send(Work aWork, const HostId& aTo, std::string aPayload)
 {
   this->account.NoteSent(aWork, aPayload.size());
   this->mesh.Send(aTo, PeerMessage{ Channel::Serving, GroupId(), std::move(aPayload) });
--- a/src/program/ServingUpdatePublisher.h
+++ b/src/program/PictureTeller.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
+#include "ControlPicture.h"
 #include "ServingGroup.h"
 #include "StoreWatcher.h"
-#include "TargetTracker.h"
 #include "WorkAccount.h"
 #include "damasklink/coordination/CrashLedger.h"
 #include "damasklink/coordination/DocumentPublisher.h"
@@ -26,18 +26,18 @@
 //
 // A host "reports to" this one if it is an entry host that has this control host as its hub and
 // sends it load reports.
-class ServingUpdatePublisher
+class PictureTeller
 {
 public:
-  ServingUpdatePublisher(const Clock& aClock,
-                         const ServingSettings& aSettings,
-                         const ServingGroup& aGroup,
-                         const StoreWatcher& aStores,
-                         TargetTracker& aTracker,
-                         HostRegistry& aHosts,
-                         CrashLedger& aCrashes,
-                         PeerMesh& aMesh,
-                         WorkAccount& aAccount);
+  PictureTeller(const Clock& aClock,
+                const ServingSettings& aSettings,
+                const ServingGroup& aGroup,
+                const StoreWatcher& aStores,
+                ControlPicture& aTracker,
+                HostRegistry& aHosts,
+                CrashLedger& aCrashes,
+                PeerMesh& aMesh,
+                WorkAccount& aAccount);
 
   // Sends what has changed of targets and hosts since the last call.
   void PublishChanges();
@@ -93,7 +93,7 @@
   const ServingSettings& settings;
   const ServingGroup& group;
   const StoreWatcher& stores;
-  TargetTracker& tracker;
+  ControlPicture& tracker;
   HostRegistry& hosts;
   CrashLedger& crashes;
   PeerMesh& mesh;
