--- a/src/program/ControlCallHandler.cpp
+++ b/src/program/ControlCallHandler.cpp
@@ -56,8 +56,8 @@
 Awaitable<void>
 ControlCallHandler::Serve(std::shared_ptr<CallerChannel> aChannel)
 {
-  bool kept = true;
-  while (kept) {
+  bool keepAlive = true;
+  while (keepAlive) {
     auto request = co_await aChannel->Read(ControlLimits());
     if (!request) {
       if (request.error().kind != ErrorKind::Interrupted) {
@@ -68,7 +68,7 @@
     HttpAnswerMessage answer = co_await this->Answer(request.value());
     const HttpRequestHead& head = request.value().head;
     const bool close = AsksToClose(head.fields, head.version);
-    kept = co_await aChannel->WriteWhole(std::move(answer), close) && !close;
+    keepAlive = co_await aChannel->WriteWhole(std::move(answer), close) && !close;
   }
   aChannel->Close();
 }
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -116,7 +116,7 @@
   void Stop();
   void Tick();
   void StepGroup();
-  bool EndsAfterFailure();
+  bool StopAfterFailure();
   void PublishTargets();
   void OnStateApplied();
   void ApplyServices();
@@ -242,7 +242,7 @@
 {
   this->StepGroup();
   this->account.Step();
-  if (this->EndsAfterFailure()) {
+  if (this->StopAfterFailure()) {
     return;
   }
   if (this->clock.MonotonicNow() >= this->nextPublish) {
@@ -273,7 +273,7 @@
 // host sends nothing to the group meanwhile, so the others elect a leader without it, and it still
 // serves targets and entry hosts.
 bool
-ControlHost::Impl::EndsAfterFailure()
+ControlHost::Impl::StopAfterFailure()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   if (!this->group.Failure()) {
--- a/src/program/PictureTeller.cpp
+++ b/src/program/PictureTeller.cpp
@@ -88,22 +88,22 @@
 ServingUpdate
 PictureTeller::MakeBaseUpdate() const
 {
-  ServingUpdate bare;
-  bare.documentVersion = this->group.State().Version();
-  bare.isolated = !this->group.HasRecentLeader();
-  return bare;
+  ServingUpdate update;
+  update.documentVersion = this->group.State().Version();
+  update.isolated = !this->group.HasRecentLeader();
+  return update;
 }
 
 ServingUpdate
 PictureTeller::MakeStateUpdate() const
 {
-  ServingUpdate base = this->MakeBaseUpdate();
-  base.weights = this->group.State().Weights();
-  base.entryHosts = this->hosts.CountEntryHosts();
-  base.controlHosts = this->hosts.AllControlHosts();
-  base.crashing = this->publishedCrashing;
-  base.evacuated = this->group.State().Evacuated().Current();
-  return base;
+  ServingUpdate update = this->MakeBaseUpdate();
+  update.weights = this->group.State().Weights();
+  update.entryHosts = this->hosts.CountEntryHosts();
+  update.controlHosts = this->hosts.AllControlHosts();
+  update.crashing = this->publishedCrashing;
+  update.evacuated = this->group.State().Evacuated().Current();
+  return update;
 }
 
 // Sends the version of the document only: a host that does not have the document requests it from
--- a/src/program/ServingGroup.cpp
+++ b/src/program/ServingGroup.cpp
@@ -40,9 +40,9 @@
 
 } // namespace
 
-struct ServingGroup::Answered
+struct ServingGroup::PendingCommit
 {
-  explicit Answered(asio::io_context& aLoop)
+  explicit PendingCommit(asio::io_context& aLoop)
     : wake(aLoop, MonotonicTime::max())
   {
   }
@@ -123,23 +123,23 @@
 Awaitable<Result<ServingCommandResult>>
 ServingGroup::Commit(const ServingCommand& aCommand)
 {
-  const auto answered = std::make_shared<Answered>(this->loop);
+  const auto pending = std::make_shared<PendingCommit>(this->loop);
   this->agreement.Propose(ControlGroupId(),
                           StateMachineId::Serving,
                           EncodeServingCommand(aCommand),
                           kCommitTimeout,
-                          [answered](Result<std::string> aResult) {
-                            answered->result = std::move(aResult);
-                            answered->wake.cancel();
+                          [pending](Result<std::string> aResult) {
+                            pending->result = std::move(aResult);
+                            pending->wake.cancel();
                           });
   this->Step();
-  if (!answered->result) {
-    co_await answered->wake.async_wait(kAsValue);
+  if (!pending->result) {
+    co_await pending->wake.async_wait(kAsValue);
   }
-  if (!*answered->result) {
-    co_return Fail(answered->result->error());
+  if (!*pending->result) {
+    co_return Fail(pending->result->error());
   }
-  auto result = DecodeServingCommandResult(answered->result->value());
+  auto result = DecodeServingCommandResult(pending->result->value());
   if (result && !result.value().understood) {
     co_return Fail(ErrorKind::Internal,
                    "the replicated state machine did not understand the command",
--- a/src/program/ServingGroup.h
+++ b/src/program/ServingGroup.h
@@ -67,7 +67,7 @@
 
 private:
   // The result of a command, and the timer that wakes the coroutine waiting for it.
-  struct Answered;
+  struct PendingCommit;
 
   AgreementSetup Setup(Metrics& aMetrics, PeerSender& aPeers);
   const GroupReplica* WorkingReplica() const;
