--- a/test/program/ConfigurationDistributionTest.cpp
+++ b/test/program/ConfigurationDistributionTest.cpp
@@ -47,31 +47,31 @@
   void Add(std::size_t aCount)
   {
     for (std::size_t index = 0; index < aCount; ++index) {
-      this->places.push_back(this->Word() + "/" + this->Word());
+      this->paths.push_back(this->RandomWord() + "/" + this->RandomWord());
     }
   }
 
-  const std::string& Newest() const { return this->places.back(); }
+  const std::string& Newest() const { return this->paths.back(); }
 
   std::string Document(int aVersion) const
   {
     std::string routes;
-    for (const std::string& place : this->places) {
-      routes += (routes.empty() ? "" : ",") + Route(place);
+    for (const std::string& path : this->paths) {
+      routes += (routes.empty() ? "" : ",") + Route(path);
     }
     return R"({"version":)" + std::to_string(aVersion) + R"(,"routes":[)" + routes +
            R"(],"services":[{"name":"app"}],"tenants":[{"name":"w","api-keys":["key"]}]})";
   }
 
-  static std::string Route(const std::string& aPlace)
+  static std::string Route(const std::string& aPath)
   {
-    return R"({"name":"r-)" + aPlace + R"(","host":"ziba21.example","path-prefix":"/)" + aPlace +
+    return R"({"name":"r-)" + aPath + R"(","host":"ziba21.example","path-prefix":"/)" + aPath +
            R"(/","kind":"idempotent","timeout-ms":3000,"target-latency-ms":300,"priority":1,)"
            R"("service":"app","max-attempts":2,"public":false,"sticky":false,"resumable":false})";
   }
 
 private:
-  std::string Word()
+  std::string RandomWord()
   {
     std::string word(8, 'a');
     for (char& letter : word) {
@@ -81,7 +81,7 @@
   }
 
   std::mt19937 random{ 20261203 };
-  std::vector<std::string> places;
+  std::vector<std::string> paths;
 };
 
 // Three control hosts, and an entry host that is connected to them over one slow link.
@@ -163,7 +163,7 @@
            answer.find("configuration yet") == std::string::npos;
   }
 
-  bool AwaitNewest()
+  bool WaitForNewest()
   {
     const auto last = std::chrono::steady_clock::now() + kTransferTimeout;
     while (std::chrono::steady_clock::now() < last) {
@@ -205,13 +205,13 @@
 {
   this->routes.Add(50);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
+  ASSERT_TRUE(this->WaitForNewest());
   for (int change = 0; change < 3; ++change) {
     this->routes.Add(1400);
     this->Put();
     // The same routes as the next version, before the first can have arrived everywhere.
     this->Put();
-    ASSERT_TRUE(this->AwaitNewest()) << "after change " << change;
+    ASSERT_TRUE(this->WaitForNewest()) << "after change " << change;
   }
 }
 
@@ -219,11 +219,11 @@
 {
   this->routes.Add(2850);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
+  ASSERT_TRUE(this->WaitForNewest());
   const std::size_t before = this->ReceivedInTotal();
   this->routes.Add(1400);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
+  ASSERT_TRUE(this->WaitForNewest());
   const std::size_t added = 1400 * Routes::Route(this->routes.Newest()).size();
   EXPECT_LE(this->ReceivedInTotal() - before, added + kBackgroundBytes);
 }
@@ -232,11 +232,11 @@
 {
   this->routes.Add(4250);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
+  ASSERT_TRUE(this->WaitForNewest());
   const std::size_t before = this->ReceivedInTotal();
   this->routes.Add(1);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
+  ASSERT_TRUE(this->WaitForNewest());
   EXPECT_LE(this->ReceivedInTotal() - before, kBackgroundBytes);
 }
 
