--- a/bench/SlopesBench.cpp
+++ b/bench/SlopesBench.cpp
@@ -82,7 +82,7 @@
       TargetRecord target = MakeTarget(number);
       target.endpoint.port = static_cast<std::uint16_t>(kFirstPort + number);
       targets.push_back(target);
-      picture.HearSecondHand(target);
+      picture.OnRelayedRecord(target);
     }
     picture.TakeChanges();
     std::uint64_t sequence = 1;
@@ -90,7 +90,7 @@
     const auto hear = [&] {
       TargetRecord& target = targets[next++ % size];
       target.sequence = Sequence(++sequence);
-      picture.HearSecondHand(target);
+      picture.OnRelayedRecord(target);
     };
     const auto count = static_cast<double>(size);
     heartbeat.push_back({ count, MicrosecondsPerCall(2'000, hear) });
--- /dev/null
+++ b/src/program/ControlCallHandler.h
@@ -0,0 +1,58 @@
+// Serves the HTTP calls of targets and operators at a control host, on its event loop.
+#pragma once
+
+#include <functional>
+#include <memory>
+
+#include "ControlPicture.h"
+#include "ServingGroup.h"
+#include "WorkAccount.h"
+#include "damasklink/protocol/ServingDialect.h"
+#include "damasklink/state/Metrics.h"
+#include "damasklink/transport/CallerChannel.h"
+
+namespace damasklink {
+
+// Heartbeats and departures go to the ControlPicture, changes to the replicated log, and queries
+// are answered from its state. Not thread-safe.
+class ControlCallHandler
+{
+public:
+  // aPublish sends changes of targets to entry hosts at once. The references must outlive this
+  // object.
+  ControlCallHandler(const Clock& aClock,
+                     const ServingSettings& aSettings,
+                     const ControlDialect& aDialect,
+                     ServingGroup& aGroup,
+                     ControlPicture& aTracker,
+                     Metrics& aMetrics,
+                     WorkAccount& aAccount,
+                     std::function<void()> aPublish);
+
+  // Serves the calls of one connection until it is closed.
+  Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
+
+private:
+  Awaitable<HttpResponseMessage> Answer(const HttpRequestMessage& aRequest);
+  Result<ControlCall> Read(const HttpRequestMessage& aRequest);
+  Awaitable<HttpResponseMessage> HandleChange(const ConfigChange& aChange);
+  Awaitable<HttpResponseMessage> HandleRelease(const RequestRelease& aRelease);
+  Awaitable<HttpResponseMessage> HandleWeights(const WeightVersionChange& aNamed);
+  Awaitable<HttpResponseMessage> HandleEvacuation(const EvacuationChange& aChange);
+  Awaitable<HttpResponseMessage> HandleConfigQuery();
+  HttpResponseMessage HandleHeartbeat(const TargetHeartbeat& aHeartbeat);
+  HttpResponseMessage HandleDeparture(const TargetDeparture& aDeparture);
+  HttpResponseMessage MakeTargetAnswer() const;
+  HttpResponseMessage MakeCommitAnswer(const Result<ServingCommandResult>& aResult) const;
+
+  const Clock& clock;
+  const ServingSettings& settings;
+  const ControlDialect& dialect;
+  ServingGroup& group;
+  ControlPicture& tracker;
+  Metrics& metrics;
+  WorkAccount& account;
+  std::function<void()> publishTargets;
+};
+
+} // namespace damasklink
--- a/src/program/PictureTeller.cpp
+++ b/src/program/PictureTeller.cpp
@@ -8,21 +8,21 @@
 namespace damasklink {
 namespace {
 
-// Between two urgent tellings of totals. Reading a prompt that is urgent to tell takes longer or
-// about as long, so a word that waits this long is still of use.
-constexpr Duration kUrgentPause = std::chrono::milliseconds(10);
+// Minimum interval between two urgent publications of totals. The prefill of a prompt that is
+// reported as urgent takes about as long or longer, so a report delayed by this is still useful.
+constexpr Duration kMinUrgentInterval = std::chrono::milliseconds(10);
 
-// From the start of a control host until it knows the entry hosts of the others. Before that it
-// would divide limits among the few that it knows, beside what the other control hosts give to
-// theirs.
-constexpr Duration kRosterGathers = std::chrono::milliseconds(1000);
+// Time from the start of a control host until it knows the entry hosts of the other control hosts.
+// Earlier it would divide rate limits among the few hosts that it knows, in addition to the shares
+// that the other control hosts give to theirs.
+constexpr Duration kRegistrySettleTime = std::chrono::milliseconds(1000);
 
 bool
-HasAnything(const LoadReport& aNews)
+HasAnything(const LoadReport& aReport)
 {
-  return !aNews.sends.empty() || !aNews.excesses.empty() || !aNews.findings.empty() ||
-         !aNews.crashes.empty() || !aNews.sound.empty() || !aNews.limitReports.empty() ||
-         aNews.limits;
+  return !aReport.sends.empty() || !aReport.excesses.empty() || !aReport.findings.empty() ||
+         !aReport.crashes.empty() || !aReport.sound.empty() || !aReport.limitReports.empty() ||
+         aReport.limits;
 }
 
 } // namespace
@@ -31,8 +31,8 @@
                              const ServingSettings& aSettings,
                              const ServingGroup& aGroup,
                              const StoreWatcher& aStores,
-                             ControlPicture& aPicture,
-                             HostRegistry& aRoster,
+                             ControlPicture& aTracker,
+                             HostRegistry& aHosts,
                              CrashLedger& aCrashes,
                              PeerMesh& aMesh,
                              WorkAccount& aAccount)
@@ -40,8 +40,8 @@
   , settings(aSettings)
   , group(aGroup)
   , stores(aStores)
-  , picture(aPicture)
-  , roster(aRoster)
+  , tracker(aTracker)
+  , hosts(aHosts)
   , crashes(aCrashes)
   , mesh(aMesh)
   , account(aAccount)
@@ -50,143 +50,145 @@
 }
 
 void
-PictureTeller::TellChanges()
+PictureTeller::PublishChanges()
 {
   const WorkTimer timer(this->account, Work::Pictures);
-  ServingUpdate changes = this->BarePicture();
-  changes.targets = this->picture.TakeChanges();
-  changes.entryHosts = this->roster.CountEntryHosts();
-  const bool named = this->roster.TakeControlHostsChanged();
-  if (named) {
-    changes.controlHosts = this->roster.AllControlHosts();
+  ServingUpdate changes = this->MakeBaseUpdate();
+  changes.targets = this->tracker.TakeChanges();
+  changes.entryHosts = this->hosts.CountEntryHosts();
+  const bool controlHostsChanged = this->hosts.TakeControlHostsChanged();
+  if (controlHostsChanged) {
+    changes.controlHosts = this->hosts.AllControlHosts();
   }
   CrashingRequests crashing = this->crashes.Verdicts();
-  const bool crashingChanged = crashing != this->toldCrashing;
+  const bool crashingChanged = crashing != this->publishedCrashing;
   if (crashingChanged) {
-    this->toldCrashing = crashing;
+    this->publishedCrashing = crashing;
     changes.crashing = std::move(crashing);
   }
-  const bool standingChanged = named || crashingChanged ||
-                               changes.entryHosts != this->toldEntryHosts ||
-                               changes.isolated != this->toldIsolated;
-  if (standingChanged || !changes.targets.empty()) {
-    this->toldEntryHosts = changes.entryHosts;
-    this->toldIsolated = changes.isolated;
-    this->TellEntryHosts(Work::Pictures, changes);
+  const bool stateChanged = controlHostsChanged || crashingChanged ||
+                            changes.entryHosts != this->publishedEntryHosts ||
+                            changes.isolated != this->publishedIsolated;
+  if (stateChanged || !changes.targets.empty()) {
+    this->publishedEntryHosts = changes.entryHosts;
+    this->publishedIsolated = changes.isolated;
+    this->SendToEntryHosts(Work::Pictures, changes);
   }
-  if (this->roster.TakeEntryHostsChanged()) {
-    this->TellControlHosts(Work::Hosts, this->roster.MakeEntryHostList());
+  if (this->hosts.TakeEntryHostsChanged()) {
+    this->SendToControlHosts(Work::Hosts, this->hosts.MakeEntryHostList());
   }
-  ServingUpdate news;
-  news.targets = this->picture.TakeNews();
-  if (!news.targets.empty()) {
-    this->TellControlHosts(Work::Pictures, news);
+  ServingUpdate direct;
+  direct.targets = this->tracker.TakeDirectUpdates();
+  if (!direct.targets.empty()) {
+    this->SendToControlHosts(Work::Pictures, direct);
   }
 }
 
-// What stands in every picture.
+// Makes an update with the fields that every update for entry hosts has.
 ServingUpdate
-PictureTeller::BarePicture() const
+PictureTeller::MakeBaseUpdate() const
 {
-  ServingUpdate bare;
-  bare.documentVersion = this->group.State().Version();
-  bare.isolated = !this->group.HearsLeader();
-  return bare;
+  ServingUpdate update;
+  update.documentVersion = this->group.State().Version();
+  update.isolated = !this->group.HasRecentLeader();
+  return update;
 }
 
 ServingUpdate
-PictureTeller::BasePicture() const
+PictureTeller::MakeStateUpdate() const
 {
-  ServingUpdate base = this->BarePicture();
-  base.weights = this->group.State().Weights();
-  base.entryHosts = this->roster.CountEntryHosts();
-  base.controlHosts = this->roster.AllControlHosts();
-  base.crashing = this->toldCrashing;
-  base.evacuated = this->group.State().Evacuated().Current();
-  return base;
+  ServingUpdate update = this->MakeBaseUpdate();
+  update.weights = this->group.State().Weights();
+  update.entryHosts = this->hosts.CountEntryHosts();
+  update.controlHosts = this->hosts.AllControlHosts();
+  update.crashing = this->publishedCrashing;
+  update.evacuated = this->group.State().Evacuated().Current();
+  return update;
 }
 
-// The version alone: whoever does not hold the document asks one of those that announce it. Weights
-// go along when they have changed, not with each configuration.
+// Sends the version of the document only: a host that does not have the document requests it from
+// one of the hosts that announced the version. Weights are included if they have changed, not with
+// each configuration.
 void
-PictureTeller::TellStanding()
+PictureTeller::PublishGroupState()
 {
   const WorkTimer timer(this->account, Work::Pictures);
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
-  ServingUpdate standing = this->BarePicture();
-  if (this->toldWeights != this->group.State().Weights()) {
-    this->toldWeights = this->group.State().Weights();
-    standing.weights = this->toldWeights;
+  ServingUpdate update = this->MakeBaseUpdate();
+  if (this->publishedWeights != this->group.State().Weights()) {
+    this->publishedWeights = this->group.State().Weights();
+    update.weights = this->publishedWeights;
   }
   EvacuatedZones evacuated = this->group.State().Evacuated().Current();
-  if (this->toldEvacuated != evacuated) {
-    this->toldEvacuated = std::move(evacuated);
-    standing.evacuated = this->toldEvacuated;
+  if (this->publishedEvacuated != evacuated) {
+    this->publishedEvacuated = std::move(evacuated);
+    update.evacuated = this->publishedEvacuated;
   }
-  this->TellEntryHosts(Work::Pictures, standing);
+  this->SendToEntryHosts(Work::Pictures, update);
 }
 
 void
-PictureTeller::Answer(const HostId& aEntryHost, const DocumentRequest& aQuestion)
+PictureTeller::Answer(const HostId& aEntryHost, const DocumentRequest& aRequest)
 {
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
-  if (const std::optional<DocumentChunk> piece = this->document.Answer(aQuestion)) {
-    this->Tell(Work::Documents, aEntryHost, *piece);
+  if (const std::optional<DocumentChunk> chunk = this->document.Answer(aRequest)) {
+    this->EncodeAndSend(Work::Documents, aEntryHost, *chunk);
   }
 }
 
 void
-PictureTeller::TellStores(const std::vector<StoreUpdate>& aStatements)
+PictureTeller::PublishStores(const std::vector<StoreUpdate>& aUpdates)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
-  ServingUpdate told = this->BarePicture();
-  told.stores = aStatements;
-  this->TellTellers(Work::StoredParts, told);
+  ServingUpdate update = this->MakeBaseUpdate();
+  update.stores = aUpdates;
+  this->SendToReportingHosts(Work::StoredParts, update);
 }
 
 void
-PictureTeller::GreetControlHost(const HostId& aPeer)
+PictureTeller::SendGreeting(const HostId& aPeer)
 {
   Greeting greeting{ HostRole::Control, this->settings.zone, {} };
-  greeting.controlHosts = this->roster.AllControlHosts();
-  this->Tell(Work::Hosts, aPeer, greeting);
-  // Since what was told on an earlier connection may be lost.
-  this->TellAllTargets(aPeer);
-  this->Tell(Work::Hosts, aPeer, this->roster.MakeEntryHostList());
-  this->TellAllReports(aPeer);
+  greeting.controlHosts = this->hosts.AllControlHosts();
+  this->EncodeAndSend(Work::Hosts, aPeer, greeting);
+  // Everything is sent again, since messages on an earlier connection may have been lost.
+  this->SendAllTargets(aPeer);
+  this->EncodeAndSend(Work::Hosts, aPeer, this->hosts.MakeEntryHostList());
+  this->SendAllReports(aPeer);
 }
 
 void
-PictureTeller::TellAllReports(const HostId& aControlHost)
+PictureTeller::SendAllReports(const HostId& aControlHost)
 {
-  LoadReport news;
-  news.host = this->settings.host;
-  news.crashes = this->crashes.All();
-  news.limitReports = this->limits.All();
-  if (HasAnything(news)) {
-    this->Tell(Work::Loads, aControlHost, news);
+  LoadReport report;
+  report.host = this->settings.host;
+  report.crashes = this->crashes.All();
+  report.limitReports = this->limits.All();
+  if (HasAnything(report)) {
+    this->EncodeAndSend(Work::Loads, aControlHost, report);
   }
 }
 
 void
-PictureTeller::TellAll(const HostId& aEntryHost)
+PictureTeller::SendSnapshot(const HostId& aEntryHost)
 {
-  // Targets first: a host that knows a configuration takes calls.
-  this->TellAllTargets(aEntryHost);
-  this->Tell(Work::Pictures, aEntryHost, this->BasePicture());
+  // Targets go first: an entry host accepts calls as soon as it has a configuration.
+  this->SendAllTargets(aEntryHost);
+  this->EncodeAndSend(Work::Pictures, aEntryHost, this->MakeStateUpdate());
 }
 
-// Heartbeats that said nothing new may be missing in it: the next change makes it anew.
+// The cached message may lack heartbeats that changed nothing; it is made again after the next
+// change.
 void
-PictureTeller::TellAllTargets(const HostId& aHost)
+PictureTeller::SendAllTargets(const HostId& aHost)
 {
   const WorkTimer timer(this->account, Work::Pictures);
-  const ServingUpdate base = this->BarePicture();
-  const std::uint64_t revision = this->picture.ChangeCount();
+  const ServingUpdate base = this->MakeBaseUpdate();
+  const std::uint64_t revision = this->tracker.ChangeCount();
   const bool current = base == this->allTargetsBase && revision == this->allTargetsRevision;
   if (!current || this->allTargets.empty()) {
     ServingUpdate all = base;
-    all.targets = this->picture.All();
+    all.targets = this->tracker.All();
     this->allTargets = EncodeCompressed(all);
     this->allTargetsBase = base;
     this->allTargetsRevision = revision;
@@ -194,93 +196,94 @@
   this->Send(Work::Pictures, aHost, this->allTargets);
 }
 
-// An entry host that tells this control host what it has hears of stored parts from it alone: they
-// change a thousand times a second, and each further word of it goes between zones.
+// An entry host gets stored parts only from the control host to which it reports: they change a
+// thousand times a second, and every further copy would be sent between zones.
 void
-PictureTeller::TellAllStores(const HostId& aEntryHost)
+PictureTeller::SendAllStores(const HostId& aEntryHost)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
-  ServingUpdate told = this->BarePicture();
-  told.stores = this->stores.All();
-  this->Tell(Work::StoredParts, aEntryHost, told);
+  ServingUpdate update = this->MakeBaseUpdate();
+  update.stores = this->stores.All();
+  this->EncodeAndSend(Work::StoredParts, aEntryHost, update);
 }
 
 void
-PictureTeller::TakeSends(const HostId& aFrom, const LoadReport& aNews)
+PictureTeller::OnLoadReport(const HostId& aFrom, const LoadReport& aReport)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  const bool ofOwnHost = this->roster.EntryHosts().contains(aFrom);
-  this->TakeCrashes(aNews, ofOwnHost);
-  this->TakeLimits(aNews, ofOwnHost);
-  if (!ofOwnHost) {
-    this->sends.UpdatePeerSum(aNews, now);
+  const bool fromOwnHost = this->hosts.EntryHosts().contains(aFrom);
+  this->AddCrashes(aReport, fromOwnHost);
+  this->AddLimitReports(aReport, fromOwnHost);
+  if (!fromOwnHost) {
+    this->sends.UpdatePeerSum(aReport, now);
   } else {
     const bool known = this->sends.Publishers().contains(aFrom);
-    this->sends.Update(aNews, now);
+    this->sends.Update(aReport, now);
     if (!known && this->sends.Publishers().contains(aFrom)) {
-      this->TellAllStores(aFrom);
+      this->SendAllStores(aFrom);
       LoadReport totals = this->sends.AllTotals(this->settings.host);
       totals.limits = this->LimitShares();
-      this->Tell(Work::Totals, aFrom, totals);
+      this->EncodeAndSend(Work::Totals, aFrom, totals);
     }
   }
-  if (aNews.urgent) {
-    this->TakeUrgent(ofOwnHost);
+  if (aReport.urgent) {
+    this->OnUrgentReport(fromOwnHost);
   }
 }
 
 void
-PictureTeller::TakeCrashes(const LoadReport& aNews, bool aOfOwnHost)
+PictureTeller::AddCrashes(const LoadReport& aReport, bool aFromOwnHost)
 {
-  this->crashes.Add(aNews.crashes);
-  this->crashes.AddSuccessfulRuns(aNews.sound);
-  if (aOfOwnHost) {
-    this->untoldCrashes.insert(
-      this->untoldCrashes.end(), aNews.crashes.begin(), aNews.crashes.end());
-    this->untoldSound.insert(this->untoldSound.end(), aNews.sound.begin(), aNews.sound.end());
+  this->crashes.Add(aReport.crashes);
+  this->crashes.AddSuccessfulRuns(aReport.sound);
+  if (aFromOwnHost) {
+    this->unpublishedCrashes.insert(
+      this->unpublishedCrashes.end(), aReport.crashes.begin(), aReport.crashes.end());
+    this->unpublishedSuccesses.insert(
+      this->unpublishedSuccesses.end(), aReport.sound.begin(), aReport.sound.end());
   }
 }
 
 void
-PictureTeller::TakeLimits(const LoadReport& aNews, bool aOfOwnHost)
+PictureTeller::AddLimitReports(const LoadReport& aReport, bool aFromOwnHost)
 {
-  this->limits.Update(aNews.limitReports);
-  if (aOfOwnHost) {
-    this->untoldLimits.insert(
-      this->untoldLimits.end(), aNews.limitReports.begin(), aNews.limitReports.end());
+  this->limits.Update(aReport.limitReports);
+  if (aFromOwnHost) {
+    this->unpublishedLimits.insert(
+      this->unpublishedLimits.end(), aReport.limitReports.begin(), aReport.limitReports.end());
   }
 }
 
 std::vector<TargetLimit>
 PictureTeller::LimitShares() const
 {
-  const bool gathers = this->clock.MonotonicNow() - this->startedAt < kRosterGathers;
-  return this->limits.Shares(gathers ? std::set<HostId>() : this->recentHosts.All());
+  const bool settling = this->clock.MonotonicNow() - this->startedAt < kRegistrySettleTime;
+  return this->limits.Shares(settling ? std::set<HostId>() : this->recentHosts.All());
 }
 
-// Tells the shares of all limits where any has changed: limits, targets or entry hosts.
+// Sends the shares of all rate limits if any has changed because of limits, targets or entry hosts.
 void
-PictureTeller::TellLimits()
+PictureTeller::PublishLimits()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
-  this->recentHosts.Update(this->roster.AllEntryHosts(), now);
-  for (const ColdTarget& cold : this->picture.TakeCold()) {
+  this->recentHosts.Update(this->hosts.AllEntryHosts(), now);
+  for (const ColdTarget& cold : this->tracker.TakeColdTargets()) {
     this->limits.UpdateColdTarget(cold, now);
   }
   this->limits.RemoveWarmTargets(now);
-  if (this->limits.IsEmpty() && this->toldLimits.empty()) {
+  if (this->limits.IsEmpty() && this->publishedLimits.empty()) {
     return;
   }
   this->limits.KeepOnly([this](const TargetId& aTarget, Incarnation aIncarnation) {
-    const TargetRecord* record = this->picture.Registry().Find(aTarget);
+    const TargetRecord* record = this->tracker.Registry().Find(aTarget);
     return record != nullptr && !record->leaving && record->incarnation <= aIncarnation;
   });
   std::vector<TargetLimit> shares = this->LimitShares();
-  if (shares == this->toldLimits) {
+  if (shares == this->publishedLimits) {
     return;
   }
-  this->toldLimits = std::move(shares);
-  for (const TargetLimit& limit : this->toldLimits) {
+  this->publishedLimits = std::move(shares);
+  for (const TargetLimit& limit : this->publishedLimits) {
     LogEvent(LogLevel::Info, "target_limit_shared")
       .With("target", limit.target)
       .With("incarnation", limit.incarnation)
@@ -289,88 +292,88 @@
       .With("hosts", limit.hosts.size())
       .With("share_per_second", limit.share.perSecond);
   }
-  LoadReport news;
-  news.host = this->settings.host;
-  news.limits = this->toldLimits;
-  const std::string payload = EncodeCompressed(news);
+  LoadReport report;
+  report.host = this->settings.host;
+  report.limits = this->publishedLimits;
+  const std::string payload = EncodeCompressed(report);
   for (const HostId& host : this->sends.Publishers()) {
     this->Send(Work::Totals, host, payload);
   }
 }
 
-// Tells at once, unless entry hosts were told just now: with hundreds of them, one sends a long
-// prompt every few milliseconds, and each telling goes to all.
+// Publishes at once, unless entry hosts were sent totals within kMinUrgentInterval: with hundreds
+// of them, one sends a long prompt every few milliseconds, and each publication goes to all.
 void
-PictureTeller::TakeUrgent(bool aOfOwnHosts)
+PictureTeller::OnUrgentReport(bool aFromOwnHosts)
 {
-  this->urgentWaits = true;
-  this->ownUrgentWaits = this->ownUrgentWaits || aOfOwnHosts;
-  if (this->clock.MonotonicNow() - this->toldTotals < kUrgentPause) {
+  this->urgentPending = true;
+  this->ownUrgentPending = this->ownUrgentPending || aFromOwnHosts;
+  if (this->clock.MonotonicNow() - this->totalsPublishedAt < kMinUrgentInterval) {
     return;
   }
-  if (this->ownUrgentWaits) {
-    this->TellSends();
+  if (this->ownUrgentPending) {
+    this->PublishLoads();
   } else {
-    this->TellTotals();
+    this->PublishTotals();
   }
 }
 
 void
-PictureTeller::TellSends()
+PictureTeller::PublishLoads()
 {
   const WorkTimer timer(this->account, Work::Loads);
   this->sends.RemovePeersSilentSince(this->clock.MonotonicNow() - SendsSum::kSilenceLimit);
   LoadReport own = this->sends.TakeChanges(this->settings.host);
-  own.urgent = std::exchange(this->ownUrgentWaits, false);
-  own.crashes = std::exchange(this->untoldCrashes, {});
-  own.sound = std::exchange(this->untoldSound, {});
-  own.limitReports = std::exchange(this->untoldLimits, {});
+  own.urgent = std::exchange(this->ownUrgentPending, false);
+  own.crashes = std::exchange(this->unpublishedCrashes, {});
+  own.sound = std::exchange(this->unpublishedSuccesses, {});
+  own.limitReports = std::exchange(this->unpublishedLimits, {});
   if (HasAnything(own)) {
-    this->TellControlHosts(Work::Loads, own);
+    this->SendToControlHosts(Work::Loads, own);
   }
-  this->TellLimits();
-  this->TellTotals();
+  this->PublishLimits();
+  this->PublishTotals();
 }
 
 void
-PictureTeller::TellTotals()
+PictureTeller::PublishTotals()
 {
   const WorkTimer timer(this->account, Work::Totals);
-  this->urgentWaits = this->ownUrgentWaits;
-  this->toldTotals = this->clock.MonotonicNow();
+  this->urgentPending = this->ownUrgentPending;
+  this->totalsPublishedAt = this->clock.MonotonicNow();
   const LoadReport totals = this->sends.TakeTotals(this->settings.host);
   if (HasAnything(totals)) {
-    this->TellTellers(Work::Totals, totals);
+    this->SendToReportingHosts(Work::Totals, totals);
   }
 }
 
 void
-PictureTeller::Tell(Work aWork, const HostId& aTo, const ServingMessage& aMessage)
+PictureTeller::EncodeAndSend(Work aWork, const HostId& aTo, const ServingMessage& aMessage)
 {
   this->Send(aWork, aTo, EncodeServingMessage(aMessage));
 }
 
-// Many hosts get the same bytes, in this and the next two: they are encoded once.
+// This function and the next two encode a message once, since many hosts get the same bytes.
 void
-PictureTeller::TellEntryHosts(Work aWork, const ServingMessage& aMessage)
+PictureTeller::SendToEntryHosts(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodeCompressed(aMessage);
-  for (const HostId& host : this->roster.EntryHosts()) {
+  for (const HostId& host : this->hosts.EntryHosts()) {
     this->Send(aWork, host, payload);
   }
 }
 
 void
-PictureTeller::TellControlHosts(Work aWork, const ServingMessage& aMessage)
+PictureTeller::SendToControlHosts(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodeCompressed(aMessage);
-  for (const auto& [host, zone] : this->roster.ControlHosts()) {
+  for (const auto& [host, zone] : this->hosts.ControlHosts()) {
     this->Send(aWork, host, payload);
   }
 }
 
 void
-PictureTeller::TellTellers(Work aWork, const ServingMessage& aMessage)
+PictureTeller::SendToReportingHosts(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodeServingMessage(aMessage);
   for (const HostId& host : this->sends.Publishers()) {
--- a/src/program/PictureTeller.h
+++ b/src/program/PictureTeller.h
@@ -1,4 +1,4 @@
-// What one control host tells entry hosts and the other control hosts.
+// Sends the state of a control host to entry hosts and to the other control hosts.
 #pragma once
 
 #include <map>
@@ -20,8 +20,12 @@
 
 namespace damasklink {
 
-// Makes pictures of what this control host knows and sends them. Requires what it is made of to
-// outlive it. Not thread-safe.
+// Makes the messages in which this control host passes on what it knows of targets, hosts, stores,
+// load and the group's state, and sends each to the hosts that need it. The objects it is
+// constructed with must outlive it. Not thread-safe.
+//
+// A host "reports to" this one if it is an entry host that has this control host as its hub and
+// sends it load reports.
 class PictureTeller
 {
 public:
@@ -29,98 +33,99 @@
                 const ServingSettings& aSettings,
                 const ServingGroup& aGroup,
                 const StoreWatcher& aStores,
-                ControlPicture& aPicture,
-                HostRegistry& aRoster,
+                ControlPicture& aTracker,
+                HostRegistry& aHosts,
                 CrashLedger& aCrashes,
                 PeerMesh& aMesh,
                 WorkAccount& aAccount);
 
-  // Tells what has changed of targets and hosts since the last call.
-  void TellChanges();
+  // Sends what has changed of targets and hosts since the last call.
+  void PublishChanges();
 
-  // Tells all entry hosts which configuration and weights are in force.
-  void TellStanding();
+  // Sends the version of the configuration document to all entry hosts, and the versions of weights
+  // and the evacuated zones if they have changed.
+  void PublishGroupState();
 
-  // Gives an entry host the next piece of the configuration document.
-  void Answer(const HostId& aEntryHost, const DocumentRequest& aQuestion);
+  // Answers a request for a chunk of the configuration document.
+  void Answer(const HostId& aEntryHost, const DocumentRequest& aRequest);
 
-  // Tells changes in stores to the entry hosts that listen to this control host for them.
-  void TellStores(const std::vector<StoreUpdate>& aStatements);
+  // Sends changes in stores to the entry hosts that report to this one.
+  void PublishStores(const std::vector<StoreUpdate>& aUpdates);
 
-  // Tells a control host that was just connected who this one is and what it knows.
-  void GreetControlHost(const HostId& aPeer);
+  // Sends a greeting and the state of this host to a control host that has just connected.
+  void SendGreeting(const HostId& aPeer);
 
-  // Tells an entry host that was just connected everything but stored parts.
-  void TellAll(const HostId& aEntryHost);
+  // Sends everything but stored parts to an entry host that has just connected.
+  void SendSnapshot(const HostId& aEntryHost);
 
-  // Takes what an entry host has at targets, or the sum of another control host.
-  void TakeSends(const HostId& aFrom, const LoadReport& aNews);
+  // Processes the load report of an entry host, or the sum of another control host.
+  void OnLoadReport(const HostId& aFrom, const LoadReport& aReport);
 
-  // Tells the sums of this host to the other control hosts, and the totals to the entry hosts that
-  // tell this one what they have.
-  void TellSends();
+  // Sends the load sums of this host to the other control hosts, and the totals to the entry hosts
+  // that report to this one.
+  void PublishLoads();
 
-  // Returns whether something urgent was taken that is not told yet.
-  bool HasUrgentSends() const { return this->urgentWaits; }
+  // Returns whether an urgent report was received that is not passed on yet.
+  bool HasUrgentReport() const { return this->urgentPending; }
 
-  // A host's connection to this one is lost.
+  // The connection of a host to this one is lost.
   void OnLost(const HostId& aHost) { this->sends.Remove(aHost); }
 
 private:
-  ServingUpdate BarePicture() const;
-  ServingUpdate BasePicture() const;
-  void TellAllStores(const HostId& aEntryHost);
-  void TellAllTargets(const HostId& aHost);
-  void Tell(Work aWork, const HostId& aTo, const ServingMessage& aMessage);
-  void TellEntryHosts(Work aWork, const ServingMessage& aMessage);
-  void TellControlHosts(Work aWork, const ServingMessage& aMessage);
-  void TellTellers(Work aWork, const ServingMessage& aMessage);
+  ServingUpdate MakeBaseUpdate() const;
+  ServingUpdate MakeStateUpdate() const;
+  void SendAllStores(const HostId& aEntryHost);
+  void SendAllTargets(const HostId& aHost);
+  void EncodeAndSend(Work aWork, const HostId& aTo, const ServingMessage& aMessage);
+  void SendToEntryHosts(Work aWork, const ServingMessage& aMessage);
+  void SendToControlHosts(Work aWork, const ServingMessage& aMessage);
+  void SendToReportingHosts(Work aWork, const ServingMessage& aMessage);
   void Send(Work aWork, const HostId& aTo, std::string aPayload);
-  void TellTotals();
-  void TakeUrgent(bool aOfOwnHosts);
-  void TakeCrashes(const LoadReport& aNews, bool aOfOwnHost);
-  void TellAllReports(const HostId& aControlHost);
-  void TakeLimits(const LoadReport& aNews, bool aOfOwnHost);
+  void PublishTotals();
+  void OnUrgentReport(bool aFromOwnHosts);
+  void AddCrashes(const LoadReport& aReport, bool aFromOwnHost);
+  void SendAllReports(const HostId& aControlHost);
+  void AddLimitReports(const LoadReport& aReport, bool aFromOwnHost);
   std::vector<TargetLimit> LimitShares() const;
-  void TellLimits();
+  void PublishLimits();
 
   const Clock& clock;
   const ServingSettings& settings;
   const ServingGroup& group;
   const StoreWatcher& stores;
-  ControlPicture& picture;
-  HostRegistry& roster;
+  ControlPicture& tracker;
+  HostRegistry& hosts;
   CrashLedger& crashes;
   PeerMesh& mesh;
   WorkAccount& account;
   SendsHub sends;
   DocumentPublisher document;
-  // When entry hosts were told totals last.
-  MonotonicTime toldTotals;
-  // An urgent word of an entry host, or of any host, waits for the next telling.
-  bool ownUrgentWaits = false;
-  bool urgentWaits = false;
-  // All targets as they are told to who connects, and what that was made of: hundreds of hosts
-  // connect at once, and each is told the same.
+  // When totals were last sent to entry hosts.
+  MonotonicTime totalsPublishedAt;
+  // An urgent report of an own entry host, or of any host, waits to be passed on.
+  bool ownUrgentPending = false;
+  bool urgentPending = false;
+  // The encoded update of all targets for hosts that connect, and what it was made from. It is kept
+  // since hundreds of hosts may connect at once, and each gets the same.
   std::string allTargets;
   ServingUpdate allTargetsBase;
   std::uint64_t allTargetsRevision = 0;
-  // What entry hosts were told last.
-  std::uint64_t toldEntryHosts = 0;
-  bool toldIsolated = false;
-  std::map<ModelName, std::uint64_t> toldWeights;
-  EvacuatedZones toldEvacuated;
-  CrashingRequests toldCrashing;
-  // What own entry hosts reported, for the other control hosts.
-  std::vector<CrashReport> untoldCrashes;
-  std::vector<SuccessfulRun> untoldSound;
-  // Since when this host has heard others tell of entry hosts.
+  // What was last sent to entry hosts.
+  std::uint64_t publishedEntryHosts = 0;
+  bool publishedIsolated = false;
+  std::map<ModelName, std::uint64_t> publishedWeights;
+  EvacuatedZones publishedEvacuated;
+  CrashingRequests publishedCrashing;
+  // Reports of own entry hosts that are not sent to the other control hosts yet.
+  std::vector<CrashReport> unpublishedCrashes;
+  std::vector<SuccessfulRun> unpublishedSuccesses;
+  // Start of the registry of entry hosts; see kRegistrySettleTime.
   MonotonicTime startedAt;
   RecentHosts recentHosts;
   RateLimitAllocator limits;
-  std::vector<TargetLimit> toldLimits;
-  // What own entry hosts reported, for the other control hosts.
-  std::vector<LimitReport> untoldLimits;
+  std::vector<TargetLimit> publishedLimits;
+  // Reports of own entry hosts that are not sent to the other control hosts yet.
+  std::vector<LimitReport> unpublishedLimits;
 };
 
 } // namespace damasklink
--- a/src/program/ServingGroup.cpp
+++ b/src/program/ServingGroup.cpp
@@ -7,21 +7,23 @@
 namespace damasklink {
 namespace {
 
-// Elections of a serving deployment: operators are answered within seconds, so a leader must be
-// missed within one. Three heartbeats fit into the least election timeout, which two lost packets
-// (200 ms each until they are sent again) do not exceed.
+// Elections of a serving deployment. Operators are answered within seconds, so the loss of a leader
+// must be detected within one. The minimum election timeout covers three heartbeats, and a delay by
+// two lost packets, which are sent again after 200 ms each, does not exceed it.
 constexpr RaftTiming kServingTiming{ std::chrono::milliseconds(200),
                                      std::chrono::milliseconds(700),
                                      std::chrono::milliseconds(1400) };
 
-// Voters: five bear two lost at once, three bear one. Odd, since an even one more bears no more.
-constexpr std::size_t kMostVoters = 5;
+// Five voters tolerate the loss of two hosts, three of one. The number is odd, since one voter more
+// would not tolerate more losses.
+constexpr std::size_t kMaxVoters = 5;
 
-// How long an operator's call waits for its commitment: operators move on after a second.
-constexpr Duration kCommitPatience = std::chrono::milliseconds(2500);
+// How long an operator's call waits until its command is committed. Operators move on after a
+// second.
+constexpr Duration kCommitTimeout = std::chrono::milliseconds(2500);
 
-// Between two attempts at a disk that refused a write: a full disk is full for seconds.
-constexpr Duration kDiskPause = std::chrono::seconds(1);
+// Delay before a disk that refused a write is tried again: a full disk stays full for seconds.
+constexpr Duration kDiskRetryDelay = std::chrono::seconds(1);
 
 std::vector<PeerSettings>
 DiskHosts(const std::vector<HostId>& aHosts)
@@ -38,9 +40,9 @@
 
 } // namespace
 
-struct ServingGroup::Answered
+struct ServingGroup::PendingCommit
 {
-  explicit Answered(asio::io_context& aLoop)
+  explicit PendingCommit(asio::io_context& aLoop)
     : wake(aLoop, MonotonicTime::max())
   {
   }
@@ -68,7 +70,8 @@
 ServingGroup::Setup(Metrics& aMetrics, PeerSender& aPeers)
 {
   std::vector<HostId> hosts = this->settings.seeds;
-  // The founders are exactly the seeds; later this host may be known by its greeting alone.
+  // A new group is formed by exactly the seeds. Later a host that is not a seed may be known from
+  // its greeting only, so it adds itself here.
   const bool listed = std::find(hosts.begin(), hosts.end(), this->settings.host) != hosts.end();
   if (!listed && !this->settings.firstStart) {
     hosts.push_back(this->settings.host);
@@ -84,8 +87,8 @@
     { ControlGroupId() },
     kServingTiming,
     this->settings.firstStart,
-    kMostVoters,
-    kDiskPause,
+    kMaxVoters,
+    kDiskRetryDelay,
   };
 }
 
@@ -98,7 +101,7 @@
     return opened;
   }
   LogEvent(LogLevel::Warning, "data_folder_waits").With("error", opened.error());
-  this->nextOpening = this->clock.MonotonicNow() + kDiskPause;
+  this->nextOpening = this->clock.MonotonicNow() + kDiskRetryDelay;
   return Success();
 }
 
@@ -120,29 +123,29 @@
 Awaitable<Result<ServingCommandResult>>
 ServingGroup::Commit(const ServingCommand& aCommand)
 {
-  const auto answered = std::make_shared<Answered>(this->loop);
+  const auto pending = std::make_shared<PendingCommit>(this->loop);
   this->agreement.Propose(ControlGroupId(),
                           StateMachineId::Serving,
                           EncodeServingCommand(aCommand),
-                          kCommitPatience,
-                          [answered](Result<std::string> aResult) {
-                            answered->result = std::move(aResult);
-                            answered->wake.cancel();
+                          kCommitTimeout,
+                          [pending](Result<std::string> aResult) {
+                            pending->result = std::move(aResult);
+                            pending->wake.cancel();
                           });
   this->Step();
-  if (!answered->result) {
-    co_await answered->wake.async_wait(kAsValue);
+  if (!pending->result) {
+    co_await pending->wake.async_wait(kAsValue);
   }
-  if (!*answered->result) {
-    co_return Fail(answered->result->error());
+  if (!*pending->result) {
+    co_return Fail(pending->result->error());
   }
-  auto standing = DecodeServingCommandResult(answered->result->value());
-  if (standing && !standing.value().understood) {
+  auto result = DecodeServingCommandResult(pending->result->value());
+  if (result && !result.value().understood) {
     co_return Fail(ErrorKind::Internal,
-                   "the replicated log did not understand the command",
+                   "the replicated state machine did not understand the command",
                    "run the same program version on all control hosts");
   }
-  co_return standing;
+  co_return result;
 }
 
 void
@@ -153,14 +156,14 @@
 }
 
 void
-ServingGroup::HandOver()
+ServingGroup::TransferLeadership()
 {
   this->agreement.OnShutdown();
   this->Step();
 }
 
 const GroupReplica*
-ServingGroup::Working() const
+ServingGroup::WorkingReplica() const
 {
   const GroupReplica* replica = this->agreement.ReplicaOf(ControlGroupId());
   return replica == nullptr || replica->Failure() ? nullptr : replica;
@@ -169,14 +172,14 @@
 bool
 ServingGroup::HoldsLease() const
 {
-  const GroupReplica* replica = this->Working();
+  const GroupReplica* replica = this->WorkingReplica();
   return replica != nullptr && replica->Core().LeaseHeld();
 }
 
 bool
-ServingGroup::HearsLeader() const
+ServingGroup::HasRecentLeader() const
 {
-  const GroupReplica* replica = this->Working();
+  const GroupReplica* replica = this->WorkingReplica();
   return replica != nullptr && replica->Core().HasRecentLeader();
 }
 
@@ -201,7 +204,7 @@
 OrderAuthority
 ServingGroup::Authority() const
 {
-  const GroupReplica* replica = this->Working();
+  const GroupReplica* replica = this->WorkingReplica();
   if (replica == nullptr) {
     return OrderAuthority{};
   }
--- a/test/program/ConfigurationSpreadTest.cpp
+++ b/test/program/ConfigurationDistributionTest.cpp
@@ -1,11 +1,11 @@
-// How configurations reach an entry host over a thin link that calls share.
+// Distribution of configurations to an entry host over a slow link that it shares with calls.
 //
-// What was seen: routes were added by the thousand, and most entry hosts went on by the version
-// before for as long as they lived, while their links stayed full and calls came seconds late.
-// How it came about: each of three control hosts sent each version whole to each entry host, over
-// one link of 10 Mbit/s. A connection on which no whole message had come for 1.7 s was given up,
-// and the next one began with all of it again. What proved it: versions stood still while the
-// links were full without a change, and connections broke as often as that limit allows.
+// Guards against a failure in which entry hosts kept the previous version for good after thousands
+// of routes were added, while their links were full and calls came seconds late. Each of three
+// control hosts sent each version as a whole to each entry host, over one link of 10 Mbit/s. A
+// connection without a complete message for 1.7 s was closed, and the next one started from the
+// beginning: the links were full although nothing changed, and connections broke as often as that
+// limit allows.
 #include <csignal>
 #include <random>
 #include <thread>
@@ -33,46 +33,45 @@
 // 10 Mbit/s, the link of an entry host.
 constexpr double kLinkBytesPerSecond = 1'250'000;
 
-// What a link carries besides in the course of a test: signs of life and what hosts are told of
-// each other, below 2 KB/s.
-constexpr std::size_t kStandingBytes = 64 * 1024;
+// Other traffic on the link during a test: heartbeats and updates about hosts, less than 2 KB/s.
+constexpr std::size_t kBackgroundBytes = 64 * 1024;
 
-// Far above what a sound transfer takes, on a busy machine too: a transfer that never ends is what
-// the tests are after.
-constexpr auto kNever = std::chrono::seconds(20);
+// Much longer than a successful transfer takes, even on a busy machine: the tests look for
+// transfers that never end.
+constexpr auto kTransferTimeout = std::chrono::seconds(20);
 
-// A configuration of routes with names as long and as random as those of operators.
+// A configuration with routes whose names are as long and as random as those of operators.
 class Routes
 {
 public:
   void Add(std::size_t aCount)
   {
     for (std::size_t index = 0; index < aCount; ++index) {
-      this->places.push_back(this->Word() + "/" + this->Word());
+      this->paths.push_back(this->RandomWord() + "/" + this->RandomWord());
     }
   }
 
-  const std::string& Newest() const { return this->places.back(); }
+  const std::string& Newest() const { return this->paths.back(); }
 
   std::string Document(int aVersion) const
   {
     std::string routes;
-    for (const std::string& place : this->places) {
-      routes += (routes.empty() ? "" : ",") + Route(place);
+    for (const std::string& path : this->paths) {
+      routes += (routes.empty() ? "" : ",") + Route(path);
     }
     return R"({"version":)" + std::to_string(aVersion) + R"(,"routes":[)" + routes +
            R"(],"services":[{"name":"app"}],"tenants":[{"name":"w","api-keys":["key"]}]})";
   }
 
-  static std::string Route(const std::string& aPlace)
+  static std::string Route(const std::string& aPath)
   {
-    return R"({"name":"r-)" + aPlace + R"(","host":"ziba21.example","path-prefix":"/)" + aPlace +
+    return R"({"name":"r-)" + aPath + R"(","host":"ziba21.example","path-prefix":"/)" + aPath +
            R"(/","kind":"idempotent","timeout-ms":3000,"target-latency-ms":300,"priority":1,)"
            R"("service":"app","max-attempts":2,"public":false,"sticky":false,"resumable":false})";
   }
 
 private:
-  std::string Word()
+  std::string RandomWord()
   {
     std::string word(8, 'a');
     for (char& letter : word) {
@@ -82,16 +81,16 @@
   }
 
   std::mt19937 random{ 20261203 };
-  std::vector<std::string> places;
+  std::vector<std::string> paths;
 };
 
-// Three control hosts, and an entry host that reaches them over one slow link.
-class ConfigurationSpreadTest : public ::testing::Test
+// Three control hosts, and an entry host that is connected to them over one slow link.
+class ConfigurationDistributionTest : public ::testing::Test
 {
 protected:
   static constexpr int kControlHosts = 3;
 
-  ConfigurationSpreadTest()
+  ConfigurationDistributionTest()
   {
     const std::string entryIp = OwnAddress(20);
     const std::uint16_t peers = FreeEndpoint(ControlIp(0)).port;
@@ -115,7 +114,7 @@
     this->threads.emplace_back([this] { EXPECT_TRUE(this->entryHost->Run()); });
   }
 
-  ~ConfigurationSpreadTest() override
+  ~ConfigurationDistributionTest() override
   {
     std::raise(SIGTERM);
     for (std::thread& thread : this->threads) {
@@ -142,7 +141,7 @@
     this->threads.emplace_back([&host] { EXPECT_TRUE(host.Run()); });
   }
 
-  // Puts the routes under the next version, and waits until they are acknowledged.
+  // Puts the routes as the next version, and waits until it is acknowledged.
   void Put()
   {
     const std::string document = this->routes.Document(++this->version);
@@ -151,8 +150,8 @@
     });
   }
 
-  // Returns whether the entry host relays by the newest route; there is no target, so a call on a
-  // known route is refused.
+  // Returns whether the newest route is in force on the entry host. A call on a known route is
+  // refused with 503, since there is no target.
   bool NewestIsInForce()
   {
     const std::string answer =
@@ -164,9 +163,9 @@
            answer.find("configuration yet") == std::string::npos;
   }
 
-  bool AwaitNewest()
+  bool WaitForNewest()
   {
-    const auto last = std::chrono::steady_clock::now() + kNever;
+    const auto last = std::chrono::steady_clock::now() + kTransferTimeout;
     while (std::chrono::steady_clock::now() < last) {
       if (this->NewestIsInForce()) {
         return true;
@@ -176,12 +175,12 @@
     return false;
   }
 
-  // Returns what the link has carried once nothing large is on its way any more.
-  std::size_t ReceivedInAll()
+  // Waits until no large transfer is in flight, and returns the bytes that the link has carried.
+  std::size_t ReceivedInTotal()
   {
     std::size_t before = 0;
     std::size_t now = this->link.Received();
-    while (now - before > kStandingBytes / 10) {
+    while (now - before > kBackgroundBytes / 10) {
       std::this_thread::sleep_for(std::chrono::milliseconds(500));
       before = std::exchange(now, this->link.Received());
     }
@@ -202,43 +201,43 @@
   std::vector<std::thread> threads;
 };
 
-TEST_F(ConfigurationSpreadTest, RoutesByTheThousandAreInForceThoughMoreFollow)
+TEST_F(ConfigurationDistributionTest, ThousandsOfRoutesComeIntoForceWhileMoreFollow)
 {
   this->routes.Add(50);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
+  ASSERT_TRUE(this->WaitForNewest());
   for (int change = 0; change < 3; ++change) {
     this->routes.Add(1400);
     this->Put();
-    // The same routes under the next version, before the first can have arrived everywhere.
+    // The same routes as the next version, before the first can have arrived everywhere.
     this->Put();
-    ASSERT_TRUE(this->AwaitNewest()) << "after change " << change;
+    ASSERT_TRUE(this->WaitForNewest()) << "after change " << change;
   }
 }
 
-TEST_F(ConfigurationSpreadTest, AChangeCostsNoMoreThanOneCopyOfWhatIsNew)
+TEST_F(ConfigurationDistributionTest, ChangeTransfersAddedRoutesOnlyOnce)
 {
   this->routes.Add(2850);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
-  const std::size_t before = this->ReceivedInAll();
+  ASSERT_TRUE(this->WaitForNewest());
+  const std::size_t before = this->ReceivedInTotal();
   this->routes.Add(1400);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
+  ASSERT_TRUE(this->WaitForNewest());
   const std::size_t added = 1400 * Routes::Route(this->routes.Newest()).size();
-  EXPECT_LE(this->ReceivedInAll() - before, added + kStandingBytes);
+  EXPECT_LE(this->ReceivedInTotal() - before, added + kBackgroundBytes);
 }
 
-TEST_F(ConfigurationSpreadTest, ASmallChangeAmongThousandsOfRoutesIsSmallOnTheLink)
+TEST_F(ConfigurationDistributionTest, SmallChangeOfLargeDocumentIsSmallOnTheLink)
 {
   this->routes.Add(4250);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
-  const std::size_t before = this->ReceivedInAll();
+  ASSERT_TRUE(this->WaitForNewest());
+  const std::size_t before = this->ReceivedInTotal();
   this->routes.Add(1);
   this->Put();
-  ASSERT_TRUE(this->AwaitNewest());
-  EXPECT_LE(this->ReceivedInAll() - before, kStandingBytes);
+  ASSERT_TRUE(this->WaitForNewest());
+  EXPECT_LE(this->ReceivedInTotal() - before, kBackgroundBytes);
 }
 
 } // namespace
--- a/test/program/ControlPictureTest.cpp
+++ b/test/program/ControlPictureTest.cpp
@@ -23,184 +23,184 @@
 {
 protected:
   ManualClock clock;
-  ControlPicture picture{ this->clock, kSilence };
+  ControlPicture tracker{ this->clock, kSilence };
 };
 
-TEST_F(ControlPictureTest, HeartbeatThatSaysTheSameIsNoChange)
+TEST_F(ControlPictureTest, UnchangedHeartbeatIsNoChange)
 {
-  this->picture.Hear(Record("t", 1));
-  ASSERT_EQ(this->picture.TakeChanges().size(), 1U);
-  this->picture.Hear(Record("t", 2));
-  EXPECT_TRUE(this->picture.TakeChanges().empty());
+  this->tracker.OnHeartbeat(Record("t", 1));
+  ASSERT_EQ(this->tracker.TakeChanges().size(), 1U);
+  this->tracker.OnHeartbeat(Record("t", 2));
+  EXPECT_TRUE(this->tracker.TakeChanges().empty());
 }
 
 TEST_F(ControlPictureTest, SilenceIsAChange)
 {
-  this->picture.Hear(Record("t", 1));
-  this->picture.TakeChanges();
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.TakeChanges();
   this->clock.Advance(kSilence);
-  const auto changes = this->picture.TakeChanges();
+  const auto changes = this->tracker.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes.front().standing, TargetAvailability::Silent);
 }
 
-TEST_F(ControlPictureTest, SignedOffTargetStaysGoneWhateverComesLate)
+TEST_F(ControlPictureTest, DepartedTargetStaysLeavingAfterLateHeartbeat)
 {
-  this->picture.Hear(Record("t", 1));
-  this->picture.Depart(TargetId("t"));
-  this->picture.Hear(Record("t", 9));
-  const auto changes = this->picture.TakeChanges();
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.OnDeparture(TargetId("t"));
+  this->tracker.OnHeartbeat(Record("t", 9));
+  const auto changes = this->tracker.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes.front().standing, TargetAvailability::Leaving);
 }
 
-TEST_F(ControlPictureTest, LaterTargetAtAnAddressTakesItOver)
+TEST_F(ControlPictureTest, NewTargetReplacesOldOneAtSameAddress)
 {
-  this->picture.Hear(Record("old", 5));
-  this->picture.Hear(Record("new", 1));
-  this->picture.TakeChanges();
-  EXPECT_FALSE(this->picture.Registry().IsUsable(TargetId("old")));
-  EXPECT_TRUE(this->picture.Registry().IsUsable(TargetId("new")));
+  this->tracker.OnHeartbeat(Record("old", 5));
+  this->tracker.OnHeartbeat(Record("new", 1));
+  this->tracker.TakeChanges();
+  EXPECT_FALSE(this->tracker.Registry().IsUsable(TargetId("old")));
+  EXPECT_TRUE(this->tracker.Registry().IsUsable(TargetId("new")));
 }
 
-TEST_F(ControlPictureTest, GhostAtAnAddressGivesItBackWithTheNextHeartbeat)
+TEST_F(ControlPictureTest, LateHeartbeatOfReplacedTargetIsUndoneByNextOfNewTarget)
 {
-  this->picture.Hear(Record("new", 1));
-  this->picture.Hear(Record("old", 5));
-  this->picture.Hear(Record("new", 2));
-  EXPECT_TRUE(this->picture.Registry().IsUsable(TargetId("new")));
+  this->tracker.OnHeartbeat(Record("new", 1));
+  this->tracker.OnHeartbeat(Record("old", 5));
+  this->tracker.OnHeartbeat(Record("new", 2));
+  EXPECT_TRUE(this->tracker.Registry().IsUsable(TargetId("new")));
 }
 
-TEST_F(ControlPictureTest, OnlyWhatWasHeardDirectlyIsPassedOn)
+TEST_F(ControlPictureTest, OnlyDirectRecordsArePassedOn)
 {
-  this->picture.Hear(Record("direct", 1, 1));
-  this->picture.HearSecondHand(Record("second", 1, 2));
-  const auto news = this->picture.TakeNews();
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_EQ(news.front().record.id, TargetId("direct"));
-  EXPECT_TRUE(this->picture.TakeNews().empty());
+  this->tracker.OnHeartbeat(Record("direct", 1, 1));
+  this->tracker.OnRelayedRecord(Record("second", 1, 2));
+  const auto updates = this->tracker.TakeDirectUpdates();
+  ASSERT_EQ(updates.size(), 1U);
+  EXPECT_EQ(updates.front().record.id, TargetId("direct"));
+  EXPECT_TRUE(this->tracker.TakeDirectUpdates().empty());
 }
 
-TEST_F(ControlPictureTest, ReportedWeightsGoBeforeThoseOfOlderHeartbeats)
+TEST_F(ControlPictureTest, ReportedWeightsOverrideOlderHeartbeats)
 {
-  this->picture.Hear(Record("t", 1));
-  this->picture.TakeChanges();
-  this->picture.SetReported({ { { TargetId("t"), ModelName("m") }, 2 } });
-  const auto changes = this->picture.TakeChanges();
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.TakeChanges();
+  this->tracker.SetReportedWeights({ { { TargetId("t"), ModelName("m") }, 2 } });
+  const auto changes = this->tracker.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes.front().record.models.front().version, WeightVersion("2"));
 }
 
-TEST_F(ControlPictureTest, TargetThatStartsAgainUnderItsIdCountsItsHeartbeatsAnew)
+TEST_F(ControlPictureTest, RestartedTargetBeginsNewHeartbeatSequence)
 {
   TargetRecord earlier = Record("t", 50);
   earlier.incarnation = Incarnation(1000);
-  this->picture.Hear(earlier);
-  this->picture.Depart(TargetId("t"), Incarnation(1000));
+  this->tracker.OnHeartbeat(earlier);
+  this->tracker.OnDeparture(TargetId("t"), Incarnation(1000));
   TargetRecord later = Record("t", 1);
   later.incarnation = Incarnation(2000);
-  this->picture.Hear(later);
-  // Both of these come late.
-  this->picture.Hear(earlier);
-  this->picture.Depart(TargetId("t"), Incarnation(1000));
-  const auto changes = this->picture.TakeChanges();
+  this->tracker.OnHeartbeat(later);
+  // Both of these arrive late.
+  this->tracker.OnHeartbeat(earlier);
+  this->tracker.OnDeparture(TargetId("t"), Incarnation(1000));
+  const auto changes = this->tracker.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes.front().standing, TargetAvailability::Usable);
   EXPECT_EQ(changes.front().record.incarnation, Incarnation(2000));
 }
 
-TEST_F(ControlPictureTest, EnginesAreListedAsTheyAreNow)
+TEST_F(ControlPictureTest, ListsEnginesInTheirCurrentState)
 {
-  this->picture.Hear(Record("a", 1, 1));
-  this->picture.Hear(Record("b", 1, 2));
+  this->tracker.OnHeartbeat(Record("a", 1, 1));
+  this->tracker.OnHeartbeat(Record("b", 1, 2));
   TargetRecord service = Record("c", 1, 3);
   service.kind = TargetKind::Service;
-  this->picture.Hear(service);
-  EXPECT_EQ(this->picture.UsableEngines().size(), 2U);
+  this->tracker.OnHeartbeat(service);
+  EXPECT_EQ(this->tracker.UsableEngines().size(), 2U);
   this->clock.Advance(kSilence / 2);
-  this->picture.Hear(Record("b", 2, 2));
+  this->tracker.OnHeartbeat(Record("b", 2, 2));
   this->clock.Advance(kSilence / 2);
-  ASSERT_EQ(this->picture.UsableEngines().size(), 1U);
-  EXPECT_EQ(this->picture.UsableEngines().front().id, TargetId("b"));
-  EXPECT_EQ(this->picture.RemainingEngines().size(), 2U);
-  this->picture.Depart(TargetId("a"));
-  EXPECT_EQ(this->picture.RemainingEngines().size(), 1U);
+  ASSERT_EQ(this->tracker.UsableEngines().size(), 1U);
+  EXPECT_EQ(this->tracker.UsableEngines().front().id, TargetId("b"));
+  EXPECT_EQ(this->tracker.RemainingEngines().size(), 2U);
+  this->tracker.OnDeparture(TargetId("a"));
+  EXPECT_EQ(this->tracker.RemainingEngines().size(), 1U);
   TargetRecord newer = Record("b", 3, 2);
   newer.models.front().version = WeightVersion("2");
-  this->picture.Hear(newer);
-  EXPECT_EQ(this->picture.UsableEngines().front().models.front().version, WeightVersion("2"));
+  this->tracker.OnHeartbeat(newer);
+  EXPECT_EQ(this->tracker.UsableEngines().front().models.front().version, WeightVersion("2"));
 }
 
-TEST_F(ControlPictureTest, PauseIsToldOnceAndTakenBackOnce)
+TEST_F(ControlPictureTest, PublishesPauseAndResumeOnceEach)
 {
-  this->picture.Hear(Record("t", 1));
-  this->picture.TakeChanges();
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.TakeChanges();
   for (const bool paused : { true, false }) {
     const std::set<TargetId> targets{ TargetId("t") };
-    this->picture.SetPaused(paused ? targets : std::set<TargetId>());
-    const auto changes = this->picture.TakeChanges();
+    this->tracker.SetPaused(paused ? targets : std::set<TargetId>());
+    const auto changes = this->tracker.TakeChanges();
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes.front().paused, paused);
-    EXPECT_TRUE(this->picture.TakeChanges().empty());
+    EXPECT_TRUE(this->tracker.TakeChanges().empty());
   }
 }
 
-TEST_F(ControlPictureTest, WriterOfAServiceThatNobodyNamedLeavesTheOthersAsTheyAre)
+TEST_F(ControlPictureTest, RefusesTargetOfUnknownServiceAndKeepsKnownTargetOfSameId)
 {
-  this->picture.SetServices({ ServiceName("s") });
-  this->picture.Hear(Record("t", 1));
+  this->tracker.SetServices({ ServiceName("s") });
+  this->tracker.OnHeartbeat(Record("t", 1));
   TargetRecord foreign = Record("t", 99);
   foreign.service = ServiceName("other");
-  EXPECT_FALSE(this->picture.Hear(foreign));
-  const auto changes = this->picture.TakeChanges();
+  EXPECT_FALSE(this->tracker.OnHeartbeat(foreign));
+  const auto changes = this->tracker.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes.front().standing, TargetAvailability::Usable);
   EXPECT_EQ(changes.front().record.service, ServiceName("s"));
 }
 
-TEST_F(ControlPictureTest, TargetOfAServiceThatWasDroppedMayStillSignOff)
+TEST_F(ControlPictureTest, TargetOfRemovedServiceMaySignOff)
 {
-  this->picture.Hear(Record("t", 1));
-  this->picture.SetServices({ ServiceName("other") });
+  this->tracker.OnHeartbeat(Record("t", 1));
+  this->tracker.SetServices({ ServiceName("other") });
   TargetRecord leaving = Record("t", 2);
   leaving.leaving = true;
-  EXPECT_TRUE(this->picture.Hear(leaving));
+  EXPECT_TRUE(this->tracker.OnHeartbeat(leaving));
 }
 
-TEST_F(ControlPictureTest, ColdTargetsAreTold)
+TEST_F(ControlPictureTest, ReturnsColdTargetsOnce)
 {
-  const ColdStartSpec traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
-  this->picture.SetColdTraits({ { ServiceName("s"), traits } });
+  const ColdStartSpec spec{ RequestRate{ 16 }, std::chrono::seconds(3) };
+  this->tracker.SetColdStartSpecs({ { ServiceName("s"), spec } });
   TargetRecord record = Record("t", 1);
   record.coldFor = std::chrono::seconds(2);
-  this->picture.Hear(record);
-  const std::vector<ColdTarget> cold = this->picture.TakeCold();
+  this->tracker.OnHeartbeat(record);
+  const std::vector<ColdTarget> cold = this->tracker.TakeColdTargets();
   ASSERT_EQ(cold.size(), 1U);
-  EXPECT_EQ(cold[0], (ColdTarget{ TargetId("t"), Incarnation(), record.coldFor, traits.rate }));
-  EXPECT_TRUE(this->picture.TakeCold().empty());
+  EXPECT_EQ(cold[0], (ColdTarget{ TargetId("t"), Incarnation(), record.coldFor, spec.rate }));
+  EXPECT_TRUE(this->tracker.TakeColdTargets().empty());
 }
 
-TEST_F(ControlPictureTest, TargetsOfServicesThatDeclareNoRateAreNeverCold)
+TEST_F(ControlPictureTest, TargetsOfServicesWithoutColdStartSpecAreNeverCold)
 {
   TargetRecord record = Record("t", 1);
   record.coldFor = std::chrono::seconds(2);
-  this->picture.Hear(record);
-  EXPECT_TRUE(this->picture.TakeCold().empty());
+  this->tracker.OnHeartbeat(record);
+  EXPECT_TRUE(this->tracker.TakeColdTargets().empty());
 }
 
-TEST_F(ControlPictureTest, TargetsOfAZoneThatIsGivenBackCountAsCold)
+TEST_F(ControlPictureTest, TargetsOfReturnedZoneCountAsCold)
 {
-  const ColdStartSpec traits{ RequestRate{ 16 }, std::chrono::seconds(3) };
-  this->picture.SetColdTraits({ { ServiceName("s"), traits } });
+  const ColdStartSpec spec{ RequestRate{ 16 }, std::chrono::seconds(3) };
+  this->tracker.SetColdStartSpecs({ { ServiceName("s"), spec } });
   TargetRecord here = Record("here", 1);
   here.zone = ZoneId("hall");
-  this->picture.Hear(here);
-  this->picture.Hear(Record("elsewhere", 1, 8081));
-  this->picture.OnZoneReturned(here.zone);
-  const std::vector<ColdTarget> cold = this->picture.TakeCold();
+  this->tracker.OnHeartbeat(here);
+  this->tracker.OnHeartbeat(Record("elsewhere", 1, 8081));
+  this->tracker.OnZoneReturned(here.zone);
+  const std::vector<ColdTarget> cold = this->tracker.TakeColdTargets();
   ASSERT_EQ(cold.size(), 1U);
   EXPECT_EQ(cold[0].target, here.id);
-  EXPECT_EQ(cold[0].coldFor, traits.lasts);
+  EXPECT_EQ(cold[0].coldFor, spec.lasts);
 }
 
 } // namespace
