--- a/src/program/AdmissionDesk.cpp
+++ b/src/program/AdmissionController.cpp
@@ -1,4 +1,4 @@
-#include "AdmissionDesk.h"
+#include "AdmissionController.h"
 
 #include <algorithm>
 #include <limits>
@@ -46,7 +46,7 @@
 
 } // namespace
 
-AdmissionDesk::AdmissionDesk(const HostContext& aContext, const TrafficState& aState)
+AdmissionController::AdmissionController(const HostContext& aContext, const TrafficState& aState)
   : context(aContext)
   , state(aState)
   , zonePeers(ZonePeers(aContext.settings))
@@ -57,7 +57,7 @@
 }
 
 std::optional<CallerError>
-AdmissionDesk::Enter(const AdmissionCall& aCall, AdmissionId& aId)
+AdmissionController::Enter(const AdmissionCall& aCall, AdmissionId& aId)
 {
   const MonotonicTime begun = this->context.clock.MonotonicNow();
   absl::MutexLock lock(&this->mutex);
@@ -76,7 +76,7 @@
 }
 
 std::optional<AdmissionRefusal>
-AdmissionDesk::WaitForTurn(const AdmissionCall& aCall, AdmissionId& aId)
+AdmissionController::WaitForTurn(const AdmissionCall& aCall, AdmissionId& aId)
 {
   this->SetCapacity(aCall);
   AdmissionRequest request;
@@ -107,7 +107,7 @@
 }
 
 void
-AdmissionDesk::Leave(const ResolvedPolicy& aPolicy, AdmissionId aId, bool aAnswered)
+AdmissionController::Leave(const ResolvedPolicy& aPolicy, AdmissionId aId, bool aAnswered)
 {
   absl::MutexLock lock(&this->mutex);
   this->limiter.Leave(aPolicy);
@@ -118,7 +118,7 @@
 // The pool takes what its fit targets take together. A pool without any target has room for all:
 // the router then says what is missing.
 void
-AdmissionDesk::SetCapacity(const AdmissionCall& aCall)
+AdmissionController::SetCapacity(const AdmissionCall& aCall)
 {
   std::size_t capacity = 0;
   for (const TargetRecord& target : this->health.Filter(aCall.targets)) {
@@ -131,7 +131,7 @@
 }
 
 void
-AdmissionDesk::HandOut()
+AdmissionController::HandOut()
 {
   for (AdmissionDecision& decision : this->queue.TakeDecisions()) {
     const auto found = this->waiters.find(decision.id);
@@ -145,7 +145,7 @@
 }
 
 std::vector<TargetRecord>
-AdmissionDesk::Usable(const std::vector<TargetRecord>& aTargets) const
+AdmissionController::Usable(const std::vector<TargetRecord>& aTargets) const
 {
   absl::MutexLock lock(&this->mutex);
   std::vector<TargetRecord> fit = this->health.Filter(aTargets);
@@ -160,7 +160,7 @@
 }
 
 void
-AdmissionDesk::OnStart(const TargetId& aTarget)
+AdmissionController::OnStart(const TargetId& aTarget)
 {
   absl::MutexLock lock(&this->mutex);
   this->limits[aTarget].OnStart();
@@ -168,10 +168,10 @@
 }
 
 void
-AdmissionDesk::OnEnd(const TargetId& aTarget,
-                     LoadSignal aLoad,
-                     HealthSignal aSign,
-                     Duration aFirstToken)
+AdmissionController::OnEnd(const TargetId& aTarget,
+                           LoadSignal aLoad,
+                           HealthSignal aSign,
+                           Duration aFirstToken)
 {
   absl::MutexLock lock(&this->mutex);
   this->limits[aTarget].OnEnd(aLoad, aFirstToken);
@@ -179,7 +179,7 @@
 }
 
 void
-AdmissionDesk::OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage)
+AdmissionController::OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage)
 {
   const auto use = DecodeUseReport(aMessage.payload);
   const bool ofZone =
@@ -195,7 +195,7 @@
 }
 
 void
-AdmissionDesk::OnTick(MonotonicTime aNow)
+AdmissionController::OnTick(MonotonicTime aNow)
 {
   if (aNow < this->nextReport) {
     return;
--- a/src/program/AdmissionDesk.h
+++ b/src/program/AdmissionController.h
@@ -36,10 +36,10 @@
 
 // The decisions of AdmissionQueue, ConcurrencyLimit, SubtreeLimiter and TargetHealth behind one
 // lock. Safe from any thread; OnPeerMessage() and OnTick() come on the control thread.
-class AdmissionDesk final : public ControlModule
+class AdmissionController final : public ControlModule
 {
 public:
-  AdmissionDesk(const HostContext& aContext, const TrafficState& aState);
+  AdmissionController(const HostContext& aContext, const TrafficState& aState);
 
   // Waits for the request's turn. Returns a refusal, which says "not run", or nothing: then Leave()
   // must follow with the id.
@@ -82,21 +82,21 @@
 };
 
 // One request's place, given back when it goes.
-class AdmissionPlace
+class AdmissionSlot
 {
 public:
-  explicit AdmissionPlace(AdmissionDesk& aDesk)
+  explicit AdmissionSlot(AdmissionController& aDesk)
     : desk(aDesk)
   {
   }
-  ~AdmissionPlace()
+  ~AdmissionSlot()
   {
     if (this->held) {
       this->desk.Leave(this->policy, this->id, this->answered);
     }
   }
-  AdmissionPlace(const AdmissionPlace&) = delete;
-  AdmissionPlace& operator=(const AdmissionPlace&) = delete;
+  AdmissionSlot(const AdmissionSlot&) = delete;
+  AdmissionSlot& operator=(const AdmissionSlot&) = delete;
 
   // Waits for the place. Returns the refusal when there is none.
   std::optional<CallerError> Enter(const AdmissionCall& aCall)
@@ -108,10 +108,10 @@
   }
 
   // Tells that the whole answer went out.
-  void NoteAnswered() { this->answered = true; }
+  void MarkAnswered() { this->answered = true; }
 
 private:
-  AdmissionDesk& desk;
+  AdmissionController& desk;
   ResolvedPolicy policy;
   AdmissionId id;
   bool held = false;
--- a/src/program/AgreementModule.cpp
+++ b/src/program/AgreementModule.cpp
@@ -42,11 +42,11 @@
   return RaftTiming{ aTimeouts.heartbeat, aTimeouts.electionLeast, aTimeouts.electionMost };
 }
 
-AgreementSetup
-SetupOf(const HostContext& aContext)
+AgreementOptions
+OptionsOf(const HostContext& aContext)
 {
   const HostSettings& settings = aContext.settings;
-  return AgreementSetup{
+  return AgreementOptions{
     aContext.clock,
     aContext.metrics,
     aContext.peers,
@@ -66,22 +66,22 @@
 } // namespace
 
 AgreementModule::AgreementModule(const HostContext& aContext)
-  : AgreementModule(SetupOf(aContext))
+  : AgreementModule(OptionsOf(aContext))
 {
 }
 
-AgreementModule::AgreementModule(AgreementSetup aSetup, std::unique_ptr<Disk> aDisk)
-  : setup(std::move(aSetup))
+AgreementModule::AgreementModule(AgreementOptions aOptions, std::unique_ptr<Disk> aDisk)
+  : options(std::move(aOptions))
   , disk(std::move(aDisk))
-  , writer(this->setup.wake)
-  , tracker(this->setup.clock, this->setup.host, RandomNumber())
+  , writer(this->options.wake)
+  , tracker(this->options.clock, this->options.host, RandomNumber())
 {
 }
 
 Result<void>
 AgreementModule::Open()
 {
-  const std::string& path = this->setup.dataFolder;
+  const std::string& path = this->options.dataFolder;
   if (path.empty()) {
     return Success();
   }
@@ -100,7 +100,7 @@
     return Fail(opened.error());
   }
   this->folder = std::move(opened.value());
-  for (const GroupId& group : this->setup.groups) {
+  for (const GroupId& group : this->options.groups) {
     if (auto held = this->OpenGroup(group); !held) {
       return held;
     }
@@ -139,19 +139,19 @@
     .With("entries", aRecovered.entries.size());
   GroupOptions options;
   options.raft.group = aGroup;
-  options.raft.host = this->setup.host;
+  options.raft.host = this->options.host;
   options.raft.replica = this->folder.replica;
-  options.raft.timing = this->setup.timing;
+  options.raft.timing = this->options.timing;
   options.raft.seed = RandomNumber();
-  options.listedVoters = ListedVoters(this->setup.hosts, aGroup);
-  options.mayFormGroup = this->setup.mayFormGroup;
-  options.maxVoters = this->setup.mostVoters;
-  HeldGroup& held = this->groups[aGroup];
-  held = HeldGroup();
+  options.listedVoters = ListedVoters(this->options.hosts, aGroup);
+  options.mayFormGroup = this->options.mayFormGroup;
+  options.maxVoters = this->options.maxVoters;
+  LocalGroup& held = this->groups[aGroup];
+  held = LocalGroup();
   held.replica =
-    std::make_unique<GroupReplica>(this->setup.clock, std::move(options), std::move(aRecovered));
+    std::make_unique<GroupReplica>(this->options.clock, std::move(options), std::move(aRecovered));
   if (aGroup == ControlGroupId()) {
-    held.replica->Machines().Add(StateMachineId::Groups, this->catalogue);
+    held.replica->Machines().Add(StateMachineId::Groups, this->registry);
   } else {
     held.life = std::make_unique<IncarnationMachine>();
     held.replica->Machines().Add(StateMachineId::Groups, *held.life);
@@ -165,10 +165,10 @@
 }
 
 bool
-AgreementModule::WaitsForDisk(const HeldGroup& aHeld) const
+AgreementModule::WaitsForDisk(const LocalGroup& aHeld) const
 {
   const std::optional<Error>& failure = aHeld.replica->Failure();
-  return this->setup.reopenAfter && failure && failure->kind == ErrorKind::Storage;
+  return this->options.reopenAfter && failure && failure->kind == ErrorKind::Storage;
 }
 
 // What a replica holds in memory may be more than what its disk does, so it goes on with what it
@@ -182,7 +182,7 @@
       continue;
     }
     if (!held.reopenAt) {
-      held.reopenAt = aNow + *this->setup.reopenAfter;
+      held.reopenAt = aNow + *this->options.reopenAfter;
     }
     if (aNow >= *held.reopenAt) {
       held.reopening = true;
@@ -202,7 +202,7 @@
     LogEvent(LogLevel::Warning, "group_not_opened")
       .With("group", reopened.group)
       .With("error", reopened.recovered.error());
-    HeldGroup& held = this->groups.at(reopened.group);
+    LocalGroup& held = this->groups.at(reopened.group);
     held.reopening = false;
     held.reopenAt.reset();
     held.replica->Stop(reopened.recovered.error());
@@ -229,7 +229,7 @@
                          ProposalDone aDone)
 {
   this->tracker.Start(aGroup,
-                      ListedVoters(this->setup.hosts, aGroup),
+                      ListedVoters(this->options.hosts, aGroup),
                       aPart,
                       std::move(aCommand),
                       aTimeout,
@@ -250,9 +250,9 @@
 }
 
 void
-AgreementModule::KnowHost(const HostId& aHost)
+AgreementModule::AddDiscoveredHost(const HostId& aHost)
 {
-  for (const PeerSettings& known : this->setup.hosts) {
+  for (const PeerSettings& known : this->options.hosts) {
     if (known.host == aHost) {
       return;
     }
@@ -260,7 +260,7 @@
   PeerSettings learnt;
   learnt.host = aHost;
   learnt.disk = true;
-  this->setup.hosts.push_back(std::move(learnt));
+  this->options.hosts.push_back(std::move(learnt));
   for (auto& [group, held] : this->groups) {
     held.replica->AddDiscoveredHost(aHost);
   }
@@ -296,7 +296,7 @@
   AgreementMessage& message = decoded.value();
   message.group = aMessage.group;
   message.fromHost = aFrom;
-  message.toHost = this->setup.host;
+  message.toHost = this->options.host;
   this->Deliver(message);
 }
 
@@ -311,10 +311,10 @@
     held.replica->Tick();
     this->tracker.ReportLeader(group, held.replica->Status().leader);
   }
-  this->Pump();
+  this->ProcessMessages();
   for (auto& [group, held] : this->groups) {
-    this->NoteChanges(group, held);
-    this->RegisterFounding(group, held);
+    this->LogChanges(group, held);
+    this->RegisterFormation(group, held);
   }
 }
 
@@ -341,13 +341,13 @@
 
 // Moves messages until nothing is left that this host can do by itself.
 void
-AgreementModule::Pump()
+AgreementModule::ProcessMessages()
 {
   bool moved = true;
   while (moved) {
-    moved = this->PumpTracker();
+    moved = this->SendProposals();
     for (auto& [group, held] : this->groups) {
-      moved |= this->PumpGroup(group, held);
+      moved |= this->ProcessGroupActions(group, held);
     }
     while (!this->toSelf.empty()) {
       const AgreementMessage message = std::move(this->toSelf.front());
@@ -359,7 +359,7 @@
 }
 
 bool
-AgreementModule::PumpGroup(const GroupId& aGroup, HeldGroup& aHeld)
+AgreementModule::ProcessGroupActions(const GroupId& aGroup, LocalGroup& aHeld)
 {
   GroupActions actions = aHeld.replica->TakeActions();
   const bool moved = actions.persist.has_value() || !actions.messages.empty();
@@ -373,7 +373,7 @@
 }
 
 bool
-AgreementModule::PumpTracker()
+AgreementModule::SendProposals()
 {
   std::vector<AgreementMessage> messages = this->tracker.TakeMessages();
   for (AgreementMessage& message : messages) {
@@ -385,12 +385,12 @@
 void
 AgreementModule::Send(AgreementMessage aMessage)
 {
-  if (aMessage.toHost == this->setup.host) {
+  if (aMessage.toHost == this->options.host) {
     this->toSelf.push_back(std::move(aMessage));
     return;
   }
   PeerMessage message{ Channel::Agreement, aMessage.group, EncodeAgreementMessage(aMessage) };
-  this->setup.peers.Send(aMessage.toHost, std::move(message));
+  this->options.peers.Send(aMessage.toHost, std::move(message));
 }
 
 void
@@ -409,7 +409,7 @@
 }
 
 void
-AgreementModule::NoteChanges(const GroupId& aGroup, HeldGroup& aHeld)
+AgreementModule::LogChanges(const GroupId& aGroup, LocalGroup& aHeld)
 {
   const std::optional<Error>& failure = aHeld.replica->Failure();
   if (failure && !aHeld.failureLogged) {
@@ -418,7 +418,7 @@
   }
   const bool leading = aHeld.replica->Status().leading;
   if (leading && !aHeld.wasLeading) {
-    this->setup.metrics.Add(Counter::Elections, MetricKey{ {}, aGroup.Value() }, 1);
+    this->options.metrics.Add(Counter::Elections, MetricKey{ {}, aGroup.Value() }, 1);
     LogEvent(LogLevel::Info, "leader_elected")
       .With("group", aGroup)
       .With("term", aHeld.replica->Status().term);
@@ -436,23 +436,24 @@
 // The leader of a claims group learns from the control group which founding of the group it leads,
 // and then tells the group itself.
 void
-AgreementModule::RegisterFounding(const GroupId& aGroup, HeldGroup& aHeld)
+AgreementModule::RegisterFormation(const GroupId& aGroup, LocalGroup& aHeld)
 {
   const bool known = aHeld.life == nullptr || aHeld.life->Current().incarnation != Incarnation();
   if (known || aHeld.registering || !aHeld.replica->Core().LeaseHeld()) {
     return;
   }
   aHeld.registering = true;
-  this->Propose(
-    ControlGroupId(),
-    StateMachineId::Groups,
-    EncodeRegistration(aGroup, aHeld.replica->Core().Formation()),
-    kRegistrationTimeout,
-    [this, aGroup](const Result<std::string>& aAnswer) { this->TakeFounding(aGroup, aAnswer); });
+  this->Propose(ControlGroupId(),
+                StateMachineId::Groups,
+                EncodeRegistration(aGroup, aHeld.replica->Core().Formation()),
+                kRegistrationTimeout,
+                [this, aGroup](const Result<std::string>& aAnswer) {
+                  this->OnFormationRegistered(aGroup, aAnswer);
+                });
 }
 
 void
-AgreementModule::TakeFounding(const GroupId& aGroup, const Result<std::string>& aAnswer)
+AgreementModule::OnFormationRegistered(const GroupId& aGroup, const Result<std::string>& aAnswer)
 {
   const auto founding =
     aAnswer ? DecodeGroupIncarnation(aAnswer.value()) : Result<GroupIncarnation>(aAnswer.error());
--- a/src/program/AgreementModule.h
+++ b/src/program/AgreementModule.h
@@ -15,7 +15,7 @@
 namespace damasklink {
 
 // What a host's replicas stand on.
-struct AgreementSetup
+struct AgreementOptions
 {
   const Clock& clock;
   Metrics& metrics;
@@ -25,14 +25,14 @@
   HostId host;
   // Empty on a host without a disk.
   std::string dataFolder;
-  // All hosts that are known, this one among them; KnowHost() adds further ones.
+  // All hosts that are known, this one among them; AddDiscoveredHost() adds further ones.
   std::vector<PeerSettings> hosts;
   // The groups that this host holds replicas of.
   std::vector<GroupId> groups;
   RaftTiming timing;
   // As in GroupOptions.
   bool mayFormGroup = true;
-  std::optional<std::size_t> mostVoters;
+  std::optional<std::size_t> maxVoters;
   // Where set, a replica whose disk refused a write is opened anew this long after, and again until
   // the disk takes writes; else it stays stopped.
   std::optional<Duration> reopenAfter;
@@ -45,7 +45,7 @@
 {
 public:
   explicit AgreementModule(const HostContext& aContext);
-  explicit AgreementModule(AgreementSetup aSetup,
+  explicit AgreementModule(AgreementOptions aOptions,
                            std::unique_ptr<Disk> aDisk = std::make_unique<PosixDisk>());
 
   // Opens the data folder and the groups of this host, if it has a disk. Requires to be called
@@ -68,7 +68,7 @@
   void OnShutdown() override;
 
   // Takes a host with a disk that was learnt while this one runs: it may vote and lead.
-  void KnowHost(const HostId& aHost);
+  void AddDiscoveredHost(const HostId& aHost);
 
   // Returns the replica of a group that this host holds, or null.
   const GroupReplica* ReplicaOf(const GroupId& aGroup) const;
@@ -81,10 +81,10 @@
   std::optional<Error> FailureOf(const GroupId& aGroup) const;
 
 private:
-  struct HeldGroup
+  struct LocalGroup
   {
     std::unique_ptr<GroupReplica> replica;
-    // The group's own machine: the catalogue in the control group, its founding elsewhere.
+    // The group's own machine: the registry in the control group, its founding elsewhere.
     std::unique_ptr<IncarnationMachine> life;
     bool registering = false;
     bool wasLeading = false;
@@ -105,28 +105,28 @@
   Result<void> OpenGroup(const GroupId& aGroup);
   void StartReplica(const GroupId& aGroup, RecoveredLog aRecovered);
   std::unique_ptr<LogStore> StoreOf(const GroupId& aGroup);
-  bool WaitsForDisk(const HeldGroup& aHeld) const;
+  bool WaitsForDisk(const LocalGroup& aHeld) const;
   void ReopenFailed(MonotonicTime aNow);
   void TakeReopened();
   void TakeCompletions();
-  void Pump();
-  bool PumpGroup(const GroupId& aGroup, HeldGroup& aHeld);
-  bool PumpTracker();
+  void ProcessMessages();
+  bool ProcessGroupActions(const GroupId& aGroup, LocalGroup& aHeld);
+  bool SendProposals();
   void Send(AgreementMessage aMessage);
   void Deliver(const AgreementMessage& aMessage);
-  void NoteChanges(const GroupId& aGroup, HeldGroup& aHeld);
-  void RegisterFounding(const GroupId& aGroup, HeldGroup& aHeld);
-  void TakeFounding(const GroupId& aGroup, const Result<std::string>& aAnswer);
+  void LogChanges(const GroupId& aGroup, LocalGroup& aHeld);
+  void RegisterFormation(const GroupId& aGroup, LocalGroup& aHeld);
+  void OnFormationRegistered(const GroupId& aGroup, const Result<std::string>& aAnswer);
 
-  AgreementSetup setup;
+  AgreementOptions options;
   std::unique_ptr<Disk> disk;
   std::unique_ptr<FileLock> lock;
   DataFolder folder;
   LogWriter writer;
   ProposalForwarder tracker;
-  GroupRegistry catalogue;
+  GroupRegistry registry;
   std::vector<Registration> registrations;
-  std::map<GroupId, HeldGroup> groups;
+  std::map<GroupId, LocalGroup> groups;
   // Messages of this host to itself.
   std::deque<AgreementMessage> toSelf;
 };
--- a/src/program/AgreementPart.cpp
+++ b/src/program/AgreementSubsystem.cpp
@@ -1,22 +1,22 @@
-#include "AgreementPart.h"
+#include "AgreementSubsystem.h"
 
 namespace damasklink {
 
-AgreementPart::AgreementPart(const HostContext& aContext)
+AgreementSubsystem::AgreementSubsystem(const HostContext& aContext)
   : context(aContext)
   , module(aContext)
 {
 }
 
 Result<void>
-AgreementPart::Start()
+AgreementSubsystem::Start()
 {
   this->context.control.Add(Channel::Agreement, this->module);
   return this->module.Open();
 }
 
 void
-AgreementPart::AddRoutes(const HostServers& /*aServers*/)
+AgreementSubsystem::AddRoutes(const HostServers& /*aServers*/)
 {
 }
 
--- a/src/program/AgreementPart.h
+++ b/src/program/AgreementSubsystem.h
@@ -7,10 +7,10 @@
 
 namespace damasklink {
 
-class AgreementPart
+class AgreementSubsystem
 {
 public:
-  explicit AgreementPart(const HostContext& aContext);
+  explicit AgreementSubsystem(const HostContext& aContext);
 
   Replicator& Groups() { return this->module; }
 
--- a/src/program/ClaimGate.cpp
+++ b/src/program/ClaimClient.cpp
@@ -1,4 +1,4 @@
-#include "ClaimGate.h"
+#include "ClaimClient.h"
 
 #include <algorithm>
 #include <random>
@@ -57,7 +57,7 @@
 
 } // namespace
 
-ClaimTicket::ClaimTicket(ClaimGate& aGate,
+ClaimTicket::ClaimTicket(ClaimClient& aGate,
                          ZoneId aHome,
                          ClaimCommand aCommand,
                          const DispatchRecord& aRecord,
@@ -85,14 +85,14 @@
 {
   this->settled = true;
   this->command.verb = ClaimVerb::Finish;
-  if (aAnswer && aAnswer->body.size() <= this->gate.MostKeptAnswer().Value()) {
+  if (aAnswer && aAnswer->body.size() <= this->gate.MaxKeptAnswer().Value()) {
     this->command.answer = std::move(aAnswer);
   }
   this->gate.Settle(this->home, std::move(this->command));
 }
 
 // Shared by the traffic thread that waits and the control thread that answers.
-struct ClaimGate::Waiter
+struct ClaimClient::Waiter
 {
   absl::Mutex mutex;
   std::optional<ProposalOutcome> end ABSL_GUARDED_BY(mutex);
@@ -100,7 +100,7 @@
   bool left ABSL_GUARDED_BY(mutex) = false;
 };
 
-ClaimGate::ClaimGate(const HostContext& aContext, Replicator& aGroups)
+ClaimClient::ClaimClient(const HostContext& aContext, Replicator& aGroups)
   : context(aContext)
   , groups(aGroups)
   , zones(ClaimZones(aContext.settings))
@@ -109,7 +109,7 @@
 }
 
 void
-ClaimGate::Start()
+ClaimClient::Start()
 {
   for (const ZoneId& zone : this->zones) {
     this->groups.AddMachine(ClaimsGroupId(zone), StateMachineId::Claims, this->machines[zone]);
@@ -117,10 +117,10 @@
   this->context.control.Add(Channel::Claims, *this);
 }
 
-ClaimEntrance
-ClaimGate::Enter(const KeyedCall& aCall, DispatchRecord& aRecord)
+ClaimResult
+ClaimClient::Enter(const KeyedCall& aCall, DispatchRecord& aRecord)
 {
-  ClaimEntrance entrance;
+  ClaimResult entrance;
   const auto refuse = [&](Error aError, std::optional<Duration> aRetryAfter) {
     entrance.refusal = CallerError{ std::move(aError), aRecord.Outcome(), aRetryAfter };
     return std::move(entrance);
@@ -156,7 +156,7 @@
 }
 
 Result<ClaimCommand>
-ClaimGate::MakeClaim(const KeyedCall& aCall, ZoneId& aHome) const
+ClaimClient::MakeClaim(const KeyedCall& aCall, ZoneId& aHome) const
 {
   auto origin = ReadKeyOrigin(aCall.workspace, aCall.key);
   if (!origin) {
@@ -180,7 +180,7 @@
 }
 
 Result<ZoneId>
-ClaimGate::HomeOf(const KeyedCall& aCall, const KeyOrigin& aOrigin) const
+ClaimClient::HomeOf(const KeyedCall& aCall, const KeyOrigin& aOrigin) const
 {
   if (!aOrigin.home) {
     return RendezvousHome(aCall.workspace, aCall.key, this->zones);
@@ -194,7 +194,7 @@
 }
 
 Result<ClaimReply>
-ClaimGate::Ask(const ZoneId& aHome, const ClaimCommand& aCommand, Duration aWait)
+ClaimClient::Ask(const ZoneId& aHome, const ClaimCommand& aCommand, Duration aWait)
 {
   const Duration bound = this->context.settings.timeouts.electionMost + kBeyondElection;
   const Duration wait = std::min(aWait, bound);
@@ -204,7 +204,9 @@
     this->retrier.Start(
       Proposal{
         ClaimsGroupId(aHome), StateMachineId::Claims, EncodeClaimCommand(aCommand), deadline },
-      [=, this](ProposalOutcome aEnd) { this->OnAsked(waiter, aHome, aCommand, std::move(aEnd)); });
+      [=, this](ProposalOutcome aEnd) {
+        this->OnClaimAnswered(waiter, aHome, aCommand, std::move(aEnd));
+      });
   });
   if (!posted) {
     return Fail(ErrorKind::Overloaded, "the control thread is behind", "try again shortly");
@@ -225,10 +227,10 @@
 }
 
 void
-ClaimGate::OnAsked(const std::shared_ptr<Waiter>& aWaiter,
-                   const ZoneId& aHome,
-                   const ClaimCommand& aCommand,
-                   ProposalOutcome aEnd)
+ClaimClient::OnClaimAnswered(const std::shared_ptr<Waiter>& aWaiter,
+                             const ZoneId& aHome,
+                             const ClaimCommand& aCommand,
+                             ProposalOutcome aEnd)
 {
   bool giveBack = aEnd.mayBeApplied;
   {
@@ -241,12 +243,12 @@
     ClaimCommand release = aCommand;
     release.verb = ClaimVerb::Release;
     ++this->unsettled;
-    this->StartSettling(aHome, release);
+    this->ProposeSettlement(aHome, release);
   }
 }
 
 IdempotencyKey
-ClaimGate::Mint(const WorkspaceId& aWorkspace)
+ClaimClient::Mint(const WorkspaceId& aWorkspace)
 {
   const ZoneId& own = this->context.settings.zone;
   const bool homesClaims = std::find(this->zones.begin(), this->zones.end(), own) != zones.end();
@@ -256,11 +258,11 @@
 }
 
 void
-ClaimGate::Settle(const ZoneId& aHome, ClaimCommand aCommand)
+ClaimClient::Settle(const ZoneId& aHome, ClaimCommand aCommand)
 {
   ++this->unsettled;
   const bool posted = this->context.control.Post(
-    [this, aHome, command = std::move(aCommand)] { this->StartSettling(aHome, command); });
+    [this, aHome, command = std::move(aCommand)] { this->ProposeSettlement(aHome, command); });
   if (!posted) {
     // The claim's lease ends by itself, and the key then counts as one that may have run.
     --this->unsettled;
@@ -269,7 +271,7 @@
 }
 
 void
-ClaimGate::StartSettling(const ZoneId& aHome, const ClaimCommand& aCommand)
+ClaimClient::ProposeSettlement(const ZoneId& aHome, const ClaimCommand& aCommand)
 {
   const MonotonicTime deadline = this->context.clock.MonotonicNow() + kSettleTime;
   this->retrier.Start(
@@ -286,12 +288,12 @@
 }
 
 void
-ClaimGate::OnPeerMessage(const HostId& /*aFrom*/, const PeerMessage& /*aMessage*/)
+ClaimClient::OnPeerMessage(const HostId& /*aFrom*/, const PeerMessage& /*aMessage*/)
 {
 }
 
 void
-ClaimGate::OnTick(MonotonicTime aNow)
+ClaimClient::OnTick(MonotonicTime aNow)
 {
   this->retrier.OnTick(aNow);
 }
--- a/src/program/ClaimGate.h
+++ b/src/program/ClaimClient.h
@@ -29,14 +29,14 @@
   Duration wait{ 0 };
 };
 
-class ClaimGate;
+class ClaimClient;
 
 // The right to run one call. Settles the claim when destroyed: as released when the record says
 // that nothing ran, else as abandoned, unless Finish() came first.
 class ClaimTicket
 {
 public:
-  ClaimTicket(ClaimGate& aGate,
+  ClaimTicket(ClaimClient& aGate,
               ZoneId aHome,
               ClaimCommand aCommand,
               const DispatchRecord& aRecord,
@@ -46,13 +46,13 @@
   ClaimTicket& operator=(const ClaimTicket&) = delete;
 
   // Whether the lease still runs; a process that was frozen must not send after it.
-  bool Leased(MonotonicTime aNow) const { return aNow < this->leaseEnd; }
+  bool LeaseValid(MonotonicTime aNow) const { return aNow < this->leaseEnd; }
 
   // Tells that the call ran; its answer, if given, is kept when it fits the limit.
   void Finish(std::optional<KeptAnswer> aAnswer);
 
 private:
-  ClaimGate& gate;
+  ClaimClient& gate;
   ZoneId home;
   ClaimCommand command;
   const DispatchRecord& record;
@@ -61,7 +61,7 @@
 };
 
 // What came of asking; one of the three is set.
-struct ClaimEntrance
+struct ClaimResult
 {
   std::unique_ptr<ClaimTicket> ticket;
   std::optional<KeptAnswer> kept;
@@ -74,10 +74,10 @@
 //   if (entrance.refusal) ...
 //
 // Requires that the record outlives the ticket.
-class ClaimGate final : public ControlModule
+class ClaimClient final : public ControlModule
 {
 public:
-  ClaimGate(const HostContext& aContext, Replicator& aGroups);
+  ClaimClient(const HostContext& aContext, Replicator& aGroups);
 
   // Adds the ledgers and itself to the control loop. Requires to be called before it starts.
   void Start();
@@ -85,7 +85,7 @@
   // Claims the call's key at its home. Returns once that is committed and synced there.
   // Refuses a bad key, a key whose home did not answer in time (then nothing ran and nothing will)
   // and a key that another attempt has used; the record takes in what is known of that one.
-  ClaimEntrance Enter(const KeyedCall& aCall, DispatchRecord& aRecord);
+  ClaimResult Enter(const KeyedCall& aCall, DispatchRecord& aRecord);
 
   // Returns a fresh key that is homed in this zone, or in a neighbour that can home claims.
   IdempotencyKey Mint(const WorkspaceId& aWorkspace);
@@ -94,9 +94,9 @@
   void Settle(const ZoneId& aHome, ClaimCommand aCommand);
 
   // Returns how many settlements are on their way.
-  std::size_t Unsettled() const { return this->unsettled.load(); }
+  std::size_t PendingSettlements() const { return this->unsettled.load(); }
 
-  ByteCount MostKeptAnswer() const { return this->context.settings.limits.keptAnswer; }
+  ByteCount MaxKeptAnswer() const { return this->context.settings.limits.keptAnswer; }
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage) override;
   void OnTick(MonotonicTime aNow) override;
@@ -107,11 +107,11 @@
   Result<ClaimCommand> MakeClaim(const KeyedCall& aCall, ZoneId& aHome) const;
   Result<ZoneId> HomeOf(const KeyedCall& aCall, const KeyOrigin& aOrigin) const;
   Result<ClaimReply> Ask(const ZoneId& aHome, const ClaimCommand& aCommand, Duration aWait);
-  void OnAsked(const std::shared_ptr<Waiter>& aWaiter,
-               const ZoneId& aHome,
-               const ClaimCommand& aCommand,
-               ProposalOutcome aEnd);
-  void StartSettling(const ZoneId& aHome, const ClaimCommand& aCommand);
+  void OnClaimAnswered(const std::shared_ptr<Waiter>& aWaiter,
+                       const ZoneId& aHome,
+                       const ClaimCommand& aCommand,
+                       ProposalOutcome aEnd);
+  void ProposeSettlement(const ZoneId& aHome, const ClaimCommand& aCommand);
 
   const HostContext& context;
   Replicator& groups;
--- a/src/program/CompletionRelay.cpp
+++ b/src/program/CompletionRelay.cpp
@@ -50,16 +50,16 @@
   keyed.body = this->call.digest;
   keyed.longestRun = this->call.timeLimit;
   keyed.wait = this->run.TimeLeft();
-  ClaimEntrance entrance = this->context.claims.Enter(keyed, this->record);
-  if (entrance.refusal) {
-    this->meter.OnFailure(*entrance.refusal);
-    return ErrorResponse(*entrance.refusal);
+  ClaimResult result = this->context.claims.Claim(keyed, this->record);
+  if (result.refusal) {
+    this->meter.OnFailure(*result.refusal);
+    return ErrorResponse(*result.refusal);
   }
-  if (entrance.kept) {
+  if (result.kept) {
     this->meter.OnServed();
-    return ReplayResponse(*entrance.kept);
+    return ReplayResponse(*result.kept);
   }
-  this->ticket = std::move(entrance.ticket);
+  this->ticket = std::move(result.ticket);
   this->run.SetTicket(this->ticket.get());
   return std::nullopt;
 }
@@ -81,8 +81,8 @@
   }
   const StreamAssembler& whole = this->run.Assembled();
   const std::string end = FormatEndEvents(header, whole.FinishReason(), whole.Usage());
-  this->EndWhole("text/event-stream",
-                 [&] { return FormatDeltaEvent(header, this->run.Answer()) + end; });
+  this->FinishAnswer("text/event-stream",
+                     [&] { return FormatDeltaEvent(header, this->run.Answer()) + end; });
   return aWriter.Write(end);
 }
 
@@ -100,16 +100,16 @@
   const StreamAssembler& whole = this->run.Assembled();
   std::string body =
     FormatWholeAnswer(this->Header(), this->run.Answer(), whole.FinishReason(), whole.Usage());
-  this->EndWhole("application/json", [&] { return body; });
+  this->FinishAnswer("application/json", [&] { return body; });
   return body;
 }
 
 void
-CompletionRelay::EndWhole(const std::string& aType, const std::function<std::string()>& aKept)
+CompletionRelay::FinishAnswer(const std::string& aType, const std::function<std::string()>& aKept)
 {
   const AnswerUsage& usage = this->run.Assembled().Usage();
   this->meter.OnWhole(usage);
-  this->place.NoteAnswered();
+  this->place.MarkAnswered();
   if (this->ticket != nullptr) {
     std::optional<KeptAnswer> kept;
     if (this->run.Held()) {
--- a/src/program/CompletionRelay.h
+++ b/src/program/CompletionRelay.h
@@ -50,14 +50,14 @@
 
 private:
   // aKept makes the body that is kept for the claim, if there is one.
-  void EndWhole(const std::string& aType, const std::function<std::string()>& aKept);
+  void FinishAnswer(const std::string& aType, const std::function<std::string()>& aKept);
   AnswerHeader Header() const;
 
   const RelayContext& context;
   CompletionCall call;
   RunningRequest running;
   RequestMeter meter;
-  AdmissionPlace place;
+  AdmissionSlot place;
   DispatchRecord record;
   // Settles the claim from the record, so it stands after it.
   std::unique_ptr<ClaimTicket> ticket;
--- a/src/program/CompletionRun.cpp
+++ b/src/program/CompletionRun.cpp
@@ -60,9 +60,9 @@
 CompletionRun::End()
 {
   this->context.reuse.OnAnswered(this->route, this->decision, this->stream->Assembled().Usage());
-  this->CloseBooks(LoadSignal::Served, HealthSignal::Good);
+  this->ReportAttemptEnd(LoadSignal::Served, HealthSignal::Good);
   this->outstanding = false;
-  this->context.routing.Done(this->route, this->decision, true);
+  this->context.routing.OnDone(this->route, this->decision, true);
 }
 
 // Versions and adapters that no target has would make pools without end.
@@ -92,7 +92,7 @@
 Result<void>
 CompletionRun::Open()
 {
-  if (auto started = this->StartElsewhere(); !started) {
+  if (auto started = this->StartOnNewTarget(); !started) {
     if (!this->outstanding) {
       return started;
     }
@@ -134,7 +134,7 @@
 Result<std::string>
 CompletionRun::PollOnce(const StreamWriter* aCaller)
 {
-  if (auto wanted = this->CheckStillWanted(); !wanted) {
+  if (auto wanted = this->CheckMayContinue(); !wanted) {
     return Fail(wanted.error());
   }
   auto text = this->stream->Poll(std::min(kPollPatience, this->TimeLeft()));
@@ -160,7 +160,7 @@
 }
 
 Result<void>
-CompletionRun::CheckStillWanted() const
+CompletionRun::CheckMayContinue() const
 {
   if (this->context.state.MustStop()) {
     return Fail(ErrorKind::Unavailable, "this host is stopping", "send the prompt again");
@@ -179,7 +179,7 @@
   const std::uint64_t now = this->stream->Assembled().NextOffset();
   if (this->tokens == 0 && now > 0) {
     this->firstToken = this->context.host.clock.MonotonicNow() - this->attemptBegun;
-    this->context.routing.FirstToken(this->route, this->decision, this->firstToken, TokenCount());
+    this->context.routing.OnFirstToken(this->route, this->decision, this->firstToken, TokenCount());
   }
   this->meter.OnTokens(now - this->tokens);
   this->tokens = now;
@@ -193,7 +193,7 @@
 }
 
 Result<void>
-CompletionRun::StartElsewhere()
+CompletionRun::StartOnNewTarget()
 {
   const auto usable = this->context.admission.Usable(this->Eligible());
   auto chosen = this->context.routing.ChooseAndSend(this->route, usable);
@@ -230,7 +230,7 @@
   this->tokensBefore = this->tokens;
   this->attemptBegun = this->context.host.clock.MonotonicNow();
   this->lastHeard = this->attemptBegun;
-  if (this->ticket != nullptr && !this->ticket->Leased(this->attemptBegun)) {
+  if (this->ticket != nullptr && !this->ticket->LeaseValid(this->attemptBegun)) {
     return Fail(ErrorKind::Conflict, "the claim of the key ran out", "try again");
   }
   const Duration connect = std::min(this->context.host.settings.timeouts.connect, this->TimeLeft());
@@ -246,7 +246,7 @@
 CompletionRun::Recover(Error aError)
 {
   while (true) {
-    this->CloseBooksAfter(aError.kind);
+    this->ReportAttemptFailure(aError.kind);
     // Only tries in vain are counted against the request.
     if (this->tokens > this->tokensBefore) {
       this->tries = 1;
@@ -262,7 +262,7 @@
     lost.repeatable = this->ticket == nullptr;
     lost.timeLeft = this->context.state.MustStop() ? Duration(0) : this->TimeLeft();
     const RecoveryStep step = DecideRecoveryStep(lost);
-    const bool paid = step != RecoveryStep::Repeat || this->context.state.TakeRetry();
+    const bool paid = step != RecoveryStep::Repeat || this->context.state.TryTakeRetry();
     if (step == RecoveryStep::GiveUp || !paid) {
       return Fail(std::move(aError));
     }
@@ -271,7 +271,7 @@
       .With("target", this->decision.target)
       .With("tokens", this->tokens)
       .With("error", aError);
-    auto taken = this->TakeStep(step);
+    auto taken = this->ExecuteStep(step);
     if (taken) {
       this->meter.OnRetry();
       return Success();
@@ -285,7 +285,7 @@
 }
 
 Result<void>
-CompletionRun::TakeStep(RecoveryStep aStep)
+CompletionRun::ExecuteStep(RecoveryStep aStep)
 {
   if (aStep == RecoveryStep::Resume) {
     this->stream.reset();
@@ -299,11 +299,11 @@
     this->route.continuation = true;
     this->route.version = this->decision.version;
   }
-  return this->StartElsewhere();
+  return this->StartOnNewTarget();
 }
 
 void
-CompletionRun::CloseBooks(LoadSignal aLoad, HealthSignal aSign)
+CompletionRun::ReportAttemptEnd(LoadSignal aLoad, HealthSignal aSign)
 {
   if (this->booksOpen) {
     this->booksOpen = false;
@@ -312,14 +312,14 @@
 }
 
 void
-CompletionRun::CloseBooksAfter(ErrorKind aFailure)
+CompletionRun::ReportAttemptFailure(ErrorKind aFailure)
 {
   if (aFailure == ErrorKind::Overloaded) {
-    return this->CloseBooks(LoadSignal::Overloaded, HealthSignal::Good);
+    return this->ReportAttemptEnd(LoadSignal::Overloaded, HealthSignal::Good);
   }
   const bool endedHere = aFailure == ErrorKind::Cancelled || aFailure == ErrorKind::Conflict ||
                          this->TimeLeft() <= Duration(0) || this->context.state.MustStop();
-  this->CloseBooks(LoadSignal::Failed, endedHere ? HealthSignal::None : HealthSignal::Bad);
+  this->ReportAttemptEnd(LoadSignal::Failed, endedHere ? HealthSignal::None : HealthSignal::Bad);
 }
 
 Duration
@@ -332,10 +332,10 @@
 CompletionRun::EndAttempt(bool aWhole)
 {
   this->stream.reset();
-  this->CloseBooks(LoadSignal::Failed, HealthSignal::None);
+  this->ReportAttemptEnd(LoadSignal::Failed, HealthSignal::None);
   if (this->outstanding) {
     this->outstanding = false;
-    this->context.routing.Done(this->route, this->decision, aWhole);
+    this->context.routing.OnDone(this->route, this->decision, aWhole);
   }
 }
 
--- a/src/program/CompletionRun.h
+++ b/src/program/CompletionRun.h
@@ -82,21 +82,21 @@
 private:
   Result<std::string> PollOnce(const StreamWriter* aCaller);
   // Fails when the host stops or the deadline has passed.
-  Result<void> CheckStillWanted() const;
+  Result<void> CheckMayContinue() const;
   void TakeText(const std::string& aText);
 
   // Begins on a target of the router's choice.
-  Result<void> StartElsewhere();
+  Result<void> StartOnNewTarget();
   // Begins, or goes on, on the target in `decision`.
   Result<void> StartAttempt(const AttemptId& aAttempt);
   // Makes a lost attempt good.
   Result<void> Recover(Error aError);
-  Result<void> TakeStep(RecoveryStep aStep);
+  Result<void> ExecuteStep(RecoveryStep aStep);
   void EndAttempt(bool aWhole);
 
   // Closes the books on the attempt, if they are open.
-  void CloseBooks(LoadSignal aLoad, HealthSignal aSign);
-  void CloseBooksAfter(ErrorKind aFailure);
+  void ReportAttemptEnd(LoadSignal aLoad, HealthSignal aSign);
+  void ReportAttemptFailure(ErrorKind aFailure);
 
   const RelayContext& context;
   const CompletionCall& call;
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -2,7 +2,7 @@
 
 #include "ControlCalls.h"
 #include "ControlPicture.h"
-#include "MetricsPage.h"
+#include "MetricsServer.h"
 #include "PictureTeller.h"
 #include "RefusalDesk.h"
 #include "ServingGroup.h"
@@ -145,7 +145,7 @@
   RefusalDesk refusals{ this->loop, this->group, this->crashes };
   PictureTeller teller{ this->clock,  this->settings, this->group, this->stores, this->picture,
                         this->roster, this->crashes,  this->mesh,  this->account };
-  MetricsPage metricsPage{ this->loop, this->metrics, this->settings.host };
+  MetricsServer metricsPage{ this->loop, this->metrics, this->settings.host };
   ControlCalls calls;
   ChannelListener callers{ this->loop };
   ServingSignals signals;
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -8,7 +8,7 @@
 
 #include "ConfigurationFeed.h"
 #include "Exchange.h"
-#include "MetricsPage.h"
+#include "MetricsServer.h"
 #include "damasklink/coordination/ControlLinks.h"
 #include "damasklink/coordination/HubChoice.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
@@ -163,7 +163,7 @@
   PeerMesh mesh;
   EntryContext context;
   ConfigurationFeed configuration;
-  MetricsPage metricsPage{ this->loop, this->metrics, this->settings.host };
+  MetricsServer metricsPage{ this->loop, this->metrics, this->settings.host };
   ServingSignals signals;
   asio::steady_timer housekeeping;
   asio::steady_timer sharing;
--- a/src/program/HostProcess.cpp
+++ b/src/program/HostProcess.cpp
@@ -2,12 +2,12 @@
 
 #include <absl/strings/str_cat.h>
 
-#include "AgreementPart.h"
+#include "AgreementSubsystem.h"
 #include "ConfigurationPart.h"
 #include "HostContext.h"
 #include "OperatorPart.h"
-#include "ReusePart.h"
-#include "TrafficPart.h"
+#include "ReuseSubsystem.h"
+#include "TrafficSubsystem.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
 #include "damasklink/state/MetricsRegistry.h"
 #include "damasklink/transport/Log.h"
@@ -107,10 +107,10 @@
   ControlLoop control;
   PeerNetwork network;
   HostContext context;
-  AgreementPart agreement;
+  AgreementSubsystem agreement;
   ConfigurationPart configuration;
-  ReusePart reuse;
-  TrafficPart traffic;
+  ReuseSubsystem reuse;
+  TrafficSubsystem traffic;
   OperatorPart operators;
   HttpServer callerServer;
   HttpServer operatorServer;
--- a/src/program/MetricsPage.cpp
+++ b/src/program/MetricsServer.cpp
@@ -1,11 +1,11 @@
-#include "MetricsPage.h"
+#include "MetricsServer.h"
 
 #include "damasklink/protocol/MetricsText.h"
 
 namespace damasklink {
 
 Result<void>
-MetricsPage::Listen(const Endpoint& aEndpoint)
+MetricsServer::Listen(const Endpoint& aEndpoint)
 {
   if (aEndpoint.port == 0) {
     return Success();
@@ -15,7 +15,7 @@
 }
 
 Awaitable<void>
-MetricsPage::Serve(std::shared_ptr<CallerChannel> aChannel)
+MetricsServer::Serve(std::shared_ptr<CallerChannel> aChannel)
 {
   while (true) {
     auto request = co_await aChannel->Read(CallerLimits());
--- a/src/program/MetricsPage.h
+++ b/src/program/MetricsServer.h
@@ -8,11 +8,11 @@
 
 namespace damasklink {
 
-class MetricsPage
+class MetricsServer
 {
 public:
   // Requires that all outlive the page.
-  MetricsPage(asio::io_context& aLoop, const MetricsRegistry& aRegistry, const HostId& aHost)
+  MetricsServer(asio::io_context& aLoop, const MetricsRegistry& aRegistry, const HostId& aHost)
     : listener(aLoop)
     , registry(aRegistry)
     , host(aHost)
--- a/src/program/OrdersModule.cpp
+++ b/src/program/OrdersModule.cpp
@@ -72,7 +72,7 @@
   const bool mayAct = held && this->spread.Joined() && !this->spread.Stale();
   for (const OrderAction& action :
        this->orders.Plan(mayAct, this->spread.Tree().Deployments(), this->targets)) {
-    this->Carry(action);
+    this->ExecuteAction(action);
   }
 }
 
@@ -87,7 +87,7 @@
 }
 
 void
-OrdersModule::Carry(const OrderAction& aAction)
+OrdersModule::ExecuteAction(const OrderAction& aAction)
 {
   if (const auto* issue = std::get_if<IssueFencing>(&aAction)) {
     this->Issue(issue->target);
--- a/src/program/OrdersModule.h
+++ b/src/program/OrdersModule.h
@@ -27,7 +27,7 @@
   void FillStatus(HostStatus& aStatus) const;
 
 private:
-  void Carry(const OrderAction& aAction);
+  void ExecuteAction(const OrderAction& aAction);
   void Issue(const TargetId& aTarget);
   void Stop(const StopRollout& aStop);
 
--- a/src/program/RelayContext.h
+++ b/src/program/RelayContext.h
@@ -1,10 +1,10 @@
 // What all requests of one process share.
 #pragma once
 
-#include "AdmissionDesk.h"
-#include "ClaimGate.h"
+#include "AdmissionController.h"
+#include "ClaimClient.h"
 #include "HostContext.h"
-#include "RoutingDesk.h"
+#include "SynchronizedRouter.h"
 #include "TrafficState.h"
 #include "damasklink/coordination/PromptReuse.h"
 
@@ -13,11 +13,11 @@
 struct RelayContext
 {
   const HostContext& host;
-  RoutingDesk& routing;
+  SynchronizedRouter& routing;
   PromptReuse& reuse;
-  ClaimGate& claims;
+  ClaimClient& claims;
   TrafficState& state;
-  AdmissionDesk& admission;
+  AdmissionController& admission;
 };
 
 } // namespace damasklink
--- a/src/program/ReuseService.cpp
+++ b/src/program/ReuseService.cpp
@@ -161,9 +161,10 @@
 }
 
 void
-ReuseService::Tell(StoreOutcome aOutcome)
+ReuseService::ReportOutcome(StoreOutcome aOutcome)
 {
-  this->context.control.Post([this, outcome = std::move(aOutcome)] { this->module.Tell(outcome); });
+  this->context.control.Post(
+    [this, outcome = std::move(aOutcome)] { this->module.ReportOutcome(outcome); });
 }
 
 double
@@ -215,7 +216,7 @@
     if (!answer || answer->status != AnswerStatus::Granted) {
       return;
     }
-    const std::uint64_t came = this->ImportSome(move, *answer, patience);
+    const std::uint64_t came = this->ImportBatch(move, *answer, patience);
     if (came == 0) {
       return;
     }
@@ -224,7 +225,7 @@
 }
 
 std::uint64_t
-ReuseService::ImportSome(const Move& aMove, const StoreAnswer& aGrant, Duration aPatience)
+ReuseService::ImportBatch(const Move& aMove, const StoreAnswer& aGrant, Duration aPatience)
 {
   ImportOrder order{ aMove.store, std::min(aGrant.valid, aPatience), {} };
   std::uint64_t bytes = 0;
@@ -243,7 +244,7 @@
                   ? ParseImportReport(answer.value().body)
                   : Result<ImportReport>(Fail(ErrorKind::Interrupted, "no report", ""));
   if (!report) {
-    this->Tell(std::move(outcome));
+    this->ReportOutcome(std::move(outcome));
     return 0;
   }
   outcome.moved = report.value().imported == aGrant.blocks.size();
@@ -256,7 +257,7 @@
       .With("blocks", outcome.blocks.size());
   }
   const bool whole = outcome.moved;
-  this->Tell(std::move(outcome));
+  this->ReportOutcome(std::move(outcome));
   this->context.metrics.Add(Counter::LinkBytesIn, { aMove.workspace, "" }, whole ? bytes : 0);
   return whole ? report.value().imported : 0;
 }
@@ -312,14 +313,14 @@
         [this, move = std::move(aMove), aRetries] { this->ExportAll(move, aRetries - 1); });
       return;
     }
-    if (!answer || answer->status != AnswerStatus::Granted || !this->ExportSome(aMove, *answer)) {
+    if (!answer || answer->status != AnswerStatus::Granted || !this->ExportBatch(aMove, *answer)) {
       return;
     }
   }
 }
 
 bool
-ReuseService::ExportSome(const Move& aMove, const StoreAnswer& aGrant)
+ReuseService::ExportBatch(const Move& aMove, const StoreAnswer& aGrant)
 {
   ExportOrder order{ aMove.store, aGrant.fencing, aMove.question.prompt.scope, {} };
   for (const ExportedBlock& block : aGrant.blocks) {
@@ -342,7 +343,7 @@
   }
   const bool all = outcome.blocks.size() == aGrant.blocks.size();
   outcome.moved = all;
-  this->Tell(std::move(outcome));
+  this->ReportOutcome(std::move(outcome));
   this->context.metrics.Add(Counter::LinkBytesOut, { aMove.workspace, "" }, bytes);
   return all;
 }
--- a/src/program/ReuseService.h
+++ b/src/program/ReuseService.h
@@ -37,12 +37,12 @@
   std::vector<StoreId> Candidates(const RouteRequest& aRequest, const TrafficView& aView) const;
   void Post(StoreQuestion aQuestion);
   std::optional<StoreAnswer> Ask(StoreQuestion aQuestion, Duration aMost);
-  void Tell(StoreOutcome aOutcome);
+  void ReportOutcome(StoreOutcome aOutcome);
   double PrefillRate(const TargetId& aTarget);
   // Returns how many blocks came, 0 when the import is to be given up.
-  std::uint64_t ImportSome(const Move& aMove, const StoreAnswer& aGrant, Duration aPatience);
+  std::uint64_t ImportBatch(const Move& aMove, const StoreAnswer& aGrant, Duration aPatience);
   void ExportAll(Move aMove, int aRetries);
-  bool ExportSome(const Move& aMove, const StoreAnswer& aGrant);
+  bool ExportBatch(const Move& aMove, const StoreAnswer& aGrant);
 
   const HostContext& context;
   StoresContext stores;
--- a/src/program/ReusePart.cpp
+++ b/src/program/ReuseSubsystem.cpp
@@ -1,4 +1,4 @@
-#include "ReusePart.h"
+#include "ReuseSubsystem.h"
 
 #include "Responses.h"
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-ReusePart::ReusePart(const HostContext& aContext, Replicator& aGroups)
+ReuseSubsystem::ReuseSubsystem(const HostContext& aContext, Replicator& aGroups)
   : context(aContext)
   , groups(aGroups)
   , router(new CostRouter(aContext.clock, CostRouterOptions()))
@@ -24,7 +24,7 @@
 {
 }
 
-ReusePart::~ReusePart()
+ReuseSubsystem::~ReuseSubsystem()
 {
   // Their tasks use the other members.
   this->keeper.Stop();
@@ -32,7 +32,7 @@
 }
 
 Result<void>
-ReusePart::Start()
+ReuseSubsystem::Start()
 {
   this->groups.AddMachine(
     ClaimsGroupId(this->context.settings.zone), StateMachineId::Leases, this->leases);
@@ -43,15 +43,15 @@
 }
 
 void
-ReusePart::AddRoutes(const HostServers& aServers)
+ReuseSubsystem::AddRoutes(const HostServers& aServers)
 {
   aServers.targets.Route("POST", kCacheEventPath, [this](const HttpRequest& aRequest) {
-    return this->TakeCacheEvent(aRequest);
+    return this->HandleCacheEvent(aRequest);
   });
 }
 
 HttpResponse
-ReusePart::TakeCacheEvent(const HttpRequest& aRequest)
+ReuseSubsystem::HandleCacheEvent(const HttpRequest& aRequest)
 {
   if (auto checked = CheckKey(aRequest, this->context.settings.targetKeys); !checked) {
     return RefusalResponse(checked.error());
@@ -61,7 +61,7 @@
     return RefusalResponse(event.error());
   }
   const bool taken = this->context.control.Post(
-    [this, taken = std::move(event.value())] { this->module.TakeCacheEvent(taken); });
+    [this, taken = std::move(event.value())] { this->module.HandleCacheEvent(taken); });
   if (!taken) {
     return RefusalResponse(
       Error{ ErrorKind::Overloaded, "the host has no room for the event", "send it again" });
--- a/src/program/ReusePart.h
+++ b/src/program/ReuseSubsystem.h
@@ -3,23 +3,23 @@
 
 #include "HostContext.h"
 #include "ReuseService.h"
-#include "RoutingDesk.h"
 #include "StoresModule.h"
+#include "SynchronizedRouter.h"
 #include "damasklink/coordination/PromptReuse.h"
 #include "damasklink/coordination/Replication.h"
 
 namespace damasklink {
 
-class ReusePart
+class ReuseSubsystem
 {
 public:
-  ReusePart(const HostContext& aContext, Replicator& aGroups);
+  ReuseSubsystem(const HostContext& aContext, Replicator& aGroups);
   // Requires that the control thread has stopped.
-  ~ReusePart();
-  ReusePart(const ReusePart&) = delete;
-  ReusePart& operator=(const ReusePart&) = delete;
+  ~ReuseSubsystem();
+  ReuseSubsystem(const ReuseSubsystem&) = delete;
+  ReuseSubsystem& operator=(const ReuseSubsystem&) = delete;
 
-  RoutingDesk& Routing() { return this->routing; }
+  SynchronizedRouter& Routing() { return this->routing; }
   PromptReuse& Reuse() { return this->reuse; }
 
   // Adds its modules to the control loop. Requires to be called before the loop starts.
@@ -28,13 +28,13 @@
   void AddRoutes(const HostServers& aServers);
 
 private:
-  HttpResponse TakeCacheEvent(const HttpRequest& aRequest);
+  HttpResponse HandleCacheEvent(const HttpRequest& aRequest);
 
   const HostContext& context;
   Replicator& groups;
   // Owned by the desk.
   CostRouter* router;
-  RoutingDesk routing;
+  SynchronizedRouter routing;
   StoreLeases leases;
   StoreAnswers answers;
   WorkThread work;
--- a/src/program/ServiceRelay.cpp
+++ b/src/program/ServiceRelay.cpp
@@ -69,7 +69,7 @@
     this->ticket->Finish(KeptAnswer{ response.status, response.contentType, response.body });
   }
   this->meter.OnServed();
-  this->place.NoteAnswered();
+  this->place.MarkAnswered();
   return response;
 }
 
@@ -106,15 +106,15 @@
   if (keyed.key.Empty()) {
     return std::nullopt;
   }
-  ClaimEntrance entrance = this->context.claims.Enter(keyed, this->record);
-  if (entrance.refusal) {
-    return this->Failure(*entrance.refusal);
+  ClaimResult result = this->context.claims.Claim(keyed, this->record);
+  if (result.refusal) {
+    return this->Failure(*result.refusal);
   }
-  if (entrance.kept) {
+  if (result.kept) {
     this->meter.OnServed();
-    return ReplayResponse(*entrance.kept);
+    return ReplayResponse(*result.kept);
   }
-  this->ticket = std::move(entrance.ticket);
+  this->ticket = std::move(result.ticket);
   return std::nullopt;
 }
 
@@ -146,7 +146,7 @@
   const bool notRun = this->record.Outcome() == RunOutcome::NotRun;
   const bool harmless = this->call.route.idempotent && this->ticket == nullptr;
   const bool wanted = this->TimeLeft() > Duration(0) && !this->context.state.MustStop();
-  return wanted && (notRun || harmless) && this->context.state.TakeRetry();
+  return wanted && (notRun || harmless) && this->context.state.TryTakeRetry();
 }
 
 Result<HttpAnswer>
@@ -155,7 +155,7 @@
   const std::size_t number = this->record.Attempts().size() + 1;
   const AttemptId attempt(Concat(this->call.id.Value(), "-", number));
   this->record.Begin(attempt, aTarget.id);
-  AdmissionDesk& desk = this->context.admission;
+  AdmissionController& desk = this->context.admission;
   desk.OnStart(aTarget.id);
   const MonotonicTime begun = this->context.host.clock.MonotonicNow();
   auto connected = HttpExchange::Connect(this->MakeCall(aTarget, attempt));
@@ -164,7 +164,7 @@
     return Fail(connected.error());
   }
   const MonotonicTime now = this->context.host.clock.MonotonicNow();
-  if (this->ticket != nullptr && !this->ticket->Leased(now)) {
+  if (this->ticket != nullptr && !this->ticket->LeaseValid(now)) {
     desk.OnEnd(aTarget.id, LoadSignal::Failed, HealthSignal::None, Duration(0));
     return Fail(ErrorKind::DeadlineExceeded, "the claim of the key ran out", "try again");
   }
--- a/src/program/ServiceRelay.h
+++ b/src/program/ServiceRelay.h
@@ -55,7 +55,7 @@
   RunningRequest running;
   RequestMeter meter;
   MonotonicTime deadline;
-  AdmissionPlace place;
+  AdmissionSlot place;
   DispatchRecord record;
   // Settles the claim from the record, so it stands after it.
   std::unique_ptr<ClaimTicket> ticket;
--- a/src/program/ServingGroup.cpp
+++ b/src/program/ServingGroup.cpp
@@ -64,7 +64,7 @@
   this->agreement.AddMachine(ControlGroupId(), StateMachineId::Serving, this->machine);
 }
 
-AgreementSetup
+AgreementOptions
 ServingGroup::Setup(Metrics& aMetrics, PeerSender& aPeers)
 {
   std::vector<HostId> hosts = this->settings.seeds;
@@ -73,7 +73,7 @@
   if (!listed && !this->settings.firstStart) {
     hosts.push_back(this->settings.host);
   }
-  return AgreementSetup{
+  return AgreementOptions{
     this->clock,
     aMetrics,
     aPeers,
--- a/src/program/ServingGroup.h
+++ b/src/program/ServingGroup.h
@@ -38,7 +38,7 @@
   const ServingStateMachine& State() const { return this->machine; }
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage);
-  void KnowHost(const HostId& aHost) { this->agreement.KnowHost(aHost); }
+  void KnowHost(const HostId& aHost) { this->agreement.AddDiscoveredHost(aHost); }
 
   // Gives up leadership, because the process stops.
   void HandOver();
@@ -62,7 +62,7 @@
   // The answer to a command, and the timer that wakes the coroutine which waits for it.
   struct Answered;
 
-  AgreementSetup Setup(Metrics& aMetrics, PeerSender& aPeers);
+  AgreementOptions Setup(Metrics& aMetrics, PeerSender& aPeers);
   const GroupReplica* Working() const;
 
   asio::io_context& loop;
--- a/src/program/StoresModule.cpp
+++ b/src/program/StoresModule.cpp
@@ -12,8 +12,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kShareEvery = milliseconds(100);
-constexpr Duration kCareEvery = seconds(1);
+constexpr Duration kBroadcastInterval = milliseconds(100);
+constexpr Duration kLeaseCheckInterval = seconds(1);
 constexpr Duration kLease = seconds(6);
 // The owner stops that much before its lease ends, by its own clock from when it asked.
 constexpr Duration kLeaseMargin = seconds(1);
@@ -44,7 +44,7 @@
   StoresModule& module;
   const HostId& from;
 
-  void operator()(const OwnerNotice& aNotice) const { this->module.TakeOwnerNotice(aNotice); }
+  void operator()(const OwnerNotice& aNotice) const { this->module.ApplyOwnerNotice(aNotice); }
 
   void operator()(const StoreQuestion& aQuestion) const
   {
@@ -112,7 +112,7 @@
 }
 
 void
-StoresModule::Tell(const StoreOutcome& aOutcome)
+StoresModule::ReportOutcome(const StoreOutcome& aOutcome)
 {
   const auto mine = this->owned.find(aOutcome.store);
   if (mine != this->owned.end()) {
@@ -126,7 +126,7 @@
 }
 
 void
-StoresModule::TakeCacheEvent(const CacheEvent& aEvent)
+StoresModule::HandleCacheEvent(const CacheEvent& aEvent)
 {
   Receiver{ *this, this->context.settings.host }(aEvent);
   this->Broadcast(aEvent);
@@ -148,14 +148,14 @@
 void
 StoresModule::OnTick(MonotonicTime aNow)
 {
-  if (aNow >= this->nextShare) {
-    this->nextShare = aNow + kShareEvery;
-    this->ShareSends();
-    this->CareForOwned(aNow);
+  if (aNow >= this->nextBroadcast) {
+    this->nextBroadcast = aNow + kBroadcastInterval;
+    this->BroadcastSends();
+    this->MaintainOwnedStores(aNow);
   }
-  if (aNow >= this->nextCare && !this->leaving) {
-    this->nextCare = aNow + kCareEvery;
-    this->CareForLeases(aNow);
+  if (aNow >= this->nextLeaseCheck && !this->leaving) {
+    this->nextLeaseCheck = aNow + kLeaseCheckInterval;
+    this->MaintainLeases(aNow);
     this->FetchSnapshots();
   }
 }
@@ -166,12 +166,12 @@
   this->leaving = true;
   const auto given = std::exchange(this->owned, {});
   for (const auto& [store, owned] : given) {
-    this->AskLease(store, Duration(0));
+    this->RequestLease(store, Duration(0));
   }
 }
 
 void
-StoresModule::TakeOwnerNotice(const OwnerNotice& aNotice)
+StoresModule::ApplyOwnerNotice(const OwnerNotice& aNotice)
 {
   KnownOwner& known = this->others[aNotice.store];
   if (aNotice.fencing < known.fencing) {
@@ -185,7 +185,7 @@
 }
 
 void
-StoresModule::ShareSends()
+StoresModule::BroadcastSends()
 {
   SendsNotice sends;
   this->stores.routing.Run([&] { sends = this->stores.router.TakeSends(); });
@@ -195,7 +195,7 @@
 }
 
 void
-StoresModule::CareForOwned(MonotonicTime /*aNow*/)
+StoresModule::MaintainOwnedStores(MonotonicTime /*aNow*/)
 {
   std::set<ModelVersion> served;
   for (const TargetRecord& target : this->context.publisher.Current().targets) {
@@ -212,7 +212,7 @@
 }
 
 void
-StoresModule::CareForLeases(MonotonicTime aNow)
+StoresModule::MaintainLeases(MonotonicTime aNow)
 {
   std::erase_if(this->owned, [](const auto& aOwned) { return !aOwned.second->HoldsLease(); });
   for (const TargetRecord& target : this->context.publisher.Current().targets) {
@@ -228,13 +228,13 @@
       this->Broadcast(OwnerNotice{ store, this->context.settings.host, mine->second->Fencing() });
     }
     if (mine != this->owned.end() || !othersOwn) {
-      this->AskLease(store, kLease);
+      this->RequestLease(store, kLease);
     }
   }
 }
 
 void
-StoresModule::AskLease(const StoreId& aStore, Duration aLength)
+StoresModule::RequestLease(const StoreId& aStore, Duration aLength)
 {
   const MonotonicTime asked = this->context.clock.MonotonicNow();
   const LeaseCommand command{ aStore, this->context.settings.host, aLength };
@@ -246,13 +246,13 @@
                                 auto lease = aAnswer ? DecodeLease(aAnswer.value())
                                                      : Result<StoreLease>(Fail(aAnswer.error()));
                                 if (lease) {
-                                  this->TakeLease(aStore, asked, lease.value());
+                                  this->ApplyLease(aStore, asked, lease.value());
                                 }
                               });
 }
 
 void
-StoresModule::TakeLease(const StoreId& aStore, MonotonicTime aAsked, const StoreLease& aLease)
+StoresModule::ApplyLease(const StoreId& aStore, MonotonicTime aAsked, const StoreLease& aLease)
 {
   const auto mine = this->owned.find(aStore);
   if (this->leaving || aLease.owner != this->context.settings.host) {
@@ -266,13 +266,13 @@
     return;
   }
   if (mine == this->owned.end() || mine->second->Fencing() != aLease.fencing) {
-    this->Own(*store, aLease);
+    this->AcquireStore(*store, aLease);
   }
   this->owned.at(aStore)->Renew(aAsked + kLease - kLeaseMargin);
 }
 
 void
-StoresModule::Own(const TargetRecord& aStore, const StoreLease& aLease)
+StoresModule::AcquireStore(const TargetRecord& aStore, const StoreLease& aLease)
 {
   const StoreId store(aStore.id.Value());
   StoreManagerOptions options;
--- a/src/program/StoresModule.h
+++ b/src/program/StoresModule.h
@@ -5,8 +5,8 @@
 #include <memory>
 
 #include "HostContext.h"
-#include "RoutingDesk.h"
 #include "StoreAnswers.h"
+#include "SynchronizedRouter.h"
 #include "WorkThread.h"
 #include "damasklink/coordination/CostRouter.h"
 #include "damasklink/coordination/LeasedStore.h"
@@ -19,7 +19,7 @@
 struct StoresContext
 {
   Replicator& groups;
-  RoutingDesk& routing;
+  SynchronizedRouter& routing;
   CostRouter& router;
   StoreAnswers& answers;
   // For calls to stores and engines.
@@ -37,10 +37,10 @@
   void Ask(StoreQuestion aQuestion);
 
   // Tells the owner what came of a grant.
-  void Tell(const StoreOutcome& aOutcome);
+  void ReportOutcome(const StoreOutcome& aOutcome);
 
   // Takes an engine's cache event that came to this host, and passes it on to all peers.
-  void TakeCacheEvent(const CacheEvent& aEvent);
+  void HandleCacheEvent(const CacheEvent& aEvent);
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage) override;
   void OnTick(MonotonicTime aNow) override;
@@ -57,13 +57,13 @@
 
   struct Receiver;
 
-  void TakeOwnerNotice(const OwnerNotice& aNotice);
-  void ShareSends();
-  void CareForOwned(MonotonicTime aNow);
-  void CareForLeases(MonotonicTime aNow);
-  void AskLease(const StoreId& aStore, Duration aLength);
-  void TakeLease(const StoreId& aStore, MonotonicTime aAsked, const StoreLease& aLease);
-  void Own(const TargetRecord& aStore, const StoreLease& aLease);
+  void ApplyOwnerNotice(const OwnerNotice& aNotice);
+  void BroadcastSends();
+  void MaintainOwnedStores(MonotonicTime aNow);
+  void MaintainLeases(MonotonicTime aNow);
+  void RequestLease(const StoreId& aStore, Duration aLength);
+  void ApplyLease(const StoreId& aStore, MonotonicTime aAsked, const StoreLease& aLease);
+  void AcquireStore(const TargetRecord& aStore, const StoreLease& aLease);
   void FetchInventory(const StoreId& aStore, FencingNumber aFencing, const Endpoint& aEndpoint);
   void SendOrders(const StoreId& aStore,
                   const char* aPath,
@@ -79,8 +79,8 @@
   StoresContext stores;
   std::map<StoreId, std::unique_ptr<LeasedStore>> owned;
   std::map<StoreId, KnownOwner> others;
-  MonotonicTime nextShare;
-  MonotonicTime nextCare;
+  MonotonicTime nextBroadcast;
+  MonotonicTime nextLeaseCheck;
   bool leaving = false;
 };
 
--- a/src/program/RoutingDesk.h
+++ b/src/program/SynchronizedRouter.h
@@ -12,10 +12,10 @@
 namespace damasklink {
 
 // Holds the lock around a Router. Safe from any thread.
-class RoutingDesk
+class SynchronizedRouter
 {
 public:
-  explicit RoutingDesk(std::unique_ptr<Router> aRouter)
+  explicit SynchronizedRouter(std::unique_ptr<Router> aRouter)
     : router(std::move(aRouter))
   {
   }
@@ -32,16 +32,16 @@
     return decision;
   }
 
-  void FirstToken(const RouteRequest& aRequest,
-                  const RouteDecision& aDecision,
-                  Duration aElapsed,
-                  TokenCount aReused)
+  void OnFirstToken(const RouteRequest& aRequest,
+                    const RouteDecision& aDecision,
+                    Duration aElapsed,
+                    TokenCount aReused)
   {
     absl::MutexLock lock(&this->mutex);
     this->router->OnFirstToken(aRequest, aDecision, aElapsed, aReused);
   }
 
-  void Done(const RouteRequest& aRequest, const RouteDecision& aDecision, bool aWhole)
+  void OnDone(const RouteRequest& aRequest, const RouteDecision& aDecision, bool aWhole)
   {
     absl::MutexLock lock(&this->mutex);
     this->router->OnDone(aRequest, aDecision, aWhole);
--- a/src/program/TrafficState.cpp
+++ b/src/program/TrafficState.cpp
@@ -24,7 +24,7 @@
 }
 
 bool
-TrafficState::TakeRetry()
+TrafficState::TryTakeRetry()
 {
   absl::MutexLock lock(&this->mutex);
   return this->retries.TryTake();
--- a/src/program/TrafficState.h
+++ b/src/program/TrafficState.h
@@ -19,7 +19,7 @@
   void End();
 
   // Returns whether a retry is within the budget, and pays for it.
-  bool TakeRetry();
+  bool TryTakeRetry();
 
   // Lets no new request begin.
   void Close();
--- a/src/program/TrafficPart.cpp
+++ b/src/program/TrafficSubsystem.cpp
@@ -1,4 +1,4 @@
-#include "TrafficPart.h"
+#include "TrafficSubsystem.h"
 
 #include <thread>
 
@@ -15,7 +15,9 @@
 
 } // namespace
 
-TrafficPart::TrafficPart(const HostContext& aContext, Replicator& aGroups, ReusePart& aReuse)
+TrafficSubsystem::TrafficSubsystem(const HostContext& aContext,
+                                   Replicator& aGroups,
+                                   ReuseSubsystem& aReuse)
   : context(aContext)
   , claims(aContext, aGroups)
   , admission(aContext, this->state)
@@ -25,7 +27,7 @@
 }
 
 Result<void>
-TrafficPart::Start()
+TrafficSubsystem::Start()
 {
   this->claims.Start();
   this->context.control.Add(Channel::Admission, this->admission);
@@ -33,13 +35,13 @@
 }
 
 void
-TrafficPart::AddRoutes(const HostServers& aServers)
+TrafficSubsystem::AddRoutes(const HostServers& aServers)
 {
   this->callers.AddRoutes(aServers.callers);
 }
 
 void
-TrafficPart::Drain()
+TrafficSubsystem::Drain()
 {
   this->state.Close();
   if (!this->state.WaitUntilIdle(this->context.settings.limits.shutdown)) {
@@ -48,7 +50,7 @@
     this->state.WaitUntilEnded(kEndPatience);
   }
   const MonotonicTime until = this->context.clock.MonotonicNow() + kSettlePatience;
-  while (this->claims.Unsettled() > 0 && this->context.clock.MonotonicNow() < until) {
+  while (this->claims.PendingSettlements() > 0 && this->context.clock.MonotonicNow() < until) {
     std::this_thread::sleep_for(kSettleStep);
   }
 }
--- a/src/program/TrafficPart.h
+++ b/src/program/TrafficSubsystem.h
@@ -2,17 +2,17 @@
 #pragma once
 
 #include "CallerService.h"
-#include "ClaimGate.h"
+#include "ClaimClient.h"
 #include "HostContext.h"
-#include "ReusePart.h"
+#include "ReuseSubsystem.h"
 #include "damasklink/coordination/Replication.h"
 
 namespace damasklink {
 
-class TrafficPart
+class TrafficSubsystem
 {
 public:
-  TrafficPart(const HostContext& aContext, Replicator& aGroups, ReusePart& aReuse);
+  TrafficSubsystem(const HostContext& aContext, Replicator& aGroups, ReuseSubsystem& aReuse);
 
   // Adds its modules to the control loop. Requires to be called before the loop starts.
   Result<void> Start();
@@ -28,9 +28,9 @@
 
 private:
   const HostContext& context;
-  ClaimGate claims;
+  ClaimClient claims;
   TrafficState state;
-  AdmissionDesk admission;
+  AdmissionController admission;
   RelayContext relay;
   CallerService callers;
 };
--- a/test/program/AdmissionDeskTest.cpp
+++ b/test/program/AdmissionControllerTest.cpp
@@ -1,4 +1,4 @@
-#include "AdmissionDesk.h"
+#include "AdmissionController.h"
 
 #include <thread>
 
@@ -10,10 +10,10 @@
 namespace {
 
 // A desk before one target that runs one request at a time.
-class AdmissionDeskTest : public TrafficFixture
+class AdmissionControllerTest : public TrafficFixture
 {
 protected:
-  AdmissionDeskTest()
+  AdmissionControllerTest()
   {
     TargetRecord& target = this->call.targets.emplace_back();
     target.id = TargetId("e-1");
@@ -25,16 +25,16 @@
   ResolvedPolicy policy;
   AdmissionCall call{ policy, PoolId("model/m") };
   TrafficState state;
-  AdmissionDesk desk{ context, state };
+  AdmissionController desk{ context, state };
 };
 
-TEST_F(AdmissionDeskTest, WaitingRequestGoesWhenTheOneBeforeItEnds)
+TEST_F(AdmissionControllerTest, AdmitsWaitingRequestWhenRunningOneEnds)
 {
-  auto first = std::make_unique<AdmissionPlace>(this->desk);
+  auto first = std::make_unique<AdmissionSlot>(this->desk);
   ASSERT_FALSE(first->Enter(this->call));
   absl::Notification entered;
   std::thread waiting([&] {
-    AdmissionPlace second(this->desk);
+    AdmissionSlot second(this->desk);
     EXPECT_FALSE(second.Enter(this->call));
     entered.Notify();
   });
@@ -44,24 +44,24 @@
   EXPECT_TRUE(entered.HasBeenNotified());
 }
 
-TEST_F(AdmissionDeskTest, RequestThatWaitsInAStoppingHostIsNotRun)
+TEST_F(AdmissionControllerTest, RefusesWaitingRequestWhenHostStops)
 {
-  AdmissionPlace first(this->desk);
+  AdmissionSlot first(this->desk);
   ASSERT_FALSE(first.Enter(this->call));
   this->state.StopNow();
-  AdmissionPlace second(this->desk);
+  AdmissionSlot second(this->desk);
   const auto refusal = second.Enter(this->call);
   ASSERT_TRUE(refusal);
   EXPECT_EQ(refusal->outcome, RunOutcome::NotRun);
   EXPECT_TRUE(refusal->retryAfter);
 }
 
-TEST_F(AdmissionDeskTest, RequestWhoseDeadlinePassesInTheQueueIsRefused)
+TEST_F(AdmissionControllerTest, RefusesRequestWhoseDeadlinePassesInQueue)
 {
-  AdmissionPlace first(this->desk);
+  AdmissionSlot first(this->desk);
   ASSERT_FALSE(first.Enter(this->call));
   this->call.deadline = this->clock.MonotonicNow() + std::chrono::milliseconds(20);
-  AdmissionPlace second(this->desk);
+  AdmissionSlot second(this->desk);
   EXPECT_TRUE(second.Enter(this->call));
 }
 
--- a/test/program/AgreementModuleTest.cpp
+++ b/test/program/AgreementModuleTest.cpp
@@ -136,7 +136,7 @@
   std::map<HostId, std::unique_ptr<TestHost>> hosts;
 };
 
-TEST_F(AgreementModuleTest, HostWithoutDiskReachesEveryGroup)
+TEST_F(AgreementModuleTest, ProposesToEveryGroupFromHostWithoutDisk)
 {
   EXPECT_EQ(this->Propose("d", ControlGroupId(), StateMachineId::Configuration), "command");
   EXPECT_EQ(this->Propose("d", kClaims, StateMachineId::Claims), "command");
@@ -145,12 +145,12 @@
   EXPECT_EQ(this->Host("d").module.Status(kClaims).leader, HostId("a"));
 }
 
-TEST_F(AgreementModuleTest, PartThatNoHostHoldsIsSurelyNotApplied)
+TEST_F(AgreementModuleTest, RefusesCommandForUnregisteredStateMachine)
 {
   EXPECT_EQ(this->Propose("d", kClaims, StateMachineId::Leases), "unavailable");
 }
 
-TEST_F(AgreementModuleTest, CutOffZoneGoesOnClaiming)
+TEST_F(AgreementModuleTest, IsolatedZoneContinuesToCommitClaims)
 {
   this->Run(std::chrono::seconds(6));
   this->hosts.erase(HostId("b"));
@@ -161,7 +161,7 @@
   EXPECT_FALSE(this->Host("a").module.Status(ControlGroupId()).leaseHeld);
 }
 
-TEST_F(AgreementModuleTest, RestartKeepsEverything)
+TEST_F(AgreementModuleTest, RestoresStateAfterRestart)
 {
   this->Propose("a", kClaims, StateMachineId::Claims);
   this->hosts.erase(HostId("a"));
@@ -172,7 +172,7 @@
   EXPECT_EQ(this->Host("a").claims.last.incarnation, Incarnation(1));
 }
 
-TEST_F(AgreementModuleTest, ClaimsGroupThatLostItsDisksKnowsThatItIsAnother)
+TEST_F(AgreementModuleTest, AssignsNewIncarnationToClaimsGroupThatLostItsDisks)
 {
   this->Propose("a", kClaims, StateMachineId::Claims);
   const WallTime before = this->clock.WallNow();
@@ -185,14 +185,14 @@
   EXPECT_GT(this->Host("a").claims.last.formedAt, before);
 }
 
-TEST_F(AgreementModuleTest, DataFolderInUseIsRefused)
+TEST_F(AgreementModuleTest, RefusesDataFolderInUse)
 {
   auto second = this->Start(HostId("a"));
   ASSERT_FALSE(second);
   EXPECT_EQ(second.error().kind, ErrorKind::Conflict);
 }
 
-TEST_F(AgreementModuleTest, DamagedMessageIsBorne)
+TEST_F(AgreementModuleTest, IgnoresDamagedMessage)
 {
   this->Host("a").module.OnPeerMessage(
     HostId("b"), PeerMessage{ Channel::Agreement, ControlGroupId(), "damaged" });
@@ -207,18 +207,18 @@
   {
     FillableHost(const Clock& aClock, const std::vector<PeerSettings>& aPeers, HostId aSelf)
       : self(std::move(aSelf))
-      , module(AgreementSetup{ aClock,
-                               metrics,
-                               sender,
-                               [] {},
-                               self,
-                               folder.Path() + "/data",
-                               aPeers,
-                               { ControlGroupId() },
-                               RaftTiming(),
-                               true,
-                               std::nullopt,
-                               std::chrono::seconds(1) },
+      , module(AgreementOptions{ aClock,
+                                 metrics,
+                                 sender,
+                                 [] {},
+                                 self,
+                                 folder.Path() + "/data",
+                                 aPeers,
+                                 { ControlGroupId() },
+                                 RaftTiming(),
+                                 true,
+                                 std::nullopt,
+                                 std::chrono::seconds(1) },
                std::make_unique<testing::FullDisk>(full))
     {
       this->module.AddMachine(ControlGroupId(), StateMachineId::Serving, this->machine);
@@ -290,7 +290,7 @@
   std::map<HostId, std::unique_ptr<FillableHost>> hosts;
 };
 
-TEST_F(FullDiskTest, ReplicaWaitsForItsDiskAndCatchesUp)
+TEST_F(FullDiskTest, ReopensReplicaAndCatchesUpWhenDiskHasSpace)
 {
   ASSERT_TRUE(this->Put("a", 1));
   this->Host("b").full = true;
@@ -304,7 +304,7 @@
 }
 
 // With the disks of two of three full nothing may be acknowledged, and nothing that was is lost.
-TEST_F(FullDiskTest, NothingIsAcknowledgedWithoutAMajorityOfDisks)
+TEST_F(FullDiskTest, AcknowledgesNothingWithoutMajorityOfDisks)
 {
   ASSERT_TRUE(this->Put("a", 1));
   this->Host("b").full = true;
@@ -319,7 +319,7 @@
 }
 
 // All disks are full at once, several times: what was acknowledged before stays.
-TEST_F(FullDiskTest, AllDisksFullInTurnsLoseNothing)
+TEST_F(FullDiskTest, KeepsAcknowledgedDocumentsWhenAllDisksFill)
 {
   for (std::uint64_t version = 1; version < 8; version += 2) {
     ASSERT_TRUE(this->Put("a", version));
--- a/test/program/CompletionRelayTest.cpp
+++ b/test/program/CompletionRelayTest.cpp
@@ -143,43 +143,43 @@
     this->StartHost();
   }
 
-  static bool HoldsWhole(const HttpAnswer& aAnswer)
+  static bool ContainsWholeAnswer(const HttpAnswer& aAnswer)
   {
     return aAnswer.body.find("\"text\":\"" + kWhole + "\"") != std::string::npos;
   }
 };
 
-TEST_F(CompletionRelayTest, AnswerCutInTheMiddleIsResumedAtItsOffset)
+TEST_F(CompletionRelayTest, ResumesInterruptedAnswerAtItsOffset)
 {
   const ScriptedEngine engine({ Behaviour{ 2 }, Behaviour() });
   this->SetTargets({ engine.Record("e-1") });
   this->StartHost();
-  EXPECT_TRUE(HoldsWhole(this->Prompt()));
+  EXPECT_TRUE(ContainsWholeAnswer(this->Prompt()));
   ASSERT_EQ(engine.Prompts().size(), 2U);
   EXPECT_EQ(engine.Prompts()[1].offset, 2U);
   EXPECT_EQ(engine.Prompts()[1].attempt, engine.Prompts()[0].attempt);
 }
 
-TEST_F(CompletionRelayTest, AnswerThatIsCutAtEveryTokenStillArrives)
+TEST_F(CompletionRelayTest, CompletesAnswerInterruptedAfterEveryToken)
 {
   const ScriptedEngine engine({ Behaviour{ 1 } });
   this->SetTargets({ engine.Record("e-1") });
   this->StartHost();
-  EXPECT_TRUE(HoldsWhole(this->Prompt()));
+  EXPECT_TRUE(ContainsWholeAnswer(this->Prompt()));
 }
 
-TEST_F(CompletionRelayTest, DeadEngineIsContinuedElsewhereBehindWhatWasDelivered)
+TEST_F(CompletionRelayTest, ContinuesOnAnotherEngineAfterDeliveredText)
 {
   ScriptedEngine dying({ Behaviour{ 2 }, Behaviour{ 0 } });
   const ScriptedEngine other({ Behaviour() });
   this->StartWith(dying, other.Record("e-2"));
-  EXPECT_TRUE(HoldsWhole(this->Prompt()));
+  EXPECT_TRUE(ContainsWholeAnswer(this->Prompt()));
   ASSERT_EQ(other.Prompts().size(), 1U);
   EXPECT_EQ(other.Prompts()[0].delivered, "0,1,");
   EXPECT_NE(other.Prompts()[0].attempt, dying.Prompts()[0].attempt);
 }
 
-TEST_F(CompletionRelayTest, RunIsNotContinuedOnAnotherWeightVersion)
+TEST_F(CompletionRelayTest, DoesNotContinueOnAnotherWeightVersion)
 {
   ScriptedEngine dying({ Behaviour{ 2 }, Behaviour{ 0 } });
   const ScriptedEngine other({ Behaviour() });
@@ -191,7 +191,7 @@
   EXPECT_TRUE(other.Prompts().empty());
 }
 
-TEST_F(CompletionRelayTest, AnswerWithoutItsEndMarkIsNeverWhole)
+TEST_F(CompletionRelayTest, TreatsAnswerWithoutEndMarkAsIncomplete)
 {
   const ScriptedEngine engine({ Behaviour{ kLength, false } });
   this->SetTargets({ engine.Record("e-1") });
@@ -201,28 +201,28 @@
   EXPECT_NE(events.find("\"outcome\":\"may_have_run\""), std::string::npos);
 }
 
-TEST_F(CompletionRelayTest, DoubledAndCrossedFramesDoNotReachTheCaller)
+TEST_F(CompletionRelayTest, DropsDuplicateFramesAndFramesOfOtherAttempts)
 {
   Behaviour noisy;
   noisy.noisy = true;
   const ScriptedEngine engine({ noisy });
   this->SetTargets({ engine.Record("e-1") });
   this->StartHost();
-  EXPECT_TRUE(HoldsWhole(this->Prompt()));
+  EXPECT_TRUE(ContainsWholeAnswer(this->Prompt()));
 }
 
-TEST_F(CompletionRelayTest, GapInTheAnswerIsRepairedByResuming)
+TEST_F(CompletionRelayTest, ResumesAtGapInAnswer)
 {
   Behaviour gap;
   gap.skipped = 3;
   const ScriptedEngine engine({ gap, Behaviour() });
   this->SetTargets({ engine.Record("e-1") });
   this->StartHost();
-  EXPECT_TRUE(HoldsWhole(this->Prompt()));
+  EXPECT_TRUE(ContainsWholeAnswer(this->Prompt()));
   EXPECT_EQ(engine.Prompts()[1].offset, 3U);
 }
 
-TEST_F(CompletionRelayTest, RefusedPromptGoesToAnotherEngine)
+TEST_F(CompletionRelayTest, RetriesRefusedPromptOnAnotherEngine)
 {
   Behaviour full;
   full.refuses = true;
@@ -230,10 +230,10 @@
   const ScriptedEngine other({ Behaviour() });
   this->SetTargets({ refusing.Record("e-1"), other.Record("e-2") });
   this->StartHost();
-  EXPECT_TRUE(HoldsWhole(this->Prompt()));
+  EXPECT_TRUE(ContainsWholeAnswer(this->Prompt()));
 }
 
-TEST_F(CompletionRelayTest, PromptThatAllEnginesRefusedIsNotRun)
+TEST_F(CompletionRelayTest, ReportsNotRunWhenAllEnginesRefuse)
 {
   Behaviour full;
   full.refuses = true;
@@ -243,7 +243,7 @@
   EXPECT_NE(this->Prompt("note-1").body.find("\"outcome\":\"not_run\""), std::string::npos);
 }
 
-TEST_F(CompletionRelayTest, PromptWithAKeyIsNotStartedOver)
+TEST_F(CompletionRelayTest, DoesNotRestartPromptWithIdempotencyKey)
 {
   const ScriptedEngine dying({ Behaviour{ 0 } });
   const ScriptedEngine other({ Behaviour{ 0 } });
@@ -254,7 +254,7 @@
   EXPECT_EQ(dying.Prompts().size() + other.Prompts().size(), 1U);
 }
 
-TEST_F(CompletionRelayTest, SecondPromptWithTheKeyGetsTheKeptAnswer)
+TEST_F(CompletionRelayTest, ReplaysKeptAnswerForSecondPromptWithSameKey)
 {
   const ScriptedEngine engine({ Behaviour() });
   this->SetTargets({ engine.Record("e-1") });
@@ -269,7 +269,7 @@
 }
 
 // The engine never says a word; only the caller's leaving can end its call.
-TEST_F(CompletionRelayTest, CallerThatLeavesCancelsAnEngineThatIsSilent)
+TEST_F(CompletionRelayTest, CancelsAtSilentEngineWhenCallerDisconnects)
 {
   absl::Notification cancelled;
   const ScriptedTarget silent([&](const HttpRequest&) {
--- a/test/program/DrainTest.cpp
+++ b/test/program/DrainTest.cpp
@@ -72,7 +72,7 @@
   std::string events;
 };
 
-TEST_F(DrainTest, RunningStreamEndsWholeAndNewWorkIsNotRun)
+TEST_F(DrainTest, CompletesRunningStreamAndRefusesNewRequests)
 {
   this->StartHost();
   this->OpenStream();
@@ -89,7 +89,7 @@
   draining.join();
 }
 
-TEST_F(DrainTest, HurriedDrainEndsStreamsWithAnExplicitError)
+TEST_F(DrainTest, EndsStreamsWithErrorWhenHurried)
 {
   this->StartHost();
   this->OpenStream();
@@ -102,7 +102,7 @@
 }
 
 // The relay must see the stop though it never waits for the engine.
-TEST_F(DrainTest, HurriedDrainEndsAStreamThatFlows)
+TEST_F(DrainTest, EndsStreamThatNeverPausesWhenHurried)
 {
   const ScriptedTarget flowing([](const HttpRequest& aRequest) {
     HttpResponse response;
@@ -126,7 +126,7 @@
   EXPECT_NE(this->ReadRest().find("this host is stopping"), std::string::npos);
 }
 
-TEST_F(DrainTest, LimitOfTheSettingsEndsStreamsWithAnExplicitError)
+TEST_F(DrainTest, EndsStreamsWithErrorAtShutdownLimit)
 {
   this->settings.limits.shutdown = std::chrono::milliseconds(50);
   this->StartHost();
--- a/test/program/ReusePartTest.cpp
+++ b/test/program/ReuseSubsystemTest.cpp
@@ -1,4 +1,4 @@
-#include "ReusePart.h"
+#include "ReuseSubsystem.h"
 
 #include <thread>
 
@@ -70,10 +70,10 @@
   HttpServer server;
 };
 
-class ReusePartTest : public TrafficFixture
+class ReuseSubsystemTest : public TrafficFixture
 {
 protected:
-  ReusePartTest()
+  ReuseSubsystemTest()
     : store(ScriptedTarget::Options())
   {
     this->store.Route("GET", kBlocksPath, [](const HttpRequest&) {
@@ -87,7 +87,7 @@
     this->StartHost();
   }
 
-  ~ReusePartTest() override { this->control.Stop(); }
+  ~ReuseSubsystemTest() override { this->control.Stop(); }
 
   // Puts an engine and a store of the given zone into the view.
   void Announce(const std::string& aStoreZone)
@@ -121,7 +121,7 @@
   }
 
   // Looks up until the owner knows of so many blocks.
-  RouteRequest LookUpUntilKept(std::uint64_t aBlocks)
+  RouteRequest LookUpUntilStored(std::uint64_t aBlocks)
   {
     RouteRequest request = this->LookUp();
     while (request.stored.empty() || request.stored.front().blocks != aBlocks) {
@@ -141,7 +141,7 @@
   // Brings until the engine got an order: on a loaded machine the owner's grant may come later than
   // a prompt waits for it, and then the prompt is computed instead. An import is made worth waiting
   // for, so that no second one is begun while the order of the first is on its way.
-  void BringUntilOrdered(RouteRequest aRequest, const RouteDecision& aDecision)
+  void ImportUntilOrdered(RouteRequest aRequest, const RouteDecision& aDecision)
   {
     aRequest.objective.recompute = kDearRecompute;
     while (this->engine.Imports().empty()) {
@@ -164,13 +164,13 @@
   FakeEngine engine;
 };
 
-TEST_F(ReusePartTest, KeepsAnAnsweredPromptAndBringsItBack)
+TEST_F(ReuseSubsystemTest, ExportsAnsweredPromptAndImportsItAgain)
 {
   this->Announce("hall-north");
-  RouteRequest request = this->LookUpUntilKept(0);
+  RouteRequest request = this->LookUpUntilStored(0);
   this->Keep(request);
-  request = this->LookUpUntilKept(kPromptBlocks);
-  this->BringUntilOrdered(request, this->Decision());
+  request = this->LookUpUntilStored(kPromptBlocks);
+  this->ImportUntilOrdered(request, this->Decision());
   const std::vector<ImportOrder> imports = this->engine.Imports();
   ASSERT_EQ(imports.size(), 1U);
   ASSERT_EQ(imports[0].blocks.size(), kPromptBlocks);
@@ -180,43 +180,43 @@
   EXPECT_GT(imports[0].blocks[0].generation, Generation());
 }
 
-TEST_F(ReusePartTest, BringsOnlyWhatTheTargetLacks)
+TEST_F(ReuseSubsystemTest, ImportsOnlyBlocksThatTargetLacks)
 {
   this->Announce("hall-north");
-  this->Keep(this->LookUpUntilKept(0));
-  const RouteRequest request = this->LookUpUntilKept(kPromptBlocks);
+  this->Keep(this->LookUpUntilStored(0));
+  const RouteRequest request = this->LookUpUntilStored(kPromptBlocks);
   RouteDecision decision = this->Decision();
   decision.heldBlocks = 3;
-  this->BringUntilOrdered(request, decision);
+  this->ImportUntilOrdered(request, decision);
   ASSERT_EQ(this->engine.Imports().size(), 1U);
   EXPECT_EQ(this->engine.Imports()[0].blocks.size(), 1U);
 }
 
-TEST_F(ReusePartTest, BlockThatTheEngineRefusesIsNotOfferedAgain)
+TEST_F(ReuseSubsystemTest, DoesNotOfferBlockAgainThatEngineRefused)
 {
   this->Announce("hall-north");
-  this->Keep(this->LookUpUntilKept(0));
-  const RouteRequest request = this->LookUpUntilKept(kPromptBlocks);
+  this->Keep(this->LookUpUntilStored(0));
+  const RouteRequest request = this->LookUpUntilStored(kPromptBlocks);
   {
     absl::MutexLock lock(&this->engine.mutex);
     this->engine.refuses = true;
   }
-  this->BringUntilOrdered(request, this->Decision());
+  this->ImportUntilOrdered(request, this->Decision());
   EXPECT_EQ(this->engine.Imports().size(), 1U);
-  this->LookUpUntilKept(0);
+  this->LookUpUntilStored(0);
 }
 
-TEST_F(ReusePartTest, ImportOverATooSlowLinkIsNotBegun)
+TEST_F(ReuseSubsystemTest, DoesNotImportOverTooSlowLink)
 {
   this->Announce("hall-north");
-  this->Keep(this->LookUpUntilKept(0));
-  RouteRequest request = this->LookUpUntilKept(kPromptBlocks);
+  this->Keep(this->LookUpUntilStored(0));
+  RouteRequest request = this->LookUpUntilStored(kPromptBlocks);
   request.stored.front().freeBytesPerSecond = 1;
   this->reuse.Reuse().ImportBlocks(request, this->Decision());
   EXPECT_TRUE(this->engine.Imports().empty());
 }
 
-TEST_F(ReusePartTest, SilentOwnerCountsAsNothingKept)
+TEST_F(ReuseSubsystemTest, TreatsUnresponsiveStoreOwnerAsEmpty)
 {
   this->Announce("hall-south");
   const OwnerNotice notice{ StoreId("store-1"), HostId("south-1"), FencingNumber(5) };
@@ -230,10 +230,10 @@
   EXPECT_EQ(request.blocks.size(), kPromptBlocks);
 }
 
-TEST_F(ReusePartTest, NamesAreThoseOfTheWorkspaceAndVersion)
+TEST_F(ReuseSubsystemTest, NamesBlocksByWorkspaceAndVersion)
 {
   this->Announce("hall-north");
-  const RouteRequest request = this->LookUpUntilKept(0);
+  const RouteRequest request = this->LookUpUntilStored(0);
   const std::string prompt(kPromptBlocks * kBlockTokens * sizeof(Token), 'p');
   const BlockScope scope{
     WorkspaceId("office"), ModelName("plates-7b"), WeightVersion("v1"), AdapterName()
--- a/test/program/SamplesTest.cpp
+++ b/test/program/SamplesTest.cpp
@@ -39,7 +39,7 @@
   EXPECT_EQ(code, ExitCode::Done) << out;
 }
 
-TEST(SamplesTest, OneHostStartsWithNoOtherFile)
+TEST(SamplesTest, StartsOneHostWithoutInitialTree)
 {
   HostSettings settings = SampleSettings();
   settings.initialTree.clear();
@@ -75,7 +75,7 @@
   }
 }
 
-TEST_P(UserSamplesTest, HasTenWorkspacesWithKeysOfTheirOwn)
+TEST_P(UserSamplesTest, HasTenWorkspacesWithDistinctKeys)
 {
   int workspaces = 0;
   std::set<Digest> keys;
--- a/test/program/ServiceRelayTest.cpp
+++ b/test/program/ServiceRelayTest.cpp
@@ -38,7 +38,7 @@
   }
 
   // Makes calls while both targets break off, and expects each to be told so.
-  void PostToCutTargets(const std::string& aKey, int aCalls)
+  void PostToInterruptingTargets(const std::string& aKey, int aCalls)
   {
     const ScriptedTarget one(this->Counting(Cut));
     const ScriptedTarget other(this->Counting(Cut));
@@ -56,7 +56,7 @@
 
 constexpr int kConflict = 409;
 
-TEST_F(ServiceRelayTest, SecondCallWithTheSameKeyGetsTheKeptAnswer)
+TEST_F(ServiceRelayTest, ReplaysKeptAnswerForSecondCallWithSameKey)
 {
   const ScriptedTarget service(this->Counting(Pressed));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
@@ -71,7 +71,7 @@
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, CallsWithOneKeyAtTheSameMomentRunOnce)
+TEST_F(ServiceRelayTest, RunsConcurrentCallsWithSameKeyOnce)
 {
   const ScriptedTarget service(this->Counting(Pressed));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
@@ -86,19 +86,19 @@
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, BrokenOffRunIsReportedAndNeverRepeated)
+TEST_F(ServiceRelayTest, ReportsInterruptedRunAndDoesNotRepeatIt)
 {
-  this->PostToCutTargets("order-17", 3);
+  this->PostToInterruptingTargets("order-17", 3);
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, CallWithoutAKeyIsSentOnce)
+TEST_F(ServiceRelayTest, SendsCallWithoutKeyOnce)
 {
-  this->PostToCutTargets("", 1);
+  this->PostToInterruptingTargets("", 1);
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, TargetThatIsGoneIsNotRunAndTheKeyMayRunLater)
+TEST_F(ServiceRelayTest, ReportsNotRunForUnreachableTargetAndAllowsKeyLater)
 {
   ScriptedTarget gone(this->Counting(Pressed));
   const TargetRecord record = gone.Record("s-1", TargetKind::Service);
@@ -116,7 +116,7 @@
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, KeyOfAnotherWorkspaceIsAnotherKey)
+TEST_F(ServiceRelayTest, TreatsSameKeyOfOtherWorkspaceAsDistinct)
 {
   const ScriptedTarget service(this->Counting(Pressed));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
@@ -128,7 +128,7 @@
   EXPECT_EQ(this->runs, 2);
 }
 
-TEST_F(ServiceRelayTest, MintedKeyWorksForItsWorkspaceOnly)
+TEST_F(ServiceRelayTest, AcceptsMintedKeyFromItsWorkspaceOnly)
 {
   const ScriptedTarget service(this->Counting(Pressed));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
@@ -143,7 +143,7 @@
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, PassesPathAndQueryOn)
+TEST_F(ServiceRelayTest, ForwardsPathAndQuery)
 {
   std::string seen;
   const ScriptedTarget service([&](const HttpRequest& aRequest) {
--- a/test/program/TrafficFixture.h
+++ b/test/program/TrafficFixture.h
@@ -3,8 +3,8 @@
 
 #include <gtest/gtest.h>
 
-#include "ReusePart.h"
-#include "TrafficPart.h"
+#include "ReuseSubsystem.h"
+#include "TrafficSubsystem.h"
 #include "damasklink/state/Digests.h"
 #include "damasklink/transport/HttpClient.h"
 #include "support/MemoryReplicator.h"
@@ -138,8 +138,8 @@
   NoPeers peers;
   HostContext context{ settings, clock, metrics, control, peers, views, publisher, phase };
   testing::MemoryReplicator groups{ clock };
-  ReusePart reuse{ context, groups };
-  TrafficPart traffic{ context, groups, reuse };
+  ReuseSubsystem reuse{ context, groups };
+  TrafficSubsystem traffic{ context, groups, reuse };
   HttpServer callers{ ScriptedTarget::Options() };
   HttpServer operators{ ScriptedTarget::Options() };
   HttpServer targets{ ScriptedTarget::Options() };
--- a/test/program/TrafficViewTest.cpp
+++ b/test/program/TrafficViewTest.cpp
@@ -19,7 +19,7 @@
   return view;
 }
 
-TEST(TrafficViewTest, StaleHostRefusesOnlySubtreesThatAskForIt)
+TEST(TrafficViewTest, RefusesStaleViewOnlyForSubtreesThatAskForIt)
 {
   TrafficView refusing = MakeView(WhenStale::Refuse);
   EXPECT_TRUE(FindCaller(refusing, DigestOf("key")));
@@ -30,7 +30,7 @@
   EXPECT_TRUE(FindCaller(serving, DigestOf("key")));
 }
 
-TEST(TrafficViewTest, HostWithoutTreeDoesNotCallKeysUnknown)
+TEST(TrafficViewTest, ReportsUnavailableNotUnauthenticatedWithoutTree)
 {
   EXPECT_EQ(FindCaller(TrafficView(), DigestOf("key")).error().kind, ErrorKind::Unavailable);
   EXPECT_EQ(FindCaller(MakeView(WhenStale::Serve), DigestOf("other")).error().kind,
