--- a/src/program/AdmissionController.cpp
+++ b/src/program/AdmissionController.cpp
@@ -12,12 +12,12 @@
 namespace damasklink {
 namespace {
 
-// How soon a waiting request notices that the host stops.
-constexpr absl::Duration kWaitStep = absl::Milliseconds(100);
+// How often a waiting request checks its deadline and whether the host stops.
+constexpr absl::Duration kWaitInterval = absl::Milliseconds(100);
 constexpr Duration kReportInterval = std::chrono::seconds(1);
-// Some 24 bytes each, so that a report stays below a kilobyte.
-constexpr std::size_t kMostReported = 32;
-constexpr Duration kStopComeBack = std::chrono::seconds(1);
+// Workspaces in a report: at about 24 bytes each, a report stays below a kilobyte.
+constexpr std::size_t kMaxReported = 32;
+constexpr Duration kStopRetryAfter = std::chrono::seconds(1);
 
 std::vector<HostId>
 ZonePeers(const HostSettings& aSettings)
@@ -35,7 +35,7 @@
 NotRun(const AdmissionRefusal& aRefusal)
 {
   CallerError error;
-  // Nothing was dispatched yet, and an empty record says so.
+  // Nothing was dispatched yet; the outcome of an empty record is NotRun.
   error.outcome = DispatchRecord().Outcome();
   error.error = aRefusal.error;
   if (aRefusal.retryAfter > Duration(0)) {
@@ -59,7 +59,7 @@
 std::optional<CallerError>
 AdmissionController::Enter(const AdmissionCall& aCall, AdmissionId& aId)
 {
-  const MonotonicTime begun = this->context.clock.MonotonicNow();
+  const MonotonicTime start = this->context.clock.MonotonicNow();
   absl::MutexLock lock(&this->mutex);
   if (const auto refusal = this->limiter.Enter(aCall.policy, aCall.promptTokens)) {
     return NotRun(*refusal);
@@ -67,7 +67,7 @@
   const auto refusal = this->WaitForTurn(aCall, aId);
   this->context.metrics.Observe(Sample::QueueWait,
                                 MetricKey{ aCall.policy.workspace, "" },
-                                this->context.clock.MonotonicNow() - begun);
+                                this->context.clock.MonotonicNow() - start);
   if (!refusal) {
     return std::nullopt;
   }
@@ -89,18 +89,18 @@
   Waiter waiter;
   aId = this->queue.Offer(request);
   this->waiters[aId] = &waiter;
-  this->HandOut();
+  this->NotifyWaiters();
   const auto decided = [&] { return waiter.decided; };
-  while (!this->mutex.AwaitWithTimeout(absl::Condition(&decided), kWaitStep)) {
-    const bool late = this->context.clock.MonotonicNow() >= aCall.deadline;
-    if (!late && !this->state.MustStop()) {
+  while (!this->mutex.AwaitWithTimeout(absl::Condition(&decided), kWaitInterval)) {
+    const bool expired = this->context.clock.MonotonicNow() >= aCall.deadline;
+    if (!expired && !this->state.MustStop()) {
       continue;
     }
     if (this->queue.Cancel(aId)) {
       this->waiters.erase(aId);
-      const char* message = late ? "the deadline passed in the queue" : "this host is stopping";
+      const char* message = expired ? "the deadline passed in the queue" : "this host is stopping";
       return AdmissionRefusal{ Error{ ErrorKind::Overloaded, message, "send the call again" },
-                               late ? this->queue.ExpectedWait(request) : kStopComeBack };
+                               expired ? this->queue.ExpectedWait(request) : kStopRetryAfter };
     }
   }
   return waiter.refusal;
@@ -112,11 +112,11 @@
   absl::MutexLock lock(&this->mutex);
   this->limiter.Leave(aPolicy);
   this->queue.Finish(aId, aAnswered);
-  this->HandOut();
+  this->NotifyWaiters();
 }
 
-// The pool takes what its fit targets take together. A pool without any target has room for all:
-// the router then says what is missing.
+// The capacity of a pool is the sum over its healthy targets. A pool without any target is
+// unlimited, so that its requests reach the router, whose error says what is missing.
 void
 AdmissionController::SetCapacity(const AdmissionCall& aCall)
 {
@@ -131,7 +131,7 @@
 }
 
 void
-AdmissionController::HandOut()
+AdmissionController::NotifyWaiters()
 {
   for (AdmissionDecision& decision : this->queue.TakeDecisions()) {
     const auto found = this->waiters.find(decision.id);
@@ -148,15 +148,15 @@
 AdmissionController::Usable(const std::vector<TargetRecord>& aTargets) const
 {
   absl::MutexLock lock(&this->mutex);
-  std::vector<TargetRecord> fit = this->health.Filter(aTargets);
+  std::vector<TargetRecord> healthy = this->health.Filter(aTargets);
   std::vector<TargetRecord> free;
-  for (const TargetRecord& target : fit) {
+  for (const TargetRecord& target : healthy) {
     const auto found = this->limits.find(target.id);
     if (found == this->limits.end() || found->second.Free() > 0) {
       free.push_back(target);
     }
   }
-  return free.empty() ? fit : free;
+  return free.empty() ? healthy : free;
 }
 
 void
@@ -182,9 +182,9 @@
 AdmissionController::OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage)
 {
   const auto use = DecodeUseReport(aMessage.payload);
-  const bool ofZone =
+  const bool fromZone =
     std::find(this->zonePeers.begin(), this->zonePeers.end(), aFrom) != this->zonePeers.end();
-  if (!use || !ofZone) {
+  if (!use || !fromZone) {
     LogEvent(LogLevel::Warning, "use_report_refused").With("from", aFrom);
     return;
   }
@@ -209,7 +209,7 @@
   if (use.empty()) {
     return;
   }
-  const std::string payload = EncodeUseReport(use, kMostReported);
+  const std::string payload = EncodeUseReport(use, kMaxReported);
   for (const HostId& peer : this->zonePeers) {
     this->context.peers.Send(peer, PeerMessage{ Channel::Admission, GroupId(), payload });
   }
--- a/src/program/AdmissionController.h
+++ b/src/program/AdmissionController.h
@@ -1,4 +1,4 @@
-// Lets traffic threads wait for their turn, and keeps the books on targets.
+// Admission control for the traffic threads, and the load and health of targets as seen there.
 #pragma once
 
 #include <map>
@@ -19,38 +19,42 @@
 
 namespace damasklink {
 
-// What a request asks of the desk.
+// A request for admission.
 struct AdmissionCall
 {
   const ResolvedPolicy& policy;
   PoolId pool;
-  // Targets that could take the request.
+  // Targets that can serve the request, whatever their health.
   std::vector<TargetRecord> targets{};
-  // As the caller asked; never ahead of what its policy allows.
+  // As the caller asked; 0 goes first. Enter() limits it to what the policy allows.
   std::uint64_t priority = 1;
   TokenCount promptTokens{};
-  // Prompt and answer tokens in thousands, plus one.
+  // What the request is charged to its workspace: thousands of prompt and answer tokens, plus one.
   double cost = 1;
   MonotonicTime deadline{};
 };
 
-// The decisions of AdmissionQueue, ConcurrencyLimit, SubtreeLimiter and TargetHealth behind one
-// lock. Safe from any thread; OnPeerMessage() and OnTick() come on the control thread.
+// Decides which requests run now, and to which targets they may be sent. Combines AdmissionQueue,
+// ConcurrencyLimit, SubtreeLimiter and TargetHealth behind one lock, and exchanges the use of each
+// workspace with the other hosts of the zone. Traffic threads use it through AdmissionSlot.
+//
+// Thread-safe; OnPeerMessage() and OnTick() are called on the control thread.
 class AdmissionController final : public ControlModule
 {
 public:
   AdmissionController(const HostContext& aContext, const TrafficState& aState);
 
-  // Waits for the request's turn. Returns a refusal, which says "not run", or nothing: then Leave()
-  // must follow with the id.
+  // Blocks until the request is admitted or refused. Returns nothing when it is admitted; Leave()
+  // must then be called with the id. A refusal has the outcome "not run".
   std::optional<CallerError> Enter(const AdmissionCall& aCall, AdmissionId& aId);
-  // aAnswered tells whether the whole answer went out.
+  // Frees the place of an admitted request. aAnswered: whether the complete answer was sent.
   void Leave(const ResolvedPolicy& aPolicy, AdmissionId aId, bool aAnswered);
 
-  // Returns the targets that are fit and have room; without any with room, all that are fit.
+  // Returns the healthy targets with free capacity, or all healthy targets when none has any.
   std::vector<TargetRecord> Usable(const std::vector<TargetRecord>& aTargets) const;
 
-  // Keep the books on one attempt.
+  // Record the start and the end of an attempt for the target's load and health. aFirstToken is the
+  // time to the first token, or to the whole answer of a service.
   void OnStart(const TargetId& aTarget);
   void OnEnd(const TargetId& aTarget, LoadSignal aLoad, HealthSignal aSign, Duration aFirstToken);
 
@@ -67,7 +71,7 @@
   std::optional<AdmissionRefusal> WaitForTurn(const AdmissionCall& aCall, AdmissionId& aId)
     ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   void SetCapacity(const AdmissionCall& aCall) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-  void HandOut() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  void NotifyWaiters() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 
   const HostContext& context;
   const TrafficState& state;
@@ -81,40 +85,46 @@
   std::map<AdmissionId, Waiter*> waiters ABSL_GUARDED_BY(mutex);
 };
 
-// One request's place, given back when it goes.
+// The admission of one request; gives its place back when destroyed.
+//
+//   AdmissionSlot slot(controller);
+//   if (auto refusal = slot.Enter(call)) ...
+//   slot.MarkAnswered();
+//
+// Not thread-safe.
 class AdmissionSlot
 {
 public:
-  explicit AdmissionSlot(AdmissionController& aDesk)
-    : desk(aDesk)
+  explicit AdmissionSlot(AdmissionController& aController)
+    : controller(aController)
   {
   }
   ~AdmissionSlot()
   {
-    if (this->held) {
-      this->desk.Leave(this->policy, this->id, this->answered);
+    if (this->admitted) {
+      this->controller.Leave(this->policy, this->id, this->answered);
     }
   }
   AdmissionSlot(const AdmissionSlot&) = delete;
   AdmissionSlot& operator=(const AdmissionSlot&) = delete;
 
-  // Waits for the place. Returns the refusal when there is none.
+  // Blocks until the request is admitted. Returns the refusal when it is not.
   std::optional<CallerError> Enter(const AdmissionCall& aCall)
   {
-    auto refusal = this->desk.Enter(aCall, this->id);
-    this->held = !refusal;
+    auto refusal = this->controller.Enter(aCall, this->id);
+    this->admitted = !refusal;
     this->policy = aCall.policy;
     return refusal;
   }
 
-  // Tells that the whole answer went out.
+  // Records that the complete answer was sent.
   void MarkAnswered() { this->answered = true; }
 
 private:
-  AdmissionController& desk;
+  AdmissionController& controller;
   ResolvedPolicy policy;
   AdmissionId id;
-  bool held = false;
+  bool admitted = false;
   bool answered = false;
 };
 
--- a/src/program/AgreementModule.cpp
+++ b/src/program/AgreementModule.cpp
@@ -13,7 +13,7 @@
 
 constexpr Duration kRegistrationTimeout = std::chrono::seconds(5);
 
-// Returns a random number that is not zero.
+// Returns a random number other than zero.
 std::uint64_t
 RandomNumber()
 {
@@ -23,7 +23,7 @@
   return number == 0 ? 1 : number;
 }
 
-// Returns "host:replica", with "(learner)" behind those that do not vote.
+// Returns "host:replica" for each member, followed by "(learner)" if it does not vote.
 std::string
 FormatMembership(const Membership& aMembership)
 {
@@ -74,7 +74,7 @@
   : options(std::move(aOptions))
   , disk(std::move(aDisk))
   , writer(this->options.wake)
-  , tracker(this->options.clock, this->options.host, RandomNumber())
+  , forwarder(this->options.clock, this->options.host, RandomNumber())
 {
 }
 
@@ -137,25 +137,25 @@
     .With("formation", aRecovered.hardState.formation)
     .With("term", aRecovered.hardState.term)
     .With("entries", aRecovered.entries.size());
-  GroupOptions options;
-  options.raft.group = aGroup;
-  options.raft.host = this->options.host;
-  options.raft.replica = this->folder.replica;
-  options.raft.timing = this->options.timing;
-  options.raft.seed = RandomNumber();
-  options.listedVoters = ListedVoters(this->options.hosts, aGroup);
-  options.mayFormGroup = this->options.mayFormGroup;
-  options.maxVoters = this->options.maxVoters;
+  GroupOptions groupOptions;
+  groupOptions.raft.group = aGroup;
+  groupOptions.raft.host = this->options.host;
+  groupOptions.raft.replica = this->folder.replica;
+  groupOptions.raft.timing = this->options.timing;
+  groupOptions.raft.seed = RandomNumber();
+  groupOptions.listedVoters = ListedVoters(this->options.hosts, aGroup);
+  groupOptions.mayFormGroup = this->options.mayFormGroup;
+  groupOptions.maxVoters = this->options.maxVoters;
   LocalGroup& held = this->groups[aGroup];
   held = LocalGroup();
-  held.replica =
-    std::make_unique<GroupReplica>(this->options.clock, std::move(options), std::move(aRecovered));
+  held.replica = std::make_unique<GroupReplica>(
+    this->options.clock, std::move(groupOptions), std::move(aRecovered));
   if (aGroup == ControlGroupId()) {
     held.replica->Machines().Add(StateMachineId::Groups, this->registry);
   } else {
-    held.life = std::make_unique<IncarnationMachine>();
-    held.replica->Machines().Add(StateMachineId::Groups, *held.life);
-    held.replica->Machines().SetIncarnation(*held.life);
+    held.incarnation = std::make_unique<IncarnationMachine>();
+    held.replica->Machines().Add(StateMachineId::Groups, *held.incarnation);
+    held.replica->Machines().SetIncarnation(*held.incarnation);
   }
   for (const Registration& added : this->registrations) {
     if (added.group == aGroup) {
@@ -171,9 +171,9 @@
   return this->options.reopenAfter && failure && failure->kind == ErrorKind::Storage;
 }
 
-// What a replica holds in memory may be more than what its disk does, so it goes on with what it
-// reads there, as after a start. A full disk is full for seconds: others than the log need no disk
-// and go on meanwhile.
+// After a failed write the replica may have more in memory than is on disk. It is therefore rebuilt
+// from the disk, as after a start. Only the log needs the disk, so the rest of the process keeps
+// running; a full disk usually has space again within seconds.
 void
 AgreementModule::ReopenFailed(MonotonicTime aNow)
 {
@@ -228,12 +228,12 @@
                          Duration aTimeout,
                          ProposalDone aDone)
 {
-  this->tracker.Start(aGroup,
-                      ListedVoters(this->options.hosts, aGroup),
-                      aPart,
-                      std::move(aCommand),
-                      aTimeout,
-                      std::move(aDone));
+  this->forwarder.Start(aGroup,
+                        ListedVoters(this->options.hosts, aGroup),
+                        aPart,
+                        std::move(aCommand),
+                        aTimeout,
+                        std::move(aDone));
 }
 
 GroupStatus
@@ -245,7 +245,7 @@
   }
   GroupStatus status;
   status.group = aGroup;
-  status.leader = this->tracker.LastLeader(aGroup);
+  status.leader = this->forwarder.LastLeader(aGroup);
   return status;
 }
 
@@ -257,10 +257,10 @@
       return;
     }
   }
-  PeerSettings learnt;
-  learnt.host = aHost;
-  learnt.disk = true;
-  this->options.hosts.push_back(std::move(learnt));
+  PeerSettings discovered;
+  discovered.host = aHost;
+  discovered.disk = true;
+  this->options.hosts.push_back(std::move(discovered));
   for (auto& [group, held] : this->groups) {
     held.replica->AddDiscoveredHost(aHost);
   }
@@ -306,10 +306,10 @@
   this->TakeCompletions();
   this->TakeReopened();
   this->ReopenFailed(aNow);
-  this->tracker.Tick();
+  this->forwarder.Tick();
   for (auto& [group, held] : this->groups) {
     held.replica->Tick();
-    this->tracker.ReportLeader(group, held.replica->Status().leader);
+    this->forwarder.ReportLeader(group, held.replica->Status().leader);
   }
   this->ProcessMessages();
   for (auto& [group, held] : this->groups) {
@@ -339,7 +339,6 @@
   }
 }
 
-// Moves messages until nothing is left that this host can do by itself.
 void
 AgreementModule::ProcessMessages()
 {
@@ -375,7 +374,7 @@
 bool
 AgreementModule::SendProposals()
 {
-  std::vector<AgreementMessage> messages = this->tracker.TakeMessages();
+  std::vector<AgreementMessage> messages = this->forwarder.TakeMessages();
   for (AgreementMessage& message : messages) {
     this->Send(std::move(message));
   }
@@ -396,10 +395,10 @@
 void
 AgreementModule::Deliver(const AgreementMessage& aMessage)
 {
-  const bool forTracker = std::holds_alternative<ProposalAnswer>(aMessage.body) ||
-                          std::holds_alternative<ProposalRefusal>(aMessage.body);
-  if (forTracker) {
-    this->tracker.Receive(aMessage);
+  const bool forForwarder = std::holds_alternative<ProposalAnswer>(aMessage.body) ||
+                            std::holds_alternative<ProposalRefusal>(aMessage.body);
+  if (forForwarder) {
+    this->forwarder.Receive(aMessage);
     return;
   }
   const auto found = this->groups.find(aMessage.group);
@@ -433,12 +432,13 @@
   }
 }
 
-// The leader of a claims group learns from the control group which founding of the group it leads,
-// and then tells the group itself.
+// The leader of a claims group asks the control group for the incarnation that it leads, and then
+// commits it to the claims group.
 void
 AgreementModule::RegisterFormation(const GroupId& aGroup, LocalGroup& aHeld)
 {
-  const bool known = aHeld.life == nullptr || aHeld.life->Current().incarnation != Incarnation();
+  const bool known =
+    aHeld.incarnation == nullptr || aHeld.incarnation->Current().incarnation != Incarnation();
   if (known || aHeld.registering || !aHeld.replica->Core().LeaseHeld()) {
     return;
   }
@@ -455,15 +455,15 @@
 void
 AgreementModule::OnFormationRegistered(const GroupId& aGroup, const Result<std::string>& aAnswer)
 {
-  const auto founding =
+  const auto registered =
     aAnswer ? DecodeGroupIncarnation(aAnswer.value()) : Result<GroupIncarnation>(aAnswer.error());
-  if (!founding || founding.value().incarnation == Incarnation()) {
+  if (!registered || registered.value().incarnation == Incarnation()) {
     this->groups.at(aGroup).registering = false;
     return;
   }
   LogEvent(LogLevel::Info, "group_registered")
     .With("group", aGroup)
-    .With("incarnation", founding.value().incarnation);
+    .With("incarnation", registered.value().incarnation);
   this->Propose(aGroup,
                 StateMachineId::Groups,
                 aAnswer.value(),
--- a/src/program/AgreementModule.h
+++ b/src/program/AgreementModule.h
@@ -1,4 +1,4 @@
-// The replicas of one host on the control thread, and its way to the groups of all other hosts.
+// The replicas of one host, and its proposals to groups of other hosts, on the control thread.
 #pragma once
 
 #include <deque>
@@ -14,31 +14,37 @@
 
 namespace damasklink {
 
-// What a host's replicas stand on.
+// What an AgreementModule works with; the references must outlive it.
 struct AgreementOptions
 {
   const Clock& clock;
   Metrics& metrics;
   PeerSender& peers;
-  // Called on another thread when completions are there to be taken at the next OnTick().
+  // Called on the writer's thread when there are completions for the next OnTick().
   std::function<void()> wake;
   HostId host;
   // Empty on a host without a disk.
   std::string dataFolder;
-  // All hosts that are known, this one among them; AddDiscoveredHost() adds further ones.
+  // All known hosts, including this one; AddDiscoveredHost() adds more.
   std::vector<PeerSettings> hosts;
-  // The groups that this host holds replicas of.
+  // The groups that this host has replicas of.
   std::vector<GroupId> groups;
   RaftTiming timing;
-  // As in GroupOptions.
+  // These two are as in GroupOptions.
   bool mayFormGroup = true;
   std::optional<std::size_t> maxVoters;
-  // Where set, a replica whose disk refused a write is opened anew this long after, and again until
-  // the disk takes writes; else it stays stopped.
+  // How long after a refused write the replica is reopened, repeatedly until the disk accepts
+  // writes. When not set, the replica stays stopped.
   std::optional<Duration> reopenAfter;
 };
 
-// Moves messages, batches and completions between replicas, network and log writer.
+// Runs the replicas of a host: passes messages, batches and completions between the replicas, the
+// network and the log writer. All functions are called on the control thread, except where stated.
+//
+//   AgreementModule module(context);
+//   module.AddMachine(group, part, machine);
+//   auto opened = module.Open();
+//   module.Propose(group, part, command, timeout, done);
 class AgreementModule final
   : public ControlModule
   , public Replicator
@@ -48,9 +54,9 @@
   explicit AgreementModule(AgreementOptions aOptions,
                            std::unique_ptr<Disk> aDisk = std::make_unique<PosixDisk>());
 
-  // Opens the data folder and the groups of this host, if it has a disk. Requires to be called
-  // before the control thread starts. Fails with the reason when a file is not as it must be, and
-  // with Storage when the disk refuses; after the latter it may be called again.
+  // Opens the data folder and the groups of this host, if it has a disk. To be called before the
+  // control thread starts. Fails when a file is damaged or in use, and with Storage when the disk
+  // reports an error; after the latter it may be called again.
   Result<void> Open();
 
   void AddMachine(const GroupId& aGroup,
@@ -67,30 +73,30 @@
   void OnTick(MonotonicTime aNow) override;
   void OnShutdown() override;
 
-  // Takes a host with a disk that was learnt while this one runs: it may vote and lead.
+  // Adds a host with a disk that was discovered at run time. It may vote and lead.
   void AddDiscoveredHost(const HostId& aHost);
 
-  // Returns the replica of a group that this host holds, or null.
+  // Returns this host's replica of the group, or null.
   const GroupReplica* ReplicaOf(const GroupId& aGroup) const;
 
-  // Returns once everything handed to the disk so far is synced; the next OnTick() acts on it.
+  // Returns once all batches so far are synced; the next OnTick() handles their completions.
   void WaitForWrites() { this->writer.WaitUntilIdle(); }
 
-  // Returns why the group's replica on this host has stopped for good, nothing while it works or
-  // waits for its disk.
+  // Returns why the group's replica on this host has stopped for good; nothing while it works or
+  // waits to be reopened.
   std::optional<Error> FailureOf(const GroupId& aGroup) const;
 
 private:
   struct LocalGroup
   {
     std::unique_ptr<GroupReplica> replica;
-    // The group's own machine: the registry in the control group, its founding elsewhere.
-    std::unique_ptr<IncarnationMachine> life;
+    // The incarnation of a claims group; null in the control group, which has the GroupRegistry.
+    std::unique_ptr<IncarnationMachine> incarnation;
     bool registering = false;
     bool wasLeading = false;
     Membership lastMembership;
     bool failureLogged = false;
-    // When its store is opened anew, and whether that is under way.
+    // When the store is to be reopened, and whether that is in progress.
     std::optional<MonotonicTime> reopenAt;
     bool reopening = false;
   };
@@ -107,8 +113,10 @@
   std::unique_ptr<LogStore> StoreOf(const GroupId& aGroup);
   bool WaitsForDisk(const LocalGroup& aHeld) const;
   void ReopenFailed(MonotonicTime aNow);
+  // Restarts the replicas whose stores were reopened.
   void TakeReopened();
   void TakeCompletions();
+  // Passes messages on until this host has none left to handle.
   void ProcessMessages();
   bool ProcessGroupActions(const GroupId& aGroup, LocalGroup& aHeld);
   bool SendProposals();
@@ -123,11 +131,11 @@
   std::unique_ptr<FileLock> lock;
   DataFolder folder;
   LogWriter writer;
-  ProposalForwarder tracker;
+  ProposalForwarder forwarder;
   GroupRegistry registry;
   std::vector<Registration> registrations;
   std::map<GroupId, LocalGroup> groups;
-  // Messages of this host to itself.
+  // Messages from this host to itself.
   std::deque<AgreementMessage> toSelf;
 };
 
--- a/src/program/AgreementSubsystem.h
+++ b/src/program/AgreementSubsystem.h
@@ -1,4 +1,4 @@
-// Agreement of one host: the replicas of its groups and the way to all others.
+// Agreement on one host: the replicas of its groups, and proposals to all other groups.
 #pragma once
 
 #include "AgreementModule.h"
@@ -7,6 +7,7 @@
 
 namespace damasklink {
 
+// Owns the AgreementModule of a host.
 class AgreementSubsystem
 {
 public:
@@ -14,8 +15,8 @@
 
   Replicator& Groups() { return this->module; }
 
-  // Opens the data folder and adds the module to the control loop. Requires to be called before
-  // the loop starts. Fails when the data folder is damaged or in use.
+  // Opens the data folder and adds the module to the control loop. To be called before the loop
+  // starts. Fails when the data folder is damaged or in use.
   Result<void> Start();
 
   void AddRoutes(const HostServers& aServers);
--- a/src/program/CallerService.cpp
+++ b/src/program/CallerService.cpp
@@ -13,10 +13,10 @@
 namespace damasklink {
 namespace {
 
-// For callers that set no deadline.
+// For requests without x-deadline-ms.
 constexpr Duration kDefaultTimeLimit = std::chrono::minutes(10);
-constexpr std::uint64_t kMostDeadlineMs = 3'600'000;
-constexpr std::uint64_t kMostPriority = 9;
+constexpr std::uint64_t kMaxDeadlineMs = 3'600'000;
+constexpr std::uint64_t kMaxPriority = 9;
 
 const ServiceRoute*
 FindService(const ResolvedPolicy& aPolicy, const ServiceName& aName)
@@ -29,7 +29,8 @@
   return nullptr;
 }
 
-// Text of random digits, so that ids of two lives of a host differ whatever the clock says.
+// Returns random hexadecimal digits. They keep the request ids of two starts of a host apart, even
+// when its clock was set back.
 std::string
 RandomTag()
 {
@@ -37,7 +38,7 @@
   return absl::StrFormat("%08x%08x", device(), device());
 }
 
-// Reads x-deadline-ms: how long the caller waits for the whole answer.
+// Reads x-deadline-ms, the time for the whole answer.
 Result<Duration>
 ReadTimeLimit(const HttpRequest& aRequest)
 {
@@ -46,8 +47,8 @@
     return kDefaultTimeLimit;
   }
   std::uint64_t milliseconds = 0;
-  const bool readable = absl::SimpleAtoi(text, &milliseconds);
-  if (!readable || milliseconds == 0 || milliseconds > kMostDeadlineMs) {
+  const bool parsed = absl::SimpleAtoi(text, &milliseconds);
+  if (!parsed || milliseconds == 0 || milliseconds > kMaxDeadlineMs) {
     return Fail(ErrorKind::InvalidArgument,
                 "header x-deadline-ms is not a whole number in range",
                 "send 1 to 3600000, the milliseconds that the answer may take");
@@ -55,13 +56,13 @@
   return Duration(std::chrono::milliseconds(milliseconds));
 }
 
-// Reads x-priority, which can lower a call's priority but not raise it above its policy's.
+// Reads x-priority. It can lower the priority of a call, but not raise it above that of its policy.
 Result<std::uint64_t>
 ReadPriority(const HttpRequest& aRequest)
 {
   const std::string text = aRequest.Header("x-priority");
   std::uint64_t priority = 0;
-  if (!text.empty() && (!absl::SimpleAtoi(text, &priority) || priority > kMostPriority)) {
+  if (!text.empty() && (!absl::SimpleAtoi(text, &priority) || priority > kMaxPriority)) {
     return Fail(ErrorKind::InvalidArgument,
                 "header x-priority is not a whole number in range",
                 "send 0, which goes first, to 9");
@@ -170,8 +171,8 @@
     return ErrorResponse(*refusal);
   }
   if (aKeyed) {
-    if (auto ended = aRelay->Claim()) {
-      return std::move(*ended);
+    if (auto response = aRelay->Claim()) {
+      return std::move(*response);
     }
   }
   if (auto opened = aRelay->Open(); !opened) {
@@ -180,7 +181,7 @@
   HttpResponse response;
   if (aStreamed) {
     response.contentType = "text/event-stream";
-    // The server copies the function, so the relay is shared with it.
+    // The relay is shared because the server copies the function.
     response.stream = [relay = std::move(aRelay)](StreamWriter& aWriter) {
       return relay->Stream(aWriter);
     };
@@ -246,7 +247,7 @@
   }
   Caller caller;
   caller.view = this->context.host.views.Get();
-  // The look-up is by digest, so its time tells nothing about the key itself.
+  // The lookup uses the digest, so its duration reveals nothing about the key.
   auto policy = FindCaller(*caller.view, DigestOf(token));
   if (!policy) {
     return Fail(policy.error());
--- a/src/program/CallerService.h
+++ b/src/program/CallerService.h
@@ -1,4 +1,4 @@
-// The callers' address: authentication, prompts, models, keys and plain services.
+// The HTTP API for callers: authentication, prompts, models, idempotency keys and services.
 #pragma once
 
 #include <atomic>
@@ -8,7 +8,7 @@
 
 namespace damasklink {
 
-// Handles the calls of callers on the traffic threads.
+// Handles the requests of callers. The handlers run on the traffic threads, several at once.
 class CallerService
 {
 public:
@@ -18,7 +18,7 @@
   void AddRoutes(HttpServer& aServer);
 
 private:
-  // Who calls; the view keeps the policy alive.
+  // An authenticated caller; the view owns the policy.
   struct Caller
   {
     std::shared_ptr<const TrafficView> view;
@@ -26,7 +26,7 @@
   };
   using CallerHandler = HttpResponse (CallerService::*)(const HttpRequest&, const Caller&);
 
-  // Adds a route whose handler is called for known callers only.
+  // Adds a route whose handler is called only for authenticated callers.
   void AddRoute(HttpServer& aServer,
                 const std::string& aMethod,
                 const std::string& aPattern,
@@ -40,12 +40,14 @@
   HttpResponse MintKey(const HttpRequest& aRequest, const Caller& aCaller);
   HttpResponse CallService(const HttpRequest& aRequest, const Caller& aCaller);
 
-  // Finds the caller by its key, and refuses one whose policy may be too old to be served.
+  // Finds the caller by its key. Fails with Unauthenticated for a missing or unknown key, and with
+  // Unavailable when the configuration may be older than the caller's policy accepts.
   Result<Caller> Authenticate(const HttpRequest& aRequest) const;
   RequestId MakeRequestId();
 
   const RelayContext& context;
   std::atomic<std::uint64_t> requestCounter{ 0 };
+  // Random for each start of the process, so that request ids differ between starts.
   std::string processTag;
 };
 
--- a/src/program/ClaimClient.cpp
+++ b/src/program/ClaimClient.cpp
@@ -14,17 +14,17 @@
 namespace damasklink {
 namespace {
 
-// Above one election, so that the loss of a leader is waited out.
-constexpr Duration kBeyondElection = std::chrono::seconds(1);
-// How long the end of a run is offered to its group.
-constexpr Duration kSettleTime = std::chrono::seconds(60);
-// Beyond the longest run, for connecting and for the wait of the claim itself.
+// Added to the longest election, so that a claim survives the loss of a leader.
+constexpr Duration kElectionSlack = std::chrono::seconds(1);
+// How long a settlement is retried.
+constexpr Duration kSettleTimeout = std::chrono::seconds(60);
+// Added to the time limit of the run for the lease: for connecting and for the wait for the claim.
 constexpr Duration kLeaseSlack = std::chrono::seconds(10);
-constexpr Duration kHomeComeBack = std::chrono::seconds(1);
-// A traffic thread gives up on its own when the control thread does not come back by then.
+constexpr Duration kHomeRetryAfter = std::chrono::seconds(1);
+// How long after the deadline of the proposal a traffic thread still waits for the control thread.
 constexpr Duration kControlSlack = std::chrono::milliseconds(500);
 
-// Zones with a disk host; with no disk anywhere, all zones.
+// Returns the zones that have a host with a disk, or all zones when no host has one.
 std::vector<ZoneId>
 ClaimZones(const HostSettings& aSettings)
 {
@@ -48,7 +48,7 @@
 }
 
 Error
-HomeSilent(const ZoneId& aHome)
+HomeTimeout(const ZoneId& aHome)
 {
   return Error{ ErrorKind::Unavailable,
                 Concat("zone '", aHome.Value(), "', which keeps this key, did not answer in time"),
@@ -57,12 +57,12 @@
 
 } // namespace
 
-ClaimTicket::ClaimTicket(ClaimClient& aGate,
+ClaimTicket::ClaimTicket(ClaimClient& aClient,
                          ZoneId aHome,
                          ClaimCommand aCommand,
                          const DispatchRecord& aRecord,
                          MonotonicTime aLeaseEnd)
-  : gate(aGate)
+  : client(aClient)
   , home(std::move(aHome))
   , command(std::move(aCommand))
   , record(aRecord)
@@ -77,7 +77,7 @@
   }
   const bool nothingRan = this->record.Outcome() == RunOutcome::NotRun;
   this->command.verb = nothingRan ? ClaimVerb::Release : ClaimVerb::Abandon;
-  this->gate.Settle(this->home, std::move(this->command));
+  this->client.Settle(this->home, std::move(this->command));
 }
 
 void
@@ -85,19 +85,19 @@
 {
   this->settled = true;
   this->command.verb = ClaimVerb::Finish;
-  if (aAnswer && aAnswer->body.size() <= this->gate.MaxKeptAnswer().Value()) {
+  if (aAnswer && aAnswer->body.size() <= this->client.MaxKeptAnswer().Value()) {
     this->command.answer = std::move(aAnswer);
   }
-  this->gate.Settle(this->home, std::move(this->command));
+  this->client.Settle(this->home, std::move(this->command));
 }
 
-// Shared by the traffic thread that waits and the control thread that answers.
+// Shared by the traffic thread that waits for a claim and the control thread that gets the answer.
 struct ClaimClient::Waiter
 {
   absl::Mutex mutex;
-  std::optional<ProposalOutcome> end ABSL_GUARDED_BY(mutex);
-  // The traffic thread has gone; a late grant must be given back.
-  bool left ABSL_GUARDED_BY(mutex) = false;
+  std::optional<ProposalOutcome> outcome ABSL_GUARDED_BY(mutex);
+  // The traffic thread has stopped waiting; a late grant must be released.
+  bool abandoned ABSL_GUARDED_BY(mutex) = false;
 };
 
 ClaimClient::ClaimClient(const HostContext& aContext, Replicator& aGroups)
@@ -118,37 +118,37 @@
 }
 
 ClaimResult
-ClaimClient::Enter(const KeyedCall& aCall, DispatchRecord& aRecord)
+ClaimClient::Claim(const KeyedCall& aCall, DispatchRecord& aRecord)
 {
-  ClaimResult entrance;
+  ClaimResult result;
   const auto refuse = [&](Error aError, std::optional<Duration> aRetryAfter) {
-    entrance.refusal = CallerError{ std::move(aError), aRecord.Outcome(), aRetryAfter };
-    return std::move(entrance);
+    result.refusal = CallerError{ std::move(aError), aRecord.Outcome(), aRetryAfter };
+    return std::move(result);
   };
   ZoneId home;
   auto command = this->MakeClaim(aCall, home);
   if (!command) {
     return refuse(command.error(), std::nullopt);
   }
-  const MonotonicTime asked = this->context.clock.MonotonicNow();
+  const MonotonicTime start = this->context.clock.MonotonicNow();
   auto reply = this->Ask(home, command.value(), aCall.wait);
   const MetricKey series{ aCall.workspace, "" };
   this->context.metrics.Observe(
-    Sample::ClaimWait, series, this->context.clock.MonotonicNow() - asked);
+    Sample::ClaimWait, series, this->context.clock.MonotonicNow() - start);
   if (!reply) {
-    return refuse(reply.error(), kHomeComeBack);
+    return refuse(reply.error(), kHomeRetryAfter);
   }
   const bool granted = reply.value().verdict == ClaimVerdict::Granted;
   this->context.metrics.Add(granted ? Counter::ClaimsTaken : Counter::ClaimsRepeated, series, 1);
   if (granted) {
-    const MonotonicTime leaseEnd = asked + command.value().lease;
-    entrance.ticket =
+    const MonotonicTime leaseEnd = start + command.value().lease;
+    result.ticket =
       std::make_unique<ClaimTicket>(*this, home, std::move(command.value()), aRecord, leaseEnd);
-    return entrance;
+    return result;
   }
   if (reply.value().verdict == ClaimVerdict::Kept && reply.value().answer) {
-    entrance.kept = std::move(reply.value().answer);
-    return entrance;
+    result.kept = std::move(reply.value().answer);
+    return result;
   }
   const ClaimRefusal refusal = RefusalOf(reply.value());
   aRecord.AddEarlierOutcome(refusal.earlier);
@@ -175,7 +175,7 @@
   command.body = aCall.body;
   command.createdAt = origin.value().createdAt;
   command.retention = this->context.settings.timeouts.keyRetention;
-  command.lease = aCall.longestRun + kLeaseSlack;
+  command.lease = aCall.maxRunTime + kLeaseSlack;
   return command;
 }
 
@@ -196,7 +196,7 @@
 Result<ClaimReply>
 ClaimClient::Ask(const ZoneId& aHome, const ClaimCommand& aCommand, Duration aWait)
 {
-  const Duration bound = this->context.settings.timeouts.electionMost + kBeyondElection;
+  const Duration bound = this->context.settings.timeouts.electionMost + kElectionSlack;
   const Duration wait = std::min(aWait, bound);
   const MonotonicTime deadline = this->context.clock.MonotonicNow() + wait;
   auto waiter = std::make_shared<Waiter>();
@@ -204,8 +204,8 @@
     this->retrier.Start(
       Proposal{
         ClaimsGroupId(aHome), StateMachineId::Claims, EncodeClaimCommand(aCommand), deadline },
-      [=, this](ProposalOutcome aEnd) {
-        this->OnClaimAnswered(waiter, aHome, aCommand, std::move(aEnd));
+      [=, this](ProposalOutcome aOutcome) {
+        this->OnClaimAnswered(waiter, aHome, aCommand, std::move(aOutcome));
       });
   });
   if (!posted) {
@@ -213,37 +213,37 @@
   }
   absl::MutexLock lock(&waiter->mutex);
   const auto answered = [&]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(waiter->mutex) {
-    return waiter->end.has_value();
+    return waiter->outcome.has_value();
   };
-  const absl::Duration longest = absl::FromChrono(wait + kControlSlack);
-  if (!waiter->mutex.AwaitWithTimeout(absl::Condition(&answered), longest)) {
-    waiter->left = true;
-    return Fail(HomeSilent(aHome));
+  const absl::Duration timeout = absl::FromChrono(wait + kControlSlack);
+  if (!waiter->mutex.AwaitWithTimeout(absl::Condition(&answered), timeout)) {
+    waiter->abandoned = true;
+    return Fail(HomeTimeout(aHome));
   }
-  if (!waiter->end->reply) {
-    return Fail(HomeSilent(aHome));
+  if (!waiter->outcome->reply) {
+    return Fail(HomeTimeout(aHome));
   }
-  return DecodeClaimReply(waiter->end->reply.value());
+  return DecodeClaimReply(waiter->outcome->reply.value());
 }
 
 void
 ClaimClient::OnClaimAnswered(const std::shared_ptr<Waiter>& aWaiter,
                              const ZoneId& aHome,
                              const ClaimCommand& aCommand,
-                             ProposalOutcome aEnd)
+                             ProposalOutcome aOutcome)
 {
-  bool giveBack = aEnd.mayBeApplied;
+  bool release = aOutcome.mayBeApplied;
   {
     absl::MutexLock lock(&aWaiter->mutex);
-    // Whoever has left dispatched nothing, so even a grant goes back.
-    giveBack = giveBack || (aWaiter->left && aEnd.reply);
-    aWaiter->end = std::move(aEnd);
+    // A thread that stopped waiting has dispatched nothing, so its grant can be released.
+    release = release || (aWaiter->abandoned && aOutcome.reply);
+    aWaiter->outcome = std::move(aOutcome);
   }
-  if (giveBack) {
-    ClaimCommand release = aCommand;
-    release.verb = ClaimVerb::Release;
-    ++this->unsettled;
-    this->ProposeSettlement(aHome, release);
+  if (release) {
+    ClaimCommand command = aCommand;
+    command.verb = ClaimVerb::Release;
+    ++this->pendingSettlements;
+    this->ProposeSettlement(aHome, command);
   }
 }
 
@@ -251,21 +251,21 @@
 ClaimClient::Mint(const WorkspaceId& aWorkspace)
 {
   const ZoneId& own = this->context.settings.zone;
-  const bool homesClaims = std::find(this->zones.begin(), this->zones.end(), own) != zones.end();
+  const bool hasClaims = std::find(this->zones.begin(), this->zones.end(), own) != zones.end();
   const ZoneId home =
-    homesClaims ? own : RendezvousHome(aWorkspace, IdempotencyKey(own.Value()), this->zones);
+    hasClaims ? own : RendezvousHome(aWorkspace, IdempotencyKey(own.Value()), this->zones);
   return MintKey(aWorkspace, home, this->context.clock.WallNow(), RandomText());
 }
 
 void
 ClaimClient::Settle(const ZoneId& aHome, ClaimCommand aCommand)
 {
-  ++this->unsettled;
+  ++this->pendingSettlements;
   const bool posted = this->context.control.Post(
     [this, aHome, command = std::move(aCommand)] { this->ProposeSettlement(aHome, command); });
   if (!posted) {
-    // The claim's lease ends by itself, and the key then counts as one that may have run.
-    --this->unsettled;
+    // The lease of the claim expires, and the call then counts as one that may have run.
+    --this->pendingSettlements;
     LogEvent(LogLevel::Warning, "claim_not_settled").With("home", aHome);
   }
 }
@@ -273,16 +273,16 @@
 void
 ClaimClient::ProposeSettlement(const ZoneId& aHome, const ClaimCommand& aCommand)
 {
-  const MonotonicTime deadline = this->context.clock.MonotonicNow() + kSettleTime;
+  const MonotonicTime deadline = this->context.clock.MonotonicNow() + kSettleTimeout;
   this->retrier.Start(
     Proposal{
       ClaimsGroupId(aHome), StateMachineId::Claims, EncodeClaimCommand(aCommand), deadline },
-    [this, aHome](const ProposalOutcome& aEnd) {
-      --this->unsettled;
-      if (!aEnd.reply) {
+    [this, aHome](const ProposalOutcome& aOutcome) {
+      --this->pendingSettlements;
+      if (!aOutcome.reply) {
         LogEvent(LogLevel::Warning, "claim_not_settled")
           .With("home", aHome)
-          .With("error", aEnd.reply.error());
+          .With("error", aOutcome.reply.error());
       }
     });
 }
--- a/src/program/ClaimClient.h
+++ b/src/program/ClaimClient.h
@@ -1,4 +1,4 @@
-// The way from traffic threads to the claim ledgers of all zones.
+// Claims idempotency keys at the claims groups of all zones, for the traffic threads.
 #pragma once
 
 #include <atomic>
@@ -21,22 +21,22 @@
   WorkspaceId workspace;
   IdempotencyKey key;
   AttemptId attempt;
-  // Of all that makes the call what it is.
+  // CallDigest(): a call with the same key and another digest is refused.
   Digest body;
-  // How long a run may take.
-  Duration longestRun{ 0 };
-  // Longest wait for the claim; the gate's own bound applies as well.
+  // Time limit of the run; the lease of the claim follows from it.
+  Duration maxRunTime{ 0 };
+  // Longest wait for the claim; ClaimClient has a limit of its own, too.
   Duration wait{ 0 };
 };
 
 class ClaimClient;
 
-// The right to run one call. Settles the claim when destroyed: as released when the record says
-// that nothing ran, else as abandoned, unless Finish() came first.
+// A granted claim: the right to run one call. If Finish() was not called, the destructor releases
+// the claim when the record says that nothing ran, and else abandons it.
 class ClaimTicket
 {
 public:
-  ClaimTicket(ClaimClient& aGate,
+  ClaimTicket(ClaimClient& aClient,
               ZoneId aHome,
               ClaimCommand aCommand,
               const DispatchRecord& aRecord,
@@ -45,14 +45,16 @@
   ClaimTicket(const ClaimTicket&) = delete;
   ClaimTicket& operator=(const ClaimTicket&) = delete;
 
-  // Whether the lease still runs; a process that was frozen must not send after it.
+  // Whether the lease is still valid. To be checked before each send: the process may have been
+  // suspended for longer than the lease.
   bool LeaseValid(MonotonicTime aNow) const { return aNow < this->leaseEnd; }
 
-  // Tells that the call ran; its answer, if given, is kept when it fits the limit.
+  // Settles the claim as run. The answer is kept for repeats when it is given and is not longer
+  // than MaxKeptAnswer().
   void Finish(std::optional<KeptAnswer> aAnswer);
 
 private:
-  ClaimClient& gate;
+  ClaimClient& client;
   ZoneId home;
   ClaimCommand command;
   const DispatchRecord& record;
@@ -60,41 +62,46 @@
   bool settled = false;
 };
 
-// What came of asking; one of the three is set.
+// The result of ClaimClient::Claim(); exactly one member is set.
 struct ClaimResult
 {
   std::unique_ptr<ClaimTicket> ticket;
+  // The answer of an earlier call with the same key.
   std::optional<KeptAnswer> kept;
   std::optional<CallerError> refusal;
 };
 
-// Claims keys for traffic threads, which wait for the control thread with a bound.
+// Claims idempotency keys. A traffic thread waits a limited time for the control thread, which
+// proposes the command to the claims group of the key's zone.
 //
-//   auto entrance = gate.Enter(call, record);
-//   if (entrance.refusal) ...
+//   auto result = claims.Claim(call, record);
+//   if (result.refusal) ...
 //
-// Requires that the record outlives the ticket.
+// Requires that the record outlives the ticket. Claim(), Mint() and Settle() are thread-safe;
+// OnPeerMessage() and OnTick() are called on the control thread.
 class ClaimClient final : public ControlModule
 {
 public:
   ClaimClient(const HostContext& aContext, Replicator& aGroups);
 
-  // Adds the ledgers and itself to the control loop. Requires to be called before it starts.
+  // Registers the state machines of the claims groups, and itself at the control loop. To be called
+  // before the loop starts.
   void Start();
 
-  // Claims the call's key at its home. Returns once that is committed and synced there.
-  // Refuses a bad key, a key whose home did not answer in time (then nothing ran and nothing will)
-  // and a key that another attempt has used; the record takes in what is known of that one.
-  ClaimResult Enter(const KeyedCall& aCall, DispatchRecord& aRecord);
+  // Claims the call's key in its home zone. Returns once the claim is committed and synced there.
+  // Refuses an invalid key, a key whose home zone did not answer in time (nothing ran then, and a
+  // late grant is released) and a key that another attempt has used; the outcome of that attempt is
+  // added to the record.
+  ClaimResult Claim(const KeyedCall& aCall, DispatchRecord& aRecord);
 
-  // Returns a fresh key that is homed in this zone, or in a neighbour that can home claims.
+  // Returns a new key whose home is this zone or, if this zone has no claims group, another one.
   IdempotencyKey Mint(const WorkspaceId& aWorkspace);
 
-  // Sends Finish, Abandon or Release without waiting for it.
+  // Proposes Finish, Abandon or Release without waiting for the result.
   void Settle(const ZoneId& aHome, ClaimCommand aCommand);
 
-  // Returns how many settlements are on their way.
-  std::size_t PendingSettlements() const { return this->unsettled.load(); }
+  // Returns how many settlements are neither committed nor given up.
+  std::size_t PendingSettlements() const { return this->pendingSettlements.load(); }
 
   ByteCount MaxKeptAnswer() const { return this->context.settings.limits.keptAnswer; }
 
@@ -110,16 +117,16 @@
   void OnClaimAnswered(const std::shared_ptr<Waiter>& aWaiter,
                        const ZoneId& aHome,
                        const ClaimCommand& aCommand,
-                       ProposalOutcome aEnd);
+                       ProposalOutcome aOutcome);
   void ProposeSettlement(const ZoneId& aHome, const ClaimCommand& aCommand);
 
   const HostContext& context;
   Replicator& groups;
-  // Zones whose groups home claims, alike on every host.
+  // Zones that have a claims group; the same list on every host.
   std::vector<ZoneId> zones;
   std::map<ZoneId, ClaimMachine> machines;
   ProposalRetrier retrier;
-  std::atomic<std::size_t> unsettled{ 0 };
+  std::atomic<std::size_t> pendingSettlements{ 0 };
 };
 
 } // namespace damasklink
--- a/src/program/CompletionRelay.cpp
+++ b/src/program/CompletionRelay.cpp
@@ -6,7 +6,7 @@
 namespace damasklink {
 namespace {
 
-// Prompt and answer tokens that cost as much as a request itself.
+// Prompt and answer tokens that are charged as much as a request itself.
 constexpr double kTokensPerCost = 1000;
 
 } // namespace
@@ -16,7 +16,7 @@
   , call(std::move(aCall))
   , running(aContext.state)
   , meter(aContext.host.metrics, aContext.host.clock, call.policy)
-  , place(aContext.admission)
+  , slot(aContext.admission)
   , run(aContext, call, meter, record)
 {
 }
@@ -27,13 +27,13 @@
   const double tokens =
     static_cast<double>(this->run.Route().promptTokens.Value() + this->call.request.maxTokens);
   std::vector<TargetRecord> eligible = this->run.Eligible();
-  AdmissionCall asked{ this->call.policy, this->run.Pool(eligible.empty()) };
-  asked.targets = std::move(eligible);
-  asked.priority = this->call.priority;
-  asked.promptTokens = this->run.Route().promptTokens;
-  asked.cost = 1 + tokens / kTokensPerCost;
-  asked.deadline = this->run.Deadline();
-  auto refusal = this->place.Enter(asked);
+  AdmissionCall admission{ this->call.policy, this->run.Pool(eligible.empty()) };
+  admission.targets = std::move(eligible);
+  admission.priority = this->call.priority;
+  admission.promptTokens = this->run.Route().promptTokens;
+  admission.cost = 1 + tokens / kTokensPerCost;
+  admission.deadline = this->run.Deadline();
+  auto refusal = this->slot.Enter(admission);
   if (refusal) {
     this->meter.OnFailure(*refusal);
   }
@@ -48,7 +48,7 @@
   keyed.key = this->call.key;
   keyed.attempt = AttemptId(this->call.id.Value());
   keyed.body = this->call.digest;
-  keyed.longestRun = this->call.timeLimit;
+  keyed.maxRunTime = this->call.timeLimit;
   keyed.wait = this->run.TimeLeft();
   ClaimResult result = this->context.claims.Claim(keyed, this->record);
   if (result.refusal) {
@@ -75,12 +75,12 @@
       return false;
     }
     if (!next.value().empty() && !aWriter.Write(FormatDeltaEvent(header, next.value()))) {
-      this->Describe(Error{ ErrorKind::Cancelled, "the caller left", "" });
+      this->Describe(Error{ ErrorKind::Cancelled, "the caller disconnected", "" });
       return false;
     }
   }
-  const StreamAssembler& whole = this->run.Assembled();
-  const std::string end = FormatEndEvents(header, whole.FinishReason(), whole.Usage());
+  const StreamAssembler& assembled = this->run.Assembled();
+  const std::string end = FormatEndEvents(header, assembled.FinishReason(), assembled.Usage());
   this->FinishAnswer("text/event-stream",
                      [&] { return FormatDeltaEvent(header, this->run.Answer()) + end; });
   return aWriter.Write(end);
@@ -93,13 +93,13 @@
     if (auto next = this->run.NextText(nullptr); !next) {
       return next;
     }
-    if (!this->run.Held()) {
+    if (!this->run.Kept()) {
       return Fail(ErrorKind::InvalidArgument, "the answer is too large", "ask for it as a stream");
     }
   }
-  const StreamAssembler& whole = this->run.Assembled();
-  std::string body =
-    FormatWholeAnswer(this->Header(), this->run.Answer(), whole.FinishReason(), whole.Usage());
+  const StreamAssembler& assembled = this->run.Assembled();
+  std::string body = FormatWholeAnswer(
+    this->Header(), this->run.Answer(), assembled.FinishReason(), assembled.Usage());
   this->FinishAnswer("application/json", [&] { return body; });
   return body;
 }
@@ -109,10 +109,10 @@
 {
   const AnswerUsage& usage = this->run.Assembled().Usage();
   this->meter.OnWhole(usage);
-  this->place.MarkAnswered();
+  this->slot.MarkAnswered();
   if (this->ticket != nullptr) {
     std::optional<KeptAnswer> kept;
-    if (this->run.Held()) {
+    if (this->run.Kept()) {
       kept = KeptAnswer{ 200, aType, aKept() };
     }
     this->ticket->Finish(std::move(kept));
--- a/src/program/CompletionRelay.h
+++ b/src/program/CompletionRelay.h
@@ -1,4 +1,4 @@
-// Carries one prompt to an engine and its answer back to the caller.
+// Relays one prompt to an engine, and the answer to the caller.
 #pragma once
 
 #include <functional>
@@ -9,15 +9,16 @@
 
 namespace damasklink {
 
-// One request from its dispatch to its end, on one traffic thread.
+// Handles one completion request: admission, claim, run and answer. Used by one traffic thread at a
+// time.
 //
 //   CompletionRelay relay(context, call);
 //   if (auto refusal = relay.Enter()) ...
-//   if (auto kept = relay.Claim()) ...  // Only for a call with a key.
-//   auto opened = relay.Open();         // Returns once an engine has begun to answer, or is late.
-//   relay.Stream(writer);               // Or relay.Collect().
+//   if (auto response = relay.Claim()) ...  // Only for a call with an idempotency key.
+//   auto opened = relay.Open();             // Waits a limited time for the first text.
+//   relay.Stream(writer);                   // Or relay.Collect().
 //
-// The caller sees one whole answer or an explicit error.
+// The caller gets one complete answer or an explicit error.
 class CompletionRelay
 {
 public:
@@ -25,31 +26,32 @@
   CompletionRelay(const CompletionRelay&) = delete;
   CompletionRelay& operator=(const CompletionRelay&) = delete;
 
-  // Whether this host still takes new work. Requires it of all that follows.
+  // Whether this host accepts the request. No other function may be called if it does not.
   bool Accepted() const { return this->running.Begun(); }
 
-  // Waits for the request's turn. Returns the refusal when it must not run.
+  // Waits for admission. Returns the refusal when the request must not run.
   std::optional<CallerError> Enter();
 
-  // Claims the call's key. Returns the response when the prompt must not be run.
+  // Claims the call's key. Returns the response when the prompt must not run: a refusal or the
+  // answer of an earlier call.
   std::optional<HttpResponse> Claim();
 
-  // Begins the run and waits a moment for the first text, so that an early failure still gets a
-  // status of its own.
+  // Starts the run and waits a limited time for the first text, so that an early failure still gets
+  // an HTTP status of its own.
   Result<void> Open() { return this->run.Open(); }
 
-  // Passes the answer on as server-sent events. Returns whether it went out whole; an answer that
-  // breaks off ends in an error event.
+  // Sends the answer as server-sent events. Returns whether it was sent completely; an interrupted
+  // answer ends with an error event.
   bool Stream(StreamWriter& aWriter);
 
-  // Returns the whole answer as one body.
+  // Returns the complete answer as one body.
   Result<std::string> Collect();
 
-  // Counts the failure and returns what is to be said of it.
+  // Counts and logs the failure, and returns it with the outcome of the request.
   CallerError Describe(Error aError);
 
 private:
-  // aKept makes the body that is kept for the claim, if there is one.
+  // Ends a complete answer. aKept makes the body that is kept with the claim, if there is one.
   void FinishAnswer(const std::string& aType, const std::function<std::string()>& aKept);
   AnswerHeader Header() const;
 
@@ -57,9 +59,9 @@
   CompletionCall call;
   RunningRequest running;
   RequestMeter meter;
-  AdmissionSlot place;
+  AdmissionSlot slot;
   DispatchRecord record;
-  // Settles the claim from the record, so it stands after it.
+  // Declared after the record, from which its destructor settles the claim.
   std::unique_ptr<ClaimTicket> ticket;
   CompletionRun run;
 };
--- a/src/program/CompletionRun.cpp
+++ b/src/program/CompletionRun.cpp
@@ -11,22 +11,24 @@
 namespace damasklink {
 namespace {
 
-// How soon a caller that left, a deadline or a stop is noticed while the engine is silent.
-constexpr Duration kPollPatience = std::chrono::milliseconds(100);
-// How long a refusal may still get a status of its own; afterwards the stream is open, and a
-// caller that leaves is noticed.
-constexpr Duration kOpenPatience = std::chrono::seconds(1);
-// Text held of one answer; a longer one can be resumed, but not continued on another engine.
-constexpr std::size_t kMostHeldBytes = 8 * kMebibyte;
-constexpr std::uint64_t kPauseLeast = 5;
-constexpr std::uint64_t kPauseMost = 25;
+// How often a disconnect of the caller, the deadline and a stop are checked while the engine is
+// silent.
+constexpr Duration kPollInterval = std::chrono::milliseconds(100);
+// How long Open() waits, so that a refusal gets an HTTP status of its own. Afterwards the stream is
+// open, and a disconnect of the caller is noticed.
+constexpr Duration kOpenTimeout = std::chrono::seconds(1);
+// Text kept of one answer. A longer answer can be resumed, but not continued on another engine.
+constexpr std::size_t kMaxKeptBytes = 8 * kMebibyte;
+// Range of the random delay before a repeat, in milliseconds; the upper end doubles with each try.
+constexpr std::uint64_t kMinRetryDelay = 5;
+constexpr std::uint64_t kMaxRetryDelay = 25;
 
-// Spreads repeats of requests that failed together.
+// Sleeps for a random time, so that requests that failed together are not repeated together.
 void
-PauseBeforeRepeat(std::uint64_t aTries)
+DelayBeforeRepeat(std::uint64_t aTries)
 {
   thread_local std::minstd_rand random{ std::random_device{}() };
-  std::uniform_int_distribution<std::uint64_t> spread(kPauseLeast, kPauseMost << aTries);
+  std::uniform_int_distribution<std::uint64_t> spread(kMinRetryDelay, kMaxRetryDelay << aTries);
   std::this_thread::sleep_for(std::chrono::milliseconds(spread(random)));
 }
 
@@ -65,7 +67,8 @@
   this->context.routing.OnDone(this->route, this->decision, true);
 }
 
-// Versions and adapters that no target has would make pools without end.
+// Without a target the pool is that of the model: callers may name any version and adapter, and
+// each would make a new pool.
 PoolId
 CompletionRun::Pool(bool aNoTarget) const
 {
@@ -100,8 +103,8 @@
       return recovered;
     }
   }
-  const MonotonicTime until = this->context.host.clock.MonotonicNow() + kOpenPatience;
-  while (this->context.host.clock.MonotonicNow() < until) {
+  const MonotonicTime deadline = this->context.host.clock.MonotonicNow() + kOpenTimeout;
+  while (this->context.host.clock.MonotonicNow() < deadline) {
     auto text = this->PollOnce(nullptr);
     if (!text) {
       if (auto recovered = this->Recover(text.error()); !recovered) {
@@ -134,27 +137,27 @@
 Result<std::string>
 CompletionRun::PollOnce(const StreamWriter* aCaller)
 {
-  if (auto wanted = this->CheckMayContinue(); !wanted) {
-    return Fail(wanted.error());
+  if (auto checked = this->CheckMayContinue(); !checked) {
+    return Fail(checked.error());
   }
-  auto text = this->stream->Poll(std::min(kPollPatience, this->TimeLeft()));
+  auto text = this->stream->Poll(std::min(kPollInterval, this->TimeLeft()));
   if (!text) {
     return text;
   }
   const MonotonicTime now = this->context.host.clock.MonotonicNow();
   if (!text.value().empty() || this->stream->Complete()) {
-    this->lastHeard = now;
-    this->TakeText(text.value());
+    this->lastProgress = now;
+    this->AppendText(text.value());
     return text;
   }
-  // While text flows, writing it tells whether the caller is there.
+  // While there is text, a failed write shows that the caller disconnected.
   if (aCaller != nullptr && !aCaller->IsOpen()) {
-    return Fail(ErrorKind::Cancelled, "the caller left", "");
+    return Fail(ErrorKind::Cancelled, "the caller disconnected", "");
   }
   const HostTimeouts& timeouts = this->context.host.settings.timeouts;
   const Duration limit = this->tokens == 0 ? timeouts.firstToken : timeouts.betweenTokens;
-  if (now - this->lastHeard >= limit) {
-    return Fail(ErrorKind::DeadlineExceeded, "the engine fell silent", "try again");
+  if (now - this->lastProgress >= limit) {
+    return Fail(ErrorKind::DeadlineExceeded, "the engine stopped responding", "try again");
   }
   return text;
 }
@@ -174,18 +177,18 @@
 }
 
 void
-CompletionRun::TakeText(const std::string& aText)
+CompletionRun::AppendText(const std::string& aText)
 {
   const std::uint64_t now = this->stream->Assembled().NextOffset();
   if (this->tokens == 0 && now > 0) {
-    this->firstToken = this->context.host.clock.MonotonicNow() - this->attemptBegun;
+    this->firstToken = this->context.host.clock.MonotonicNow() - this->attemptStart;
     this->context.routing.OnFirstToken(this->route, this->decision, this->firstToken, TokenCount());
   }
   this->meter.OnTokens(now - this->tokens);
   this->tokens = now;
   this->pending += aText;
-  this->held = this->held && this->answer.size() + aText.size() <= kMostHeldBytes;
-  if (this->held) {
+  this->kept = this->kept && this->answer.size() + aText.size() <= kMaxKeptBytes;
+  if (this->kept) {
     this->answer += aText;
   } else {
     this->answer.clear();
@@ -225,13 +228,13 @@
   prompt.sampling = this->call.request.sampling;
   this->record.Begin(prompt.attempt, this->decision.target);
   this->context.admission.OnStart(this->decision.target);
-  this->booksOpen = true;
+  this->attemptOpen = true;
   ++this->tries;
   this->tokensBefore = this->tokens;
-  this->attemptBegun = this->context.host.clock.MonotonicNow();
-  this->lastHeard = this->attemptBegun;
-  if (this->ticket != nullptr && !this->ticket->LeaseValid(this->attemptBegun)) {
-    return Fail(ErrorKind::Conflict, "the claim of the key ran out", "try again");
+  this->attemptStart = this->context.host.clock.MonotonicNow();
+  this->lastProgress = this->attemptStart;
+  if (this->ticket != nullptr && !this->ticket->LeaseValid(this->attemptStart)) {
+    return Fail(ErrorKind::Conflict, "the claim of the key expired", "try again");
   }
   const Duration connect = std::min(this->context.host.settings.timeouts.connect, this->TimeLeft());
   auto opened = EngineStream::Open(this->decision.endpoint, connect, prompt, this->record);
@@ -247,7 +250,7 @@
 {
   while (true) {
     this->ReportAttemptFailure(aError.kind);
-    // Only tries in vain are counted against the request.
+    // Only attempts without progress count against the request.
     if (this->tokens > this->tokensBefore) {
       this->tries = 1;
     }
@@ -258,12 +261,12 @@
     lost.tokensBefore = this->tokensBefore;
     lost.tries = this->tries;
     lost.resumed = this->resumed;
-    lost.held = this->held;
+    lost.held = this->kept;
     lost.repeatable = this->ticket == nullptr;
     lost.timeLeft = this->context.state.MustStop() ? Duration(0) : this->TimeLeft();
     const RecoveryStep step = DecideRecoveryStep(lost);
-    const bool paid = step != RecoveryStep::Repeat || this->context.state.TryTakeRetry();
-    if (step == RecoveryStep::GiveUp || !paid) {
+    const bool withinBudget = step != RecoveryStep::Repeat || this->context.state.TryTakeRetry();
+    if (step == RecoveryStep::GiveUp || !withinBudget) {
       return Fail(std::move(aError));
     }
     LogEvent(LogLevel::Warning, "attempt_failed")
@@ -271,16 +274,16 @@
       .With("target", this->decision.target)
       .With("tokens", this->tokens)
       .With("error", aError);
-    auto taken = this->ExecuteStep(step);
-    if (taken) {
+    auto recovered = this->ExecuteStep(step);
+    if (recovered) {
       this->meter.OnRetry();
       return Success();
     }
-    // That no other target is left tells less than why the last one failed.
+    // The failure of the last target says more than the error that no other target is left.
     if (!this->outstanding) {
       return Fail(std::move(aError));
     }
-    aError = taken.error();
+    aError = recovered.error();
   }
 }
 
@@ -294,7 +297,7 @@
   }
   this->EndAttempt(false);
   if (aStep == RecoveryStep::Repeat) {
-    PauseBeforeRepeat(this->tries);
+    DelayBeforeRepeat(this->tries);
   } else {
     this->route.continuation = true;
     this->route.version = this->decision.version;
@@ -303,11 +306,11 @@
 }
 
 void
-CompletionRun::ReportAttemptEnd(LoadSignal aLoad, HealthSignal aSign)
+CompletionRun::ReportAttemptEnd(LoadSignal aLoad, HealthSignal aHealth)
 {
-  if (this->booksOpen) {
-    this->booksOpen = false;
-    this->context.admission.OnEnd(this->decision.target, aLoad, aSign, this->firstToken);
+  if (this->attemptOpen) {
+    this->attemptOpen = false;
+    this->context.admission.OnEnd(this->decision.target, aLoad, aHealth, this->firstToken);
   }
 }
 
@@ -317,9 +320,11 @@
   if (aFailure == ErrorKind::Overloaded) {
     return this->ReportAttemptEnd(LoadSignal::Overloaded, HealthSignal::Good);
   }
-  const bool endedHere = aFailure == ErrorKind::Cancelled || aFailure == ErrorKind::Conflict ||
-                         this->TimeLeft() <= Duration(0) || this->context.state.MustStop();
-  this->ReportAttemptEnd(LoadSignal::Failed, endedHere ? HealthSignal::None : HealthSignal::Bad);
+  const bool notTargetsFault = aFailure == ErrorKind::Cancelled ||
+                               aFailure == ErrorKind::Conflict || this->TimeLeft() <= Duration(0) ||
+                               this->context.state.MustStop();
+  this->ReportAttemptEnd(LoadSignal::Failed,
+                         notTargetsFault ? HealthSignal::None : HealthSignal::Bad);
 }
 
 Duration
--- a/src/program/CompletionRun.h
+++ b/src/program/CompletionRun.h
@@ -1,4 +1,4 @@
-// One prompt's run over engines: attempts, resumptions and the text in hand.
+// Runs one prompt on engines: attempts, resumption and the text received so far.
 #pragma once
 
 #include <memory>
@@ -13,26 +13,27 @@
 
 namespace damasklink {
 
-// A caller's prompt with all that its handler knows of it.
+// A caller's prompt, as parsed by its handler.
 struct CompletionCall
 {
   CompletionRequest request;
   ResolvedPolicy policy;
   RequestId id;
-  // Empty when the caller sent none.
+  // Empty when the caller sent no key.
   IdempotencyKey key;
   Digest digest;
-  // Longest time for the whole answer, as the caller asked.
+  // Time limit for the whole answer, as the caller asked.
   Duration timeLimit{ 0 };
   // As the caller asked; 0 goes first.
   std::uint64_t priority = 0;
 };
 
-// Gets an answer's text in order from whichever engine has it. A lost engine is made good as
-// RelayPlan.h decides. Holds the text up to a bound, so that another engine can go on behind it.
+// Returns the text of an answer in order, from one engine or, after a failure, from several: lost
+// attempts are recovered as AttemptRecovery.h decides. Keeps the text up to a limit, so that
+// another engine can continue behind it.
 //
 //   CompletionRun run(context, call, meter, record);
-//   auto opened = run.Open();     // Returns once an engine has begun to answer, or is late.
+//   auto opened = run.Open();     // Waits a limited time for the first text.
 //   while (!run.Ended()) { auto text = run.NextText(caller); ... }
 //   run.End();
 //
@@ -49,53 +50,56 @@
   CompletionRun(const CompletionRun&) = delete;
   CompletionRun& operator=(const CompletionRun&) = delete;
 
-  // Sets the right to run a call with a key; the run is then not started over.
+  // Sets the claim of a call with a key. Such a run is not started again, since it must not run
+  // twice.
   void SetTicket(const ClaimTicket* aTicket) { this->ticket = aTicket; }
 
   const RouteRequest& Route() const { return this->route; }
-  // Requests of one pool fit the same targets, but for what their grants allow.
+  // Requests of one pool can use the same targets, except for what their grants allow. aNoTarget:
+  // whether no target is eligible.
   PoolId Pool(bool aNoTarget) const;
-  // Returns the targets that could take the request, whatever their health.
+  // Returns the targets that can serve the request, whatever their health.
   std::vector<TargetRecord> Eligible() const;
   Duration TimeLeft() const;
   MonotonicTime Deadline() const { return this->deadline; }
 
-  // Begins and waits a moment for the first text. Fails with what the caller is to be told.
+  // Starts the run and waits a limited time for the first text. Fails with the error for the
+  // caller.
   Result<void> Open();
 
-  // Returns the next text, empty only at the end of the answer; aCaller may be null. Requires
-  // Open(). Fails with what the caller is to be told.
+  // Returns the next text, empty only at the end of the answer. aCaller is checked for a disconnect
+  // and may be null. Requires Open(). Fails with the error for the caller.
   Result<std::string> NextText(const StreamWriter* aCaller);
 
-  // Whether all of the answer was returned.
+  // Whether the complete answer was returned.
   bool Ended() const { return this->stream->Complete() && this->pending.empty(); }
 
-  // Whether the whole text so far is held, and that text.
-  bool Held() const { return this->held; }
+  // Whether the whole text so far is kept in memory, and that text.
+  bool Kept() const { return this->kept; }
   const std::string& Answer() const { return this->answer; }
   // Requires Ended().
   const StreamAssembler& Assembled() const { return this->stream->Assembled(); }
 
-  // Tells that the whole answer was taken. Requires Ended().
+  // Records that the complete answer was used. Requires Ended().
   void End();
 
 private:
   Result<std::string> PollOnce(const StreamWriter* aCaller);
   // Fails when the host stops or the deadline has passed.
   Result<void> CheckMayContinue() const;
-  void TakeText(const std::string& aText);
+  void AppendText(const std::string& aText);
 
-  // Begins on a target of the router's choice.
+  // Starts an attempt on a target that the router chooses.
   Result<void> StartOnNewTarget();
-  // Begins, or goes on, on the target in `decision`.
+  // Starts or resumes an attempt on the target in `decision`.
   Result<void> StartAttempt(const AttemptId& aAttempt);
-  // Makes a lost attempt good.
+  // Recovers from a lost attempt: resumes, repeats or continues it. Fails when none is possible.
   Result<void> Recover(Error aError);
   Result<void> ExecuteStep(RecoveryStep aStep);
   void EndAttempt(bool aWhole);
 
-  // Closes the books on the attempt, if they are open.
-  void ReportAttemptEnd(LoadSignal aLoad, HealthSignal aSign);
+  // Reports the end of the attempt to admission, unless that was done already.
+  void ReportAttemptEnd(LoadSignal aLoad, HealthSignal aHealth);
   void ReportAttemptFailure(ErrorKind aFailure);
 
   const RelayContext& context;
@@ -107,19 +111,24 @@
   RouteRequest route;
   RouteDecision decision;
   std::unique_ptr<EngineStream> stream;
-  // The whole text so far, while it is held, and what the caller has yet to be sent.
+  // The whole text so far, while `kept` is set.
   std::string answer;
-  bool held = true;
+  bool kept = true;
+  // Text that was not returned yet.
   std::string pending;
+  // Tokens received in all, and before the current attempt.
   std::uint64_t tokens = 0;
   std::uint64_t tokensBefore = 0;
+  // Consecutive attempts without new text, the current one included.
   std::uint64_t tries = 0;
   bool resumed = false;
+  // Whether the router counts the request as sent to the target in `decision`.
   bool outstanding = false;
-  bool booksOpen = false;
+  // Whether the end of the attempt is yet to be reported to admission.
+  bool attemptOpen = false;
   Duration firstToken{ 0 };
-  MonotonicTime attemptBegun;
-  MonotonicTime lastHeard;
+  MonotonicTime attemptStart;
+  MonotonicTime lastProgress;
 };
 
 } // namespace damasklink
--- a/src/program/LogWriter.cpp
+++ b/src/program/LogWriter.cpp
@@ -93,14 +93,14 @@
     if (taken.empty()) {
       return;
     }
-    for (auto& [group, wanted] : taken) {
-      if (!wanted.batches.empty()) {
-        WriteCompletion completion = this->WriteGroup(group, wanted.batches);
+    for (auto& [group, groupWork] : taken) {
+      if (!groupWork.batches.empty()) {
+        WriteCompletion completion = this->WriteGroup(group, groupWork.batches);
         absl::MutexLock lock(&this->mutex);
         this->completions.push_back(std::move(completion));
       }
-      if (wanted.reopened != nullptr) {
-        ReopenedStore reopened = this->OpenGroup(group, std::move(wanted.reopened));
+      if (groupWork.reopened != nullptr) {
+        ReopenedStore reopened = this->OpenGroup(group, std::move(groupWork.reopened));
         absl::MutexLock lock(&this->mutex);
         this->reopenedStores.push_back(std::move(reopened));
       }
--- a/src/program/LogWriter.h
+++ b/src/program/LogWriter.h
@@ -1,4 +1,4 @@
-// Writes the logs of all groups on a thread of its own, so that no sync stalls the control thread.
+// Writes the logs of all groups on a separate thread, so that no sync blocks the control thread.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
 
 namespace damasklink {
 
-// One batch that was synced, or why none of the group's batches will be any more.
+// The last batch of a group that was synced, or the error after which its store takes no more.
 struct WriteCompletion
 {
   GroupId group;
@@ -23,39 +23,46 @@
   std::optional<Error> failure;
 };
 
-// What the store of a group holds that was opened anew, or why it could not be opened.
+// The content of a reopened store, or why it could not be opened.
 struct ReopenedStore
 {
   GroupId group;
   Result<RecoveredLog> recovered;
 };
 
-// Takes batches from the control thread. Whatever has come in while a sync was under way is written
-// and synced together by the next one.
+// Writes and syncs batches of log entries. Batches that arrive during a sync are written and synced
+// together by the next one (group commit).
+//
+//   LogWriter writer(wake);
+//   writer.Add(group, store);
+//   writer.Start();
+//   writer.Write(group, batch);   // Later: TakeCompletions().
+//
+// Thread-safe, except for Add(), Start() and Stop().
 class LogWriter
 {
 public:
-  // aWake is called on the writer's thread when completions are there to be taken.
+  // aWake is called on the writer's thread when there are new completions.
   explicit LogWriter(std::function<void()> aWake);
   ~LogWriter();
   LogWriter(const LogWriter&) = delete;
   LogWriter& operator=(const LogWriter&) = delete;
 
-  // Requires to be called before Start() and that the store is open.
+  // Adds an open store. To be called before Start().
   void Add(const GroupId& aGroup, std::unique_ptr<LogStore> aStore);
 
   void Start();
 
-  // Writes what was handed in and ends the thread.
+  // Writes the pending batches and ends the thread.
   void Stop();
 
   void Write(const GroupId& aGroup, PersistBatch aBatch);
 
-  // Puts a store that is not open yet in the place of one that has failed, and opens it on the
-  // writer's thread: a disk that refused a write may well hang next.
+  // Replaces a store that failed by one that is not open yet, and opens that on the writer's
+  // thread, since a disk that refused a write may block.
   void Reopen(const GroupId& aGroup, std::unique_ptr<LogStore> aStore);
 
-  // Returns once all that was handed in so far has its completion.
+  // Returns once all batches so far are completed.
   void WaitUntilIdle();
 
   std::vector<WriteCompletion> TakeCompletions();
@@ -65,7 +72,7 @@
   struct GroupWork
   {
     std::vector<PersistBatch> batches;
-    // To be opened after the batches were written.
+    // To be opened after the batches are written.
     std::unique_ptr<LogStore> reopened;
   };
   using Work = std::map<GroupId, GroupWork>;
--- a/src/program/MembershipModule.cpp
+++ b/src/program/MembershipModule.cpp
@@ -7,10 +7,10 @@
 
 MembershipModule::MembershipModule(const HostContext& aContext,
                                    HostMembership& aMembership,
-                                   ConfigDistributor& aSpread)
+                                   ConfigDistributor& aDistributor)
   : context(aContext)
   , membership(aMembership)
-  , spread(aSpread)
+  , distributor(aDistributor)
 {
 }
 
@@ -25,7 +25,8 @@
     return;
   }
   this->membership.OnHeartbeat(aFrom, heartbeat.value());
-  this->spread.OnPeerRevision(aFrom, heartbeat.value().revision, heartbeat.value().confirmedAge);
+  this->distributor.OnPeerRevision(
+    aFrom, heartbeat.value().revision, heartbeat.value().confirmedAge);
 }
 
 void
@@ -51,8 +52,8 @@
 MembershipModule::Send(const HostId& aTo)
 {
   Heartbeat heartbeat = this->membership.MakeHeartbeat();
-  heartbeat.revision = this->spread.InForce();
-  heartbeat.confirmedAge = this->spread.ConfirmedAge();
+  heartbeat.revision = this->distributor.InForce();
+  heartbeat.confirmedAge = this->distributor.ConfirmedAge();
   this->context.peers.Send(
     aTo, PeerMessage{ Channel::Membership, GroupId(), EncodeHeartbeat(heartbeat) });
 }
--- a/src/program/MembershipModule.h
+++ b/src/program/MembershipModule.h
@@ -6,17 +6,18 @@
 
 namespace damasklink {
 
-// Sends this host's heartbeats and hands what others' tell to membership and spread.
+// Sends this host's heartbeats, and passes those of peers to HostMembership and their configuration
+// revisions to ConfigDistributor. All functions are called on the control thread.
 class MembershipModule final : public ControlModule
 {
 public:
   MembershipModule(const HostContext& aContext,
                    HostMembership& aMembership,
-                   ConfigDistributor& aSpread);
+                   ConfigDistributor& aDistributor);
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage) override;
   void OnTick(MonotonicTime aNow) override;
-  // Tells all peers at once that this host is leaving.
+  // Sends a heartbeat to all peers that says this host is leaving.
   void OnShutdown() override;
 
 private:
@@ -24,7 +25,7 @@
 
   const HostContext& context;
   HostMembership& membership;
-  ConfigDistributor& spread;
+  ConfigDistributor& distributor;
 };
 
 } // namespace damasklink
--- a/src/program/OrdersModule.cpp
+++ b/src/program/OrdersModule.cpp
@@ -9,11 +9,11 @@
 constexpr Duration kProposalTimeout = std::chrono::seconds(5);
 
 OrderTimings
-LimitsOf(const HostSettings& aSettings)
+TimingsOf(const HostSettings& aSettings)
 {
-  OrderTimings limits;
-  limits.lease = aSettings.timeouts.electionMost;
-  return limits;
+  OrderTimings timings;
+  timings.lease = aSettings.timeouts.electionMost;
+  return timings;
 }
 
 std::string_view
@@ -38,13 +38,13 @@
 
 OrdersModule::OrdersModule(const HostContext& aContext,
                            Replicator& aGroups,
-                           const ConfigDistributor& aSpread,
+                           const ConfigDistributor& aDistributor,
                            const TargetRegistry& aTargets)
   : context(aContext)
   , groups(aGroups)
-  , spread(aSpread)
+  , distributor(aDistributor)
   , targets(aTargets)
-  , orders(aContext.clock, LimitsOf(aContext.settings), this->machine)
+  , orders(aContext.clock, TimingsOf(aContext.settings), this->machine)
   , lease(aContext.clock)
   , sender(this->lease,
            OrderTimings().orderInFlight,
@@ -69,9 +69,9 @@
     return;
   }
   this->nextPlan = aNow + kPlanInterval;
-  const bool mayAct = held && this->spread.Joined() && !this->spread.Stale();
+  const bool mayAct = held && this->distributor.Joined() && !this->distributor.Stale();
   for (const OrderAction& action :
-       this->orders.Plan(mayAct, this->spread.Tree().Deployments(), this->targets)) {
+       this->orders.Plan(mayAct, this->distributor.Tree().Deployments(), this->targets)) {
     this->ExecuteAction(action);
   }
 }
@@ -80,7 +80,7 @@
 OrdersModule::FillStatus(HostStatus& aStatus) const
 {
   for (const DeploymentProgress& progress :
-       this->orders.Progress(this->spread.Tree().Deployments(), this->targets)) {
+       this->orders.Progress(this->distributor.Tree().Deployments(), this->targets)) {
     aStatus.rollouts.push_back(
       RolloutStatus{ progress.deployment.Value(), progress.state, progress.detail });
   }
@@ -90,16 +90,16 @@
 OrdersModule::ExecuteAction(const OrderAction& aAction)
 {
   if (const auto* issue = std::get_if<IssueFencing>(&aAction)) {
-    this->Issue(issue->target);
+    this->ProposeFencing(issue->target);
   } else if (const auto* send = std::get_if<SendOrder>(&aAction)) {
     this->sender.Send(send->order);
   } else {
-    this->Stop(std::get<StopRollout>(aAction));
+    this->ProposeStop(std::get<StopRollout>(aAction));
   }
 }
 
 void
-OrdersModule::Issue(const TargetId& aTarget)
+OrdersModule::ProposeFencing(const TargetId& aTarget)
 {
   this->groups.Propose(ControlGroupId(),
                        StateMachineId::Orders,
@@ -113,7 +113,7 @@
 }
 
 void
-OrdersModule::Stop(const StopRollout& aStop)
+OrdersModule::ProposeStop(const StopRollout& aStop)
 {
   LogEvent(LogLevel::Error, "rollout_stopped")
     .With("deployment", aStop.deployment)
--- a/src/program/OrdersModule.h
+++ b/src/program/OrdersModule.h
@@ -1,4 +1,4 @@
-// Orders to targets on the control thread: plans, fencing numbers from the group, status.
+// Orders to targets on the control thread: planning, fencing numbers, sending, status.
 #pragma once
 
 #include "HostContext.h"
@@ -9,31 +9,31 @@
 
 namespace damasklink {
 
-// Carries out what TargetOrders decides. All calls come on the control thread.
+// Executes the actions that TargetOrders plans. All functions are called on the control thread.
 class OrdersModule final : public ControlModule
 {
 public:
   OrdersModule(const HostContext& aContext,
                Replicator& aGroups,
-               const ConfigDistributor& aSpread,
+               const ConfigDistributor& aDistributor,
                const TargetRegistry& aTargets);
 
   void Start() { this->sender.Start(); }
-  // Orders are not spoken of between hosts.
+  // Hosts exchange no messages about orders.
   void OnPeerMessage(const HostId& /*aFrom*/, const PeerMessage& /*aMessage*/) override {}
   void OnTick(MonotonicTime aNow) override;
 
-  // Adds how far each deployment is.
+  // Adds the progress of each deployment.
   void FillStatus(HostStatus& aStatus) const;
 
 private:
   void ExecuteAction(const OrderAction& aAction);
-  void Issue(const TargetId& aTarget);
-  void Stop(const StopRollout& aStop);
+  void ProposeFencing(const TargetId& aTarget);
+  void ProposeStop(const StopRollout& aStop);
 
   const HostContext& context;
   Replicator& groups;
-  const ConfigDistributor& spread;
+  const ConfigDistributor& distributor;
   const TargetRegistry& targets;
   OrderStateMachine machine;
   TargetOrders orders;
--- a/src/program/ReuseService.cpp
+++ b/src/program/ReuseService.cpp
@@ -14,13 +14,14 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kCandidates = 2;
-constexpr Duration kLookUpLimit = milliseconds(5);
-constexpr Duration kAskLimit = milliseconds(50);
-constexpr Duration kRetryImport = milliseconds(20);
-constexpr Duration kRetryExport = milliseconds(20);
-constexpr int kMostExportRetries = 500;
-constexpr Duration kExportLimit = std::chrono::seconds(20);
+constexpr std::size_t kCandidateStores = 2;
+constexpr Duration kLookUpTimeout = milliseconds(5);
+constexpr Duration kAskTimeout = milliseconds(50);
+// Delay before an import or export is asked for again when the owner is busy.
+constexpr Duration kImportRetryDelay = milliseconds(20);
+constexpr Duration kExportRetryDelay = milliseconds(20);
+constexpr int kMaxExportRetries = 500;
+constexpr Duration kExportTimeout = std::chrono::seconds(20);
 constexpr int kOk = 200;
 
 const TargetRecord*
@@ -35,7 +36,7 @@
 }
 
 HttpCall
-EngineCall(const Endpoint& aEngine, const char* aPath, std::string aBody, Duration aWithin)
+EngineCall(const Endpoint& aEngine, const char* aPath, std::string aBody, Duration aTimeout)
 {
   HttpCall call;
   call.endpoint = aEngine;
@@ -43,7 +44,7 @@
   call.path = aPath;
   call.headers = { { "content-type", "application/json" } };
   call.body = std::move(aBody);
-  call.readTimeout = aWithin;
+  call.readTimeout = aTimeout;
   return call;
 }
 
@@ -62,11 +63,11 @@
 ReuseService::ReuseService(const HostContext& aContext,
                            const StoresContext& aStores,
                            StoresModule& aModule,
-                           WorkThread& aKeeper)
+                           WorkThread& aExporter)
   : context(aContext)
   , stores(aStores)
   , module(aModule)
-  , keeper(aKeeper)
+  , exporter(aExporter)
 {
 }
 
@@ -94,9 +95,9 @@
     numbers.push_back(question.number);
     this->Post(std::move(question));
   }
-  const MonotonicTime until = this->context.clock.MonotonicNow() + kLookUpLimit;
+  const MonotonicTime deadline = this->context.clock.MonotonicNow() + kLookUpTimeout;
   for (const QuestionNumber number : numbers) {
-    const Duration left = std::max(Duration(0), until - this->context.clock.MonotonicNow());
+    const Duration left = std::max(Duration(0), deadline - this->context.clock.MonotonicNow());
     const auto answer = this->stores.answers.Wait(number, left);
     if (answer && answer->status != AnswerStatus::NotOwner) {
       aRequest.stored.push_back(answer->kept);
@@ -138,8 +139,8 @@
   }
   std::sort(ranked.begin(), ranked.end());
   std::vector<StoreId> candidates;
-  for (std::size_t at = 0; at < std::min(kCandidates, ranked.size()); ++at) {
-    candidates.push_back(ranked[at].second);
+  for (std::size_t index = 0; index < std::min(kCandidateStores, ranked.size()); ++index) {
+    candidates.push_back(ranked[index].second);
   }
   return candidates;
 }
@@ -152,12 +153,12 @@
 }
 
 std::optional<StoreAnswer>
-ReuseService::Ask(StoreQuestion aQuestion, Duration aMost)
+ReuseService::Ask(StoreQuestion aQuestion, Duration aTimeout)
 {
   aQuestion.number = this->stores.answers.Open();
   const QuestionNumber number = aQuestion.number;
   this->Post(std::move(aQuestion));
-  return this->stores.answers.Wait(number, aMost);
+  return this->stores.answers.Wait(number, aTimeout);
 }
 
 void
@@ -180,66 +181,71 @@
 {
   const auto view = this->context.views.Get();
   const TargetRecord* store = FindTarget(*view, aDecision.importFrom.Value());
-  const auto isStore = [&](const StoredPrefix& aKept) {
-    return aKept.store == aDecision.importFrom;
+  const auto isStore = [&](const StoredPrefix& aPrefix) {
+    return aPrefix.store == aDecision.importFrom;
   };
   const auto kept = std::find_if(aRequest.stored.begin(), aRequest.stored.end(), isStore);
   if (store == nullptr || kept == aRequest.stored.end() || kept->blocks == 0) {
     return;
   }
-  Move move{ aRequest.workspace, store->endpoint, aDecision.endpoint, {} };
-  move.question.kind = QuestionKind::Import;
-  move.question.store = aDecision.importFrom;
-  move.question.prompt.scope = {
+  Transfer transfer{ aRequest.workspace, store->endpoint, aDecision.endpoint, {} };
+  transfer.question.kind = QuestionKind::Import;
+  transfer.question.store = aDecision.importFrom;
+  transfer.question.prompt.scope = {
     aRequest.workspace, aRequest.model, aRequest.blocksVersion, aRequest.adapter
   };
-  move.question.prompt.blocks = aRequest.blocks;
-  move.question.to = aDecision.importBlocks;
+  transfer.question.prompt.blocks = aRequest.blocks;
+  transfer.question.to = aDecision.importBlocks;
   const std::uint64_t blockBytes = kept->bytes.Value() / kept->blocks;
-  const MonotonicTime begun = this->context.clock.MonotonicNow();
-  std::uint64_t at = aDecision.heldBlocks;
-  RemainingImport rest{ {}, {}, kept->freeBytesPerSecond, this->PrefillRate(aDecision.target) };
-  while (at < aDecision.importBlocks) {
-    move.question.from = at;
-    rest.bytes = ByteCount((aDecision.importBlocks - at) * blockBytes);
-    rest.tokens = TokenCount((aDecision.importBlocks - at) * kBlockTokens);
-    const Duration patience = ImportTimeLimit(rest, aRequest.objective);
-    if (ShouldAbandonImport(rest, aRequest.objective)) {
+  const MonotonicTime start = this->context.clock.MonotonicNow();
+  std::uint64_t nextBlock = aDecision.heldBlocks;
+  RemainingImport remaining{
+    {}, {}, kept->freeBytesPerSecond, this->PrefillRate(aDecision.target)
+  };
+  while (nextBlock < aDecision.importBlocks) {
+    transfer.question.from = nextBlock;
+    remaining.bytes = ByteCount((aDecision.importBlocks - nextBlock) * blockBytes);
+    remaining.tokens = TokenCount((aDecision.importBlocks - nextBlock) * kBlockTokens);
+    const Duration timeLimit = ImportTimeLimit(remaining, aRequest.objective);
+    if (ShouldAbandonImport(remaining, aRequest.objective)) {
       return;
     }
-    const auto answer = this->Ask(move.question, std::min(patience, kAskLimit));
-    const bool waited = this->context.clock.MonotonicNow() - begun > patience;
-    if (answer && answer->status == AnswerStatus::Busy && !waited) {
-      std::this_thread::sleep_for(kRetryImport);
+    const auto answer = this->Ask(transfer.question, std::min(timeLimit, kAskTimeout));
+    const bool expired = this->context.clock.MonotonicNow() - start > timeLimit;
+    if (answer && answer->status == AnswerStatus::Busy && !expired) {
+      std::this_thread::sleep_for(kImportRetryDelay);
       continue;
     }
     if (!answer || answer->status != AnswerStatus::Granted) {
       return;
     }
-    const std::uint64_t came = this->ImportBatch(move, *answer, patience);
-    if (came == 0) {
+    const std::uint64_t imported = this->ImportBatch(transfer, *answer, timeLimit);
+    if (imported == 0) {
       return;
     }
-    at += came;
+    nextBlock += imported;
   }
 }
 
 std::uint64_t
-ReuseService::ImportBatch(const Move& aMove, const StoreAnswer& aGrant, Duration aPatience)
+ReuseService::ImportBatch(const Transfer& aTransfer, const StoreAnswer& aGrant, Duration aTimeout)
 {
-  ImportOrder order{ aMove.store, std::min(aGrant.valid, aPatience), {} };
+  ImportOrder order{ aTransfer.store, std::min(aGrant.valid, aTimeout), {} };
   std::uint64_t bytes = 0;
   for (const ExportedBlock& block : aGrant.blocks) {
-    order.blocks.push_back(
-      { block.block, aMove.question.prompt.scope, block.generation, block.length, block.checksum });
+    order.blocks.push_back({ block.block,
+                             aTransfer.question.prompt.scope,
+                             block.generation,
+                             block.length,
+                             block.checksum });
     bytes += block.length.Value();
   }
-  const MonotonicTime begun = this->context.clock.MonotonicNow();
+  const MonotonicTime start = this->context.clock.MonotonicNow();
   const auto answer =
-    CallHttp(EngineCall(aMove.engine, kImportPath, FormatImportOrder(order), order.valid),
+    CallHttp(EngineCall(aTransfer.engine, kImportPath, FormatImportOrder(order), order.valid),
              ByteCount(kMebibyte));
-  StoreOutcome outcome = OutcomeOf(aMove.question, aGrant);
-  outcome.elapsed = this->context.clock.MonotonicNow() - begun;
+  StoreOutcome outcome = OutcomeOf(aTransfer.question, aGrant);
+  outcome.elapsed = this->context.clock.MonotonicNow() - start;
   auto report = answer && answer.value().status == kOk
                   ? ParseImportReport(answer.value().body)
                   : Result<ImportReport>(Fail(ErrorKind::Interrupted, "no report", ""));
@@ -253,13 +259,14 @@
   }
   if (!outcome.blocks.empty()) {
     LogEvent(LogLevel::Warning, "import_refused")
-      .With("store", aMove.question.store)
+      .With("store", aTransfer.question.store)
       .With("blocks", outcome.blocks.size());
   }
-  const bool whole = outcome.moved;
+  const bool complete = outcome.moved;
   this->ReportOutcome(std::move(outcome));
-  this->context.metrics.Add(Counter::LinkBytesIn, { aMove.workspace, "" }, whole ? bytes : 0);
-  return whole ? report.value().imported : 0;
+  this->context.metrics.Add(
+    Counter::LinkBytesIn, { aTransfer.workspace, "" }, complete ? bytes : 0);
+  return complete ? report.value().imported : 0;
 }
 
 void
@@ -267,24 +274,24 @@
                          const RouteDecision& aDecision,
                          const AnswerUsage& /*aUsage*/)
 {
-  // Names of another version than the one that ran mean nothing to the engine.
+  // The block names are those of one weight version; an engine that ran another has no such blocks.
   if (aRequest.blocks.empty() || aDecision.version != aRequest.blocksVersion ||
       aRequest.stored.empty()) {
     return;
   }
-  const auto deeper = [](const StoredPrefix& aLeft, const StoredPrefix& aRight) {
+  const auto fewerBlocks = [](const StoredPrefix& aLeft, const StoredPrefix& aRight) {
     return aLeft.blocks < aRight.blocks;
   };
   const StoredPrefix& best =
-    *std::max_element(aRequest.stored.begin(), aRequest.stored.end(), deeper);
+    *std::max_element(aRequest.stored.begin(), aRequest.stored.end(), fewerBlocks);
   const auto view = this->context.views.Get();
   const TargetRecord* store = FindTarget(*view, best.store.Value());
   if (store == nullptr) {
     return;
   }
-  Move move{ aRequest.workspace, store->endpoint, aDecision.endpoint, {} };
-  move.question.store = best.store;
-  move.question.prompt = {
+  Transfer transfer{ aRequest.workspace, store->endpoint, aDecision.endpoint, {} };
+  transfer.question.store = best.store;
+  transfer.question.prompt = {
     { aRequest.workspace, aRequest.model, aRequest.blocksVersion, aRequest.adapter },
     aRequest.blocks,
     best.returning,
@@ -292,47 +299,51 @@
     this->PrefillRate(aDecision.target)
   };
   for (const StoredPrefix& kept : aRequest.stored) {
-    StoreQuestion answered = move.question;
+    StoreQuestion answered = transfer.question;
     answered.kind = QuestionKind::Answered;
     answered.store = kept.store;
     this->Post(std::move(answered));
   }
-  move.question.kind = QuestionKind::Export;
-  this->keeper.Add([this, move = std::move(move)] { this->ExportAll(move, kMostExportRetries); });
+  transfer.question.kind = QuestionKind::Export;
+  this->exporter.Add(
+    [this, transfer = std::move(transfer)] { this->ExportAll(transfer, kMaxExportRetries); });
 }
 
 void
-ReuseService::ExportAll(Move aMove, int aRetries)
+ReuseService::ExportAll(Transfer aTransfer, int aRetries)
 {
   while (this->context.phase.load() != HostPhase::Leaving) {
-    const auto answer = this->Ask(aMove.question, kAskLimit);
+    const auto answer = this->Ask(aTransfer.question, kAskTimeout);
     if (answer && answer->status == AnswerStatus::Busy && aRetries > 0) {
-      std::this_thread::sleep_for(kRetryExport);
-      // Behind what waits already, which may be for another store.
-      this->keeper.Add(
-        [this, move = std::move(aMove), aRetries] { this->ExportAll(move, aRetries - 1); });
+      std::this_thread::sleep_for(kExportRetryDelay);
+      // Queued again behind the other exports, which may be for other stores.
+      this->exporter.Add([this, transfer = std::move(aTransfer), aRetries] {
+        this->ExportAll(transfer, aRetries - 1);
+      });
       return;
     }
-    if (!answer || answer->status != AnswerStatus::Granted || !this->ExportBatch(aMove, *answer)) {
+    if (!answer || answer->status != AnswerStatus::Granted ||
+        !this->ExportBatch(aTransfer, *answer)) {
       return;
     }
   }
 }
 
 bool
-ReuseService::ExportBatch(const Move& aMove, const StoreAnswer& aGrant)
+ReuseService::ExportBatch(const Transfer& aTransfer, const StoreAnswer& aGrant)
 {
-  ExportOrder order{ aMove.store, aGrant.fencing, aMove.question.prompt.scope, {} };
+  ExportOrder order{ aTransfer.store, aGrant.fencing, aTransfer.question.prompt.scope, {} };
   for (const ExportedBlock& block : aGrant.blocks) {
     order.blocks.push_back({ block.block, block.generation, block.length });
   }
-  const MonotonicTime begun = this->context.clock.MonotonicNow();
-  const auto answer = CallHttp(
-    EngineCall(
-      aMove.engine, kExportPath, FormatExportOrder(order), std::min(aGrant.valid, kExportLimit)),
-    ByteCount(kMebibyte));
-  StoreOutcome outcome = OutcomeOf(aMove.question, aGrant);
-  outcome.elapsed = this->context.clock.MonotonicNow() - begun;
+  const MonotonicTime start = this->context.clock.MonotonicNow();
+  const auto answer = CallHttp(EngineCall(aTransfer.engine,
+                                          kExportPath,
+                                          FormatExportOrder(order),
+                                          std::min(aGrant.valid, kExportTimeout)),
+                               ByteCount(kMebibyte));
+  StoreOutcome outcome = OutcomeOf(aTransfer.question, aGrant);
+  outcome.elapsed = this->context.clock.MonotonicNow() - start;
   if (answer && answer.value().status == kOk) {
     auto exported = ParseExported(answer.value().body);
     outcome.blocks = exported ? std::move(exported.value()) : std::vector<ExportedBlock>();
@@ -341,11 +352,11 @@
   for (const ExportedBlock& block : outcome.blocks) {
     bytes += block.length.Value();
   }
-  const bool all = outcome.blocks.size() == aGrant.blocks.size();
-  outcome.moved = all;
+  const bool complete = outcome.blocks.size() == aGrant.blocks.size();
+  outcome.moved = complete;
   this->ReportOutcome(std::move(outcome));
-  this->context.metrics.Add(Counter::LinkBytesOut, { aMove.workspace, "" }, bytes);
-  return all;
+  this->context.metrics.Add(Counter::LinkBytesOut, { aTransfer.workspace, "" }, bytes);
+  return complete;
 }
 
 } // namespace damasklink
--- a/src/program/ReuseSubsystem.cpp
+++ b/src/program/ReuseSubsystem.cpp
@@ -5,9 +5,10 @@
 namespace damasklink {
 namespace {
 
-constexpr std::size_t kMostCalls = 1024;
-// Answered prompts that wait to be exported; later ones are not kept.
-constexpr std::size_t kMostKept = 4096;
+// Calls to stores and engines that wait; later ones are dropped.
+constexpr std::size_t kMaxCalls = 1024;
+// Answered prompts that wait for their export; later ones are not stored.
+constexpr std::size_t kMaxExports = 4096;
 
 } // namespace
 
@@ -16,18 +17,18 @@
   , groups(aGroups)
   , router(new CostRouter(aContext.clock, CostRouterOptions()))
   , routing(std::unique_ptr<Router>(this->router))
-  , work(kMostCalls)
+  , work(kMaxCalls)
   , stores{ aGroups, this->routing, *this->router, this->answers, this->work }
   , module(aContext, this->stores)
-  , keeper(kMostKept)
-  , reuse(aContext, this->stores, this->module, this->keeper)
+  , exporter(kMaxExports)
+  , reuse(aContext, this->stores, this->module, this->exporter)
 {
 }
 
 ReuseSubsystem::~ReuseSubsystem()
 {
-  // Their tasks use the other members.
-  this->keeper.Stop();
+  // Stopped first: their tasks use the other members.
+  this->exporter.Stop();
   this->work.Stop();
 }
 
@@ -38,7 +39,7 @@
     ClaimsGroupId(this->context.settings.zone), StateMachineId::Leases, this->leases);
   this->context.control.Add(Channel::Stores, this->module);
   this->work.Start();
-  this->keeper.Start();
+  this->exporter.Start();
   return Success();
 }
 
@@ -60,11 +61,11 @@
   if (!event) {
     return RefusalResponse(event.error());
   }
-  const bool taken = this->context.control.Post(
-    [this, taken = std::move(event.value())] { this->module.HandleCacheEvent(taken); });
-  if (!taken) {
+  const bool posted = this->context.control.Post(
+    [this, received = std::move(event.value())] { this->module.HandleCacheEvent(received); });
+  if (!posted) {
     return RefusalResponse(
-      Error{ ErrorKind::Overloaded, "the host has no room for the event", "send it again" });
+      Error{ ErrorKind::Overloaded, "the control thread is overloaded", "send it again" });
   }
   return TextResponse("{}");
 }
--- a/src/program/ReuseSubsystem.h
+++ b/src/program/ReuseSubsystem.h
@@ -1,4 +1,4 @@
-// Reuse on one host: routing, block directory, store ownership and links.
+// Prompt reuse on one host: routing, block directories, leases of stores, imports and exports.
 #pragma once
 
 #include "HostContext.h"
@@ -10,6 +10,8 @@
 
 namespace damasklink {
 
+// Owns the modules and threads of prompt reuse. Start() and AddRoutes() are called once, before the
+// servers and the control loop start.
 class ReuseSubsystem
 {
 public:
@@ -22,7 +24,7 @@
   SynchronizedRouter& Routing() { return this->routing; }
   PromptReuse& Reuse() { return this->reuse; }
 
-  // Adds its modules to the control loop. Requires to be called before the loop starts.
+  // Adds the modules to the control loop. To be called before the loop starts.
   Result<void> Start();
 
   void AddRoutes(const HostServers& aServers);
@@ -32,15 +34,17 @@
 
   const HostContext& context;
   Replicator& groups;
-  // Owned by the desk.
+  // Owned by `routing`.
   CostRouter* router;
   SynchronizedRouter routing;
   StoreLeases leases;
   StoreAnswers answers;
+  // Calls stores and engines for the module.
   WorkThread work;
   StoresContext stores;
   StoresModule module;
-  WorkThread keeper;
+  // Exports answered prompts to stores.
+  WorkThread exporter;
   ReuseService reuse;
 };
 
--- a/src/program/ServiceRelay.cpp
+++ b/src/program/ServiceRelay.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kServicesPrefix = "/services/";
 
-// Returns what the service sees as path and query: all behind "/services/<name>".
+// Returns path and query as sent to the service: everything after "/services/<name>".
 std::string
 PathAtService(const HttpRequest& aRequest)
 {
@@ -44,18 +44,18 @@
   , running(aContext.state)
   , meter(aContext.host.metrics, aContext.host.clock, call.policy)
   , deadline(aContext.host.clock.MonotonicNow() + call.route.timeout)
-  , place(aContext.admission)
+  , slot(aContext.admission)
 {
 }
 
 HttpResponse
 ServiceRelay::Run()
 {
-  if (auto refused = this->Enter()) {
-    return std::move(*refused);
+  if (auto refusal = this->Enter()) {
+    return std::move(*refusal);
   }
-  if (auto ended = this->ClaimKey()) {
-    return std::move(*ended);
+  if (auto response = this->ClaimKey()) {
+    return std::move(*response);
   }
   auto answer = this->SendToSomeTarget();
   if (!answer) {
@@ -69,18 +69,18 @@
     this->ticket->Finish(KeptAnswer{ response.status, response.contentType, response.body });
   }
   this->meter.OnServed();
-  this->place.MarkAnswered();
+  this->slot.MarkAnswered();
   return response;
 }
 
 std::optional<HttpResponse>
 ServiceRelay::Enter()
 {
-  AdmissionCall asked{ this->call.policy, PoolId("service/" + this->call.route.name.Value()) };
-  asked.targets = this->Targets();
-  asked.priority = this->call.priority;
-  asked.deadline = this->deadline;
-  auto refusal = this->place.Enter(asked);
+  AdmissionCall admission{ this->call.policy, PoolId("service/" + this->call.route.name.Value()) };
+  admission.targets = this->Targets();
+  admission.priority = this->call.priority;
+  admission.deadline = this->deadline;
+  auto refusal = this->slot.Enter(admission);
   if (!refusal) {
     return std::nullopt;
   }
@@ -101,7 +101,7 @@
   keyed.key = IdempotencyKey(this->call.request.Header("idempotency-key"));
   keyed.attempt = AttemptId(this->call.id.Value());
   keyed.body = CallDigest(this->call.request);
-  keyed.longestRun = this->call.route.timeout;
+  keyed.maxRunTime = this->call.route.timeout;
   keyed.wait = this->TimeLeft();
   if (keyed.key.Empty()) {
     return std::nullopt;
@@ -123,7 +123,7 @@
 {
   const std::vector<TargetRecord> targets = this->context.admission.Usable(this->Targets());
   Error lastError{ ErrorKind::Unavailable,
-                   Concat("service '", this->call.route.name.Value(), "' has no target now"),
+                   Concat("service '", this->call.route.name.Value(), "' has no usable target"),
                    "try again shortly" };
   const std::size_t start =
     targets.empty() ? 0 : std::hash<RequestId>{}(this->call.id) % targets.size();
@@ -138,15 +138,15 @@
   return Fail(lastError);
 }
 
-// What surely did not run may be sent again, and so may what does no harm twice; both only within
-// the retry budget of this host.
+// A call may be repeated if it certainly did not run, or if the route is idempotent and the call
+// has no claim, both within the retry budget of this host.
 bool
 ServiceRelay::MayRepeat() const
 {
   const bool notRun = this->record.Outcome() == RunOutcome::NotRun;
-  const bool harmless = this->call.route.idempotent && this->ticket == nullptr;
-  const bool wanted = this->TimeLeft() > Duration(0) && !this->context.state.MustStop();
-  return wanted && (notRun || harmless) && this->context.state.TryTakeRetry();
+  const bool repeatable = this->call.route.idempotent && this->ticket == nullptr;
+  const bool hasTime = this->TimeLeft() > Duration(0) && !this->context.state.MustStop();
+  return hasTime && (notRun || repeatable) && this->context.state.TryTakeRetry();
 }
 
 Result<HttpAnswer>
@@ -155,30 +155,30 @@
   const std::size_t number = this->record.Attempts().size() + 1;
   const AttemptId attempt(Concat(this->call.id.Value(), "-", number));
   this->record.Begin(attempt, aTarget.id);
-  AdmissionController& desk = this->context.admission;
-  desk.OnStart(aTarget.id);
-  const MonotonicTime begun = this->context.host.clock.MonotonicNow();
+  AdmissionController& admission = this->context.admission;
+  admission.OnStart(aTarget.id);
+  const MonotonicTime start = this->context.host.clock.MonotonicNow();
   auto connected = HttpExchange::Connect(this->MakeCall(aTarget, attempt));
   if (!connected) {
-    desk.OnEnd(aTarget.id, LoadSignal::Failed, HealthSignal::Bad, Duration(0));
+    admission.OnEnd(aTarget.id, LoadSignal::Failed, HealthSignal::Bad, Duration(0));
     return Fail(connected.error());
   }
   const MonotonicTime now = this->context.host.clock.MonotonicNow();
   if (this->ticket != nullptr && !this->ticket->LeaseValid(now)) {
-    desk.OnEnd(aTarget.id, LoadSignal::Failed, HealthSignal::None, Duration(0));
-    return Fail(ErrorKind::DeadlineExceeded, "the claim of the key ran out", "try again");
+    admission.OnEnd(aTarget.id, LoadSignal::Failed, HealthSignal::None, Duration(0));
+    return Fail(ErrorKind::DeadlineExceeded, "the claim of the key expired", "try again");
   }
   this->record.Advance(AttemptStage::Sending);
   auto answer = this->Exchange(*connected.value());
   this->record.Advance(answer ? AttemptStage::Finished : AttemptStage::Lost);
-  desk.OnEnd(aTarget.id,
-             answer ? LoadSignal::Served : LoadSignal::Failed,
-             answer ? HealthSignal::Good : HealthSignal::Bad,
-             this->context.host.clock.MonotonicNow() - begun);
+  admission.OnEnd(aTarget.id,
+                  answer ? LoadSignal::Served : LoadSignal::Failed,
+                  answer ? HealthSignal::Good : HealthSignal::Bad,
+                  this->context.host.clock.MonotonicNow() - start);
   return answer;
 }
 
-// Reads the whole answer within the deadline of the call, however slowly it drips.
+// Reads the whole answer. The deadline of the call bounds the total time, not only each read.
 Result<HttpAnswer>
 ServiceRelay::Exchange(HttpExchange& aExchange)
 {
@@ -192,22 +192,22 @@
   HttpAnswer answer;
   answer.status = aExchange.Status();
   answer.headers.emplace_back("content-type", aExchange.Header("content-type"));
-  const std::size_t mostBody = this->context.host.settings.limits.requestBody.Value();
-  while (answer.body.size() <= mostBody) {
+  const std::size_t maxBody = this->context.host.settings.limits.requestBody.Value();
+  while (answer.body.size() <= maxBody) {
     if (this->TimeLeft() <= Duration(0)) {
       return Fail(ErrorKind::DeadlineExceeded,
                   "the service did not finish its answer in time",
                   "raise the timeout of the service");
     }
     aExchange.SetReadTimeout(this->TimeLeft());
-    auto piece = aExchange.ReadSome();
-    if (!piece) {
-      return Fail(piece.error());
+    auto chunk = aExchange.ReadSome();
+    if (!chunk) {
+      return Fail(chunk.error());
     }
-    if (piece.value().empty()) {
+    if (chunk.value().empty()) {
       return answer;
     }
-    answer.body += piece.value();
+    answer.body += chunk.value();
   }
   return Fail(ErrorKind::Overloaded, "the answer is too large", "raise limits.request_body");
 }
--- a/src/program/ServiceRelay.h
+++ b/src/program/ServiceRelay.h
@@ -1,4 +1,4 @@
-// Carries one call to a plain service and its answer back to the caller.
+// Relays one call to a service, and the answer to the caller.
 #pragma once
 
 #include "RelayContext.h"
@@ -7,7 +7,7 @@
 
 namespace damasklink {
 
-// A caller's call, as its handler read it.
+// A call to a service, as parsed by its handler.
 struct ServiceCall
 {
   const HttpRequest& request;
@@ -18,29 +18,29 @@
   std::uint64_t priority = 0;
 };
 
-// One call from its claim to its end, on one traffic thread.
+// Handles one call: admission, claim, attempts and answer. Runs on one traffic thread.
 //
 //   ServiceRelay relay(context, call);
 //   return relay.Run();
 //
-// A call that carries an idempotency key is claimed first. A call to a route that is not
-// idempotent is sent once; only a connection that never came to be is followed by another target.
+// A call with an idempotency key is claimed first. A call to a route that is not idempotent is sent
+// once: another target is tried only when no connection could be made.
 class ServiceRelay
 {
 public:
   ServiceRelay(const RelayContext& aContext, ServiceCall aCall);
 
-  // Whether this host still takes new work. Requires it of Run().
+  // Whether this host accepts the call. Run() may only be called if it does.
   bool Accepted() const { return this->running.Begun(); }
 
   HttpResponse Run();
 
 private:
-  // Waits for the call's turn. Returns the response when it must not be sent.
+  // Waits for admission. Returns the response when the call must not be sent.
   std::optional<HttpResponse> Enter();
   std::vector<TargetRecord> Targets() const;
 
-  // Returns the response when the call must not be sent; else the ticket, if need be, is held.
+  // Claims the key, if there is one. Returns the response when the call must not be sent.
   std::optional<HttpResponse> ClaimKey();
   Result<HttpAnswer> SendToSomeTarget();
   bool MayRepeat() const;
@@ -55,9 +55,9 @@
   RunningRequest running;
   RequestMeter meter;
   MonotonicTime deadline;
-  AdmissionSlot place;
+  AdmissionSlot slot;
   DispatchRecord record;
-  // Settles the claim from the record, so it stands after it.
+  // Declared after the record, from which its destructor settles the claim.
   std::unique_ptr<ClaimTicket> ticket;
 };
 
--- a/src/program/ServingSetup.cpp
+++ b/src/program/ServingSetup.cpp
@@ -7,14 +7,14 @@
 namespace damasklink {
 namespace {
 
-// Returns the file that was named, or else the one that the platform's environment names.
+// Returns the named file, or the one of the platform's environment if none was named.
 std::string
 ServingSettingsFile(const std::string& aNamed)
 {
   return aNamed.empty() ? platform::SettingsFileOfEnvironment() : aNamed;
 }
 
-// Logs every fault, and returns nothing when there is one.
+// Returns the settings, or nothing if they have faults; logs every fault.
 std::optional<ServingSettings>
 LoadServingSettings(const std::string& aFile)
 {
@@ -25,7 +25,7 @@
   return parsed.Ok() ? std::optional(std::move(parsed.value)) : std::nullopt;
 }
 
-// Returns where metrics are served; port 0 when none was named.
+// Returns the endpoint for metrics; its port is 0 when none was named.
 Endpoint
 MetricsEndpoint(const std::string& aPort, const ServingSettings& aSettings)
 {
@@ -35,7 +35,7 @@
   }
   auto parsed = ParseEndpoint(Concat(aSettings.host.Value(), ":", aPort));
   if (!parsed) {
-    throw WrongUseError(Concat("--metrics '", aPort, "' is no port"));
+    throw WrongUseError(Concat("--metrics '", aPort, "' is not a port number"));
   }
   return parsed.value();
 }
--- a/src/program/ServingSetup.h
+++ b/src/program/ServingSetup.h
@@ -1,4 +1,4 @@
-// What the commands of a serving deployment share: where the settings come from, how a run ends.
+// Shared by the commands that run a host of a serving deployment: settings, logging, exit code.
 #pragma once
 
 #include <functional>
@@ -9,11 +9,12 @@
 
 namespace damasklink {
 
-// Runs a host until it is told to stop. Fails with what kept it from starting or going on.
+// Runs a host until it is asked to stop. Fails with the error that kept it from starting or
+// running.
 using ServingRun = std::function<Result<void>(const ServingSettings&, SettingsReader)>;
 
-// Reads the settings that "--settings" or the platform names, and "--metrics", and runs the host.
-// From here on logs go to standard output.
+// Reads the settings file named by "--settings" or by the platform's environment, and the option
+// "--metrics", and runs the host. Sends logs to standard output from then on.
 ExitCode
 RunServing(const Arguments& aArguments, const ServingRun& aRun);
 
--- a/src/program/StoresModule.cpp
+++ b/src/program/StoresModule.cpp
@@ -14,14 +14,16 @@
 
 constexpr Duration kBroadcastInterval = milliseconds(100);
 constexpr Duration kLeaseCheckInterval = seconds(1);
-constexpr Duration kLease = seconds(6);
-// The owner stops that much before its lease ends, by its own clock from when it asked.
+constexpr Duration kLeaseLength = seconds(6);
+// The owner stops using its lease this long before the end, counted by its own clock from the time
+// of the request.
 constexpr Duration kLeaseMargin = seconds(1);
-// An owner that was not heard of for so long may be gone; its lease decides.
-constexpr Duration kOwnerSilence = seconds(3);
+// After this time without a notice from the owner its lease is requested; the claims group grants
+// it only when the owner's lease has ended.
+constexpr Duration kOwnerTimeout = seconds(3);
 constexpr Duration kProposalTimeout = seconds(2);
 constexpr Duration kCallTimeout = seconds(2);
-constexpr ByteCount kMostInventory{ 256 * kMebibyte };
+constexpr ByteCount kMaxInventory{ 256 * kMebibyte };
 constexpr int kOk = 200;
 
 HttpCall
@@ -38,8 +40,8 @@
 
 } // namespace
 
-// Sorts messages by their kind.
-struct StoresModule::Receiver
+// Handles a message by its type.
+struct StoresModule::MessageHandler
 {
   StoresModule& module;
   const HostId& from;
@@ -105,10 +107,10 @@
     this->Send(other->second.host, std::move(aQuestion));
     return;
   }
-  StoreAnswer nobody;
-  nobody.number = aQuestion.number;
-  nobody.status = AnswerStatus::NotOwner;
-  this->stores.answers.Fulfil(nobody);
+  StoreAnswer notOwner;
+  notOwner.number = aQuestion.number;
+  notOwner.status = AnswerStatus::NotOwner;
+  this->stores.answers.Fulfil(notOwner);
 }
 
 void
@@ -128,7 +130,7 @@
 void
 StoresModule::HandleCacheEvent(const CacheEvent& aEvent)
 {
-  Receiver{ *this, this->context.settings.host }(aEvent);
+  MessageHandler{ *this, this->context.settings.host }(aEvent);
   this->Broadcast(aEvent);
 }
 
@@ -142,7 +144,7 @@
       .With("error", message.error());
     return;
   }
-  std::visit(Receiver{ *this, aFrom }, message.value());
+  std::visit(MessageHandler{ *this, aFrom }, message.value());
 }
 
 void
@@ -164,8 +166,8 @@
 StoresModule::OnShutdown()
 {
   this->leaving = true;
-  const auto given = std::exchange(this->owned, {});
-  for (const auto& [store, owned] : given) {
+  const auto released = std::exchange(this->owned, {});
+  for (const auto& [store, owned] : released) {
     this->RequestLease(store, Duration(0));
   }
 }
@@ -221,14 +223,14 @@
     }
     const StoreId store(target.id.Value());
     const auto other = this->others.find(store);
-    const bool othersOwn =
-      other != this->others.end() && aNow - other->second.heard < kOwnerSilence;
+    const bool ownedElsewhere =
+      other != this->others.end() && aNow - other->second.receivedAt < kOwnerTimeout;
     const auto mine = this->owned.find(store);
     if (mine != this->owned.end()) {
       this->Broadcast(OwnerNotice{ store, this->context.settings.host, mine->second->Fencing() });
     }
-    if (mine != this->owned.end() || !othersOwn) {
-      this->RequestLease(store, kLease);
+    if (mine != this->owned.end() || !ownedElsewhere) {
+      this->RequestLease(store, kLeaseLength);
     }
   }
 }
@@ -236,23 +238,25 @@
 void
 StoresModule::RequestLease(const StoreId& aStore, Duration aLength)
 {
-  const MonotonicTime asked = this->context.clock.MonotonicNow();
+  const MonotonicTime requestedAt = this->context.clock.MonotonicNow();
   const LeaseCommand command{ aStore, this->context.settings.host, aLength };
   this->stores.groups.Propose(ClaimsGroupId(this->context.settings.zone),
                               StateMachineId::Leases,
                               EncodeLeaseCommand(command),
                               kProposalTimeout,
-                              [this, aStore, asked](Result<std::string> aAnswer) {
+                              [this, aStore, requestedAt](Result<std::string> aAnswer) {
                                 auto lease = aAnswer ? DecodeLease(aAnswer.value())
                                                      : Result<StoreLease>(Fail(aAnswer.error()));
                                 if (lease) {
-                                  this->ApplyLease(aStore, asked, lease.value());
+                                  this->ApplyLease(aStore, requestedAt, lease.value());
                                 }
                               });
 }
 
 void
-StoresModule::ApplyLease(const StoreId& aStore, MonotonicTime aAsked, const StoreLease& aLease)
+StoresModule::ApplyLease(const StoreId& aStore,
+                         MonotonicTime aRequestedAt,
+                         const StoreLease& aLease)
 {
   const auto mine = this->owned.find(aStore);
   if (this->leaving || aLease.owner != this->context.settings.host) {
@@ -268,7 +272,7 @@
   if (mine == this->owned.end() || mine->second->Fencing() != aLease.fencing) {
     this->AcquireStore(*store, aLease);
   }
-  this->owned.at(aStore)->Renew(aAsked + kLease - kLeaseMargin);
+  this->owned.at(aStore)->Renew(aRequestedAt + kLeaseLength - kLeaseMargin);
 }
 
 void
@@ -290,13 +294,13 @@
                              const Endpoint& aEndpoint)
 {
   this->stores.work.Add([this, aStore, aFencing, aEndpoint] {
-    const auto answer = CallHttp(CallTo(aEndpoint, "GET", kBlocksPath), kMostInventory);
+    const auto answer = CallHttp(CallTo(aEndpoint, "GET", kBlocksPath), kMaxInventory);
     std::vector<BlockHeader> inventory;
     if (answer && answer.value().status == kOk) {
       auto parsed = ParseInventory(answer.value().body);
       inventory = parsed ? std::move(parsed.value()) : std::vector<BlockHeader>();
     }
-    // A store that does not tell what it holds is taken as empty: its blocks are lost to reuse.
+    // A store whose inventory can't be read counts as empty, and its blocks are not reused.
     this->context.control.Post([this, aStore, aFencing, blocks = std::move(inventory)] {
       const auto mine = this->owned.find(aStore);
       if (mine != this->owned.end() && mine->second->Fencing() == aFencing &&
@@ -319,7 +323,7 @@
   }
   HttpCall call = CallTo(store->endpoint, "POST", aPath);
   call.body = FormatStoreOrder({ aFencing, std::move(aBlocks) });
-  // An order that is lost leaves blocks behind at the store; the next owner finds them there.
+  // If an order is lost, its blocks stay at the store until the next owner reads the inventory.
   this->stores.work.Add(
     [call = std::move(call)]() mutable { (void)CallHttp(std::move(call), ByteCount(kMebibyte)); });
 }
@@ -335,7 +339,7 @@
       continue;
     }
     this->stores.work.Add([this, call = CallTo(engine->endpoint, "GET", kSnapshotPath)]() mutable {
-      const auto answer = CallHttp(std::move(call), kMostInventory);
+      const auto answer = CallHttp(std::move(call), kMaxInventory);
       if (!answer || answer.value().status != kOk) {
         return;
       }
--- a/src/program/StoresModule.h
+++ b/src/program/StoresModule.h
@@ -1,4 +1,5 @@
-// Stores on the control thread: ownership, questions of all hosts, load and cache news of peers.
+// Prompt stores on the control thread: leases, questions of hosts, and what peers report of load
+// and engine caches.
 #pragma once
 
 #include <map>
@@ -15,31 +16,32 @@
 
 namespace damasklink {
 
-// What the module needs besides the host's context; outlives it.
+// What StoresModule needs besides the HostContext; must outlive it.
 struct StoresContext
 {
   Replicator& groups;
   SynchronizedRouter& routing;
   CostRouter& router;
   StoreAnswers& answers;
-  // For calls to stores and engines.
+  // Runs the HTTP calls to stores and engines.
   WorkThread& work;
 };
 
-// Owns some of the zone's stores, by leases from the zone's claims group, and passes questions to
-// the owners of the others. All calls come on the control thread.
+// Leases stores of this zone from the zone's claims group and answers questions about them.
+// Forwards questions about other stores to their owners. All functions are called on the control
+// thread.
 class StoresModule final : public ControlModule
 {
 public:
   StoresModule(const HostContext& aContext, const StoresContext& aStores);
 
-  // Sends a question to its store's owner. The answer comes through StoreAnswers, or not at all.
+  // Sends a question to the owner of its store. The answer arrives in StoreAnswers; it may be lost.
   void Ask(StoreQuestion aQuestion);
 
-  // Tells the owner what came of a grant.
+  // Reports to the owner how the transfer of a grant ended.
   void ReportOutcome(const StoreOutcome& aOutcome);
 
-  // Takes an engine's cache event that came to this host, and passes it on to all peers.
+  // Handles a cache event that an engine sent to this host, and forwards it to all peers.
   void HandleCacheEvent(const CacheEvent& aEvent);
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage) override;
@@ -47,22 +49,25 @@
   void OnShutdown() override;
 
 private:
-  // Who another host says owns a store.
+  // The owner of a store, by the last notice of a peer.
   struct KnownOwner
   {
     HostId host;
     FencingNumber fencing;
-    MonotonicTime heard;
+    MonotonicTime receivedAt;
   };
 
-  struct Receiver;
+  struct MessageHandler;
 
   void ApplyOwnerNotice(const OwnerNotice& aNotice);
   void BroadcastSends();
+  // Expires grants and sends the orders of the owned stores.
   void MaintainOwnedStores(MonotonicTime aNow);
+  // Renews leases, and requests those of stores without a known owner.
   void MaintainLeases(MonotonicTime aNow);
+  // A length of 0 gives the lease up.
   void RequestLease(const StoreId& aStore, Duration aLength);
-  void ApplyLease(const StoreId& aStore, MonotonicTime aAsked, const StoreLease& aLease);
+  void ApplyLease(const StoreId& aStore, MonotonicTime aRequestedAt, const StoreLease& aLease);
   void AcquireStore(const TargetRecord& aStore, const StoreLease& aLease);
   void FetchInventory(const StoreId& aStore, FencingNumber aFencing, const Endpoint& aEndpoint);
   void SendOrders(const StoreId& aStore,
--- a/src/program/SynchronizedRouter.h
+++ b/src/program/SynchronizedRouter.h
@@ -1,4 +1,4 @@
-// Shares one Router between the traffic threads.
+// A Router that is shared between threads.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 namespace damasklink {
 
-// Holds the lock around a Router. Safe from any thread.
+// Serializes the calls to a Router with a lock. Thread-safe.
 class SynchronizedRouter
 {
 public:
@@ -20,7 +20,7 @@
   {
   }
 
-  // Chooses a target and counts the request as sent there.
+  // Chooses a target and counts the request as sent to it.
   Result<RouteDecision> ChooseAndSend(const RouteRequest& aRequest,
                                       const std::vector<TargetRecord>& aTargets)
   {
@@ -47,7 +47,7 @@
     this->router->OnDone(aRequest, aDecision, aWhole);
   }
 
-  // Runs an action that uses the router besides, under the lock.
+  // Runs an action under the lock, for callers that use the router directly.
   void Run(const std::function<void()>& aAction)
   {
     absl::MutexLock lock(&this->mutex);
--- a/src/program/TargetsModule.cpp
+++ b/src/program/TargetsModule.cpp
@@ -7,7 +7,8 @@
 namespace damasklink {
 namespace {
 
-// Without news, only silence can change what is usable; a look that often is soon enough.
+// How often usable targets are checked between messages: without a message, only a target that fell
+// silent can change them.
 constexpr Duration kPublishInterval = std::chrono::milliseconds(100);
 
 std::string
@@ -43,14 +44,14 @@
   : clock(aClock)
   , peers(aPeers)
   , publish(std::move(aPublish))
-  , spread(aClock, aSettings)
+  , broadcaster(aClock, aSettings)
 {
 }
 
 void
 TargetsModule::Announce(const TargetRecord& aRecord)
 {
-  this->spread.OnAnnouncement(aRecord);
+  this->broadcaster.OnAnnouncement(aRecord);
   this->SendOutgoing();
   this->PublishChanges();
 }
@@ -77,7 +78,7 @@
       .With("error", message.error());
     return;
   }
-  this->spread.OnMessage(aFrom, message.value());
+  this->broadcaster.OnMessage(aFrom, message.value());
   this->SendOutgoing();
   this->PublishChanges();
 }
@@ -85,7 +86,7 @@
 void
 TargetsModule::OnTick(MonotonicTime aNow)
 {
-  this->spread.OnTick();
+  this->broadcaster.OnTick();
   this->SendOutgoing();
   if (aNow >= this->nextPublish) {
     this->PublishChanges();
@@ -95,7 +96,7 @@
 void
 TargetsModule::SendOutgoing()
 {
-  for (OutgoingTargetsMessage& outgoing : this->spread.TakeOutgoing()) {
+  for (OutgoingTargetsMessage& outgoing : this->broadcaster.TakeOutgoing()) {
     this->peers.Send(
       outgoing.to,
       PeerMessage{ Channel::Targets, GroupId(), EncodeTargetsMessage(outgoing.message) });
--- a/src/program/TargetsModule.h
+++ b/src/program/TargetsModule.h
@@ -1,4 +1,5 @@
-// Targets on the control thread: merges announcements, passes them on, publishes the usable ones.
+// Targets on the control thread: merges announcements, forwards them to peers, publishes the usable
+// targets.
 #pragma once
 
 #include <functional>
@@ -9,10 +10,11 @@
 
 namespace damasklink {
 
-// Owns what this host knows of targets. All calls come on the control thread.
+// Owns the registry of targets of this host. All functions are called on the control thread.
 class TargetsModule final : public ControlModule
 {
 public:
+  // Called with the usable targets whenever they have changed.
   using Publish = std::function<void(std::vector<TargetRecord>)>;
 
   TargetsModule(const Clock& aClock,
@@ -20,16 +22,16 @@
                 PeerSender& aPeers,
                 Publish aPublish);
 
-  // Takes an announcement that a target made to this host.
+  // Handles an announcement that a target sent to this host.
   void Announce(const TargetRecord& aRecord);
 
-  // Adds the targets that this host knows.
+  // Adds the targets in the registry.
   void FillStatus(HostStatus& aStatus) const;
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage) override;
   void OnTick(MonotonicTime aNow) override;
 
-  const TargetRegistry& Registry() const { return this->spread.Registry(); }
+  const TargetRegistry& Registry() const { return this->broadcaster.Registry(); }
 
 private:
   void SendOutgoing();
@@ -38,7 +40,7 @@
   const Clock& clock;
   PeerSender& peers;
   Publish publish;
-  TargetBroadcaster spread;
+  TargetBroadcaster broadcaster;
   std::vector<TargetRecord> published;
   MonotonicTime nextPublish;
 };
--- a/test/program/AdmissionControllerTest.cpp
+++ b/test/program/AdmissionControllerTest.cpp
@@ -9,7 +9,7 @@
 namespace damasklink {
 namespace {
 
-// A desk before one target that runs one request at a time.
+// A controller with one target that runs one request at a time.
 class AdmissionControllerTest : public TrafficFixture
 {
 protected:
@@ -25,16 +25,16 @@
   ResolvedPolicy policy;
   AdmissionCall call{ policy, PoolId("model/m") };
   TrafficState state;
-  AdmissionController desk{ context, state };
+  AdmissionController controller{ context, state };
 };
 
 TEST_F(AdmissionControllerTest, AdmitsWaitingRequestWhenRunningOneEnds)
 {
-  auto first = std::make_unique<AdmissionSlot>(this->desk);
+  auto first = std::make_unique<AdmissionSlot>(this->controller);
   ASSERT_FALSE(first->Enter(this->call));
   absl::Notification entered;
   std::thread waiting([&] {
-    AdmissionSlot second(this->desk);
+    AdmissionSlot second(this->controller);
     EXPECT_FALSE(second.Enter(this->call));
     entered.Notify();
   });
@@ -46,10 +46,10 @@
 
 TEST_F(AdmissionControllerTest, RefusesWaitingRequestWhenHostStops)
 {
-  AdmissionSlot first(this->desk);
+  AdmissionSlot first(this->controller);
   ASSERT_FALSE(first.Enter(this->call));
   this->state.StopNow();
-  AdmissionSlot second(this->desk);
+  AdmissionSlot second(this->controller);
   const auto refusal = second.Enter(this->call);
   ASSERT_TRUE(refusal);
   EXPECT_EQ(refusal->outcome, RunOutcome::NotRun);
@@ -58,10 +58,10 @@
 
 TEST_F(AdmissionControllerTest, RefusesRequestWhoseDeadlinePassesInQueue)
 {
-  AdmissionSlot first(this->desk);
+  AdmissionSlot first(this->controller);
   ASSERT_FALSE(first.Enter(this->call));
   this->call.deadline = this->clock.MonotonicNow() + std::chrono::milliseconds(20);
-  AdmissionSlot second(this->desk);
+  AdmissionSlot second(this->controller);
   EXPECT_TRUE(second.Enter(this->call));
 }
 
