--- a/src/program/AgreementModule.cpp
+++ b/src/program/AgreementModule.cpp
@@ -159,7 +159,7 @@
   }
   for (const Registration& added : this->registrations) {
     if (added.group == aGroup) {
-      held.replica->Machines().Add(added.part, *added.machine);
+      held.replica->Machines().Add(added.machineId, *added.machine);
     }
   }
 }
@@ -211,26 +211,26 @@
 
 void
 AgreementModule::AddMachine(const GroupId& aGroup,
-                            StateMachineId aPart,
+                            StateMachineId aMachineId,
                             ReplicatedStateMachine& aMachine)
 {
-  this->registrations.push_back(Registration{ aGroup, aPart, &aMachine });
+  this->registrations.push_back(Registration{ aGroup, aMachineId, &aMachine });
   const auto found = this->groups.find(aGroup);
   if (found != this->groups.end()) {
-    found->second.replica->Machines().Add(aPart, aMachine);
+    found->second.replica->Machines().Add(aMachineId, aMachine);
   }
 }
 
 void
 AgreementModule::Propose(const GroupId& aGroup,
-                         StateMachineId aPart,
+                         StateMachineId aMachineId,
                          std::string aCommand,
                          Duration aTimeout,
                          ProposalDone aDone)
 {
   this->forwarder.Start(aGroup,
                         ListedVoters(this->options.hosts, aGroup),
-                        aPart,
+                        aMachineId,
                         std::move(aCommand),
                         aTimeout,
                         std::move(aDone));
--- a/src/program/AgreementModule.h
+++ b/src/program/AgreementModule.h
@@ -60,10 +60,10 @@
   Result<void> Open();
 
   void AddMachine(const GroupId& aGroup,
-                  StateMachineId aPart,
+                  StateMachineId aMachineId,
                   ReplicatedStateMachine& aMachine) override;
   void Propose(const GroupId& aGroup,
-               StateMachineId aPart,
+               StateMachineId aMachineId,
                std::string aCommand,
                Duration aTimeout,
                ProposalDone aDone) override;
@@ -104,7 +104,7 @@
   struct Registration
   {
     GroupId group;
-    StateMachineId part;
+    StateMachineId machineId;
     ReplicatedStateMachine* machine;
   };
 
--- a/src/program/CompletionRelay.h
+++ b/src/program/CompletionRelay.h
@@ -27,7 +27,7 @@
   CompletionRelay& operator=(const CompletionRelay&) = delete;
 
   // Whether this host accepts the request. No other function may be called if it does not.
-  bool Accepted() const { return this->running.Begun(); }
+  bool Accepted() const { return this->running.Accepted(); }
 
   // Waits for admission. Returns the refusal when the request must not run.
   std::optional<CallerError> Enter();
--- a/src/program/HostContext.h
+++ b/src/program/HostContext.h
@@ -1,4 +1,4 @@
-// What the parts of one host process share.
+// What the subsystems of a host process share.
 #pragma once
 
 #include <atomic>
@@ -13,7 +13,7 @@
 
 namespace damasklink {
 
-// Where a host is in its life.
+// Life cycle of a host. Starting: not ready for requests yet. Leaving: refuses new requests.
 enum class HostPhase
 {
   Starting,
@@ -21,7 +21,7 @@
   Leaving,
 };
 
-// Changes the picture that traffic threads read. On the control thread only.
+// Changes the view that traffic threads read. To be used on the control thread only.
 class ViewPublisher
 {
 public:
@@ -30,14 +30,14 @@
   {
   }
 
-  // Lets aChange edit the control thread's own copy, then publishes it.
+  // Applies aChange to the control thread's copy of the view, and publishes the result.
   void Change(const std::function<void(TrafficView&)>& aChange)
   {
     aChange(this->view);
     this->holder.Publish(this->view);
   }
 
-  // Returns the control thread's own copy.
+  // Returns the control thread's copy.
   const TrafficView& Current() const { return this->view; }
 
 private:
@@ -45,7 +45,7 @@
   TrafficView view;
 };
 
-// Handed to each part by reference; outlives them all.
+// Passed by reference to each subsystem and module; must outlive them.
 struct HostContext
 {
   const HostSettings& settings;
@@ -58,7 +58,7 @@
   std::atomic<HostPhase>& phase;
 };
 
-// The servers of one host, for adding routes.
+// The HTTP servers of a host, to which the subsystems add their routes.
 struct HostServers
 {
   HttpServer& callers;
--- a/src/program/Main.cpp
+++ b/src/program/Main.cpp
@@ -1,4 +1,4 @@
-// The program that ships: one binary with a subcommand for each task.
+// The damasklink program: one binary with a subcommand for each task.
 #include "Commands.h"
 #include "damasklink/transport/Log.h"
 
--- a/src/program/MetricsServer.h
+++ b/src/program/MetricsServer.h
@@ -1,4 +1,4 @@
-// Serves the metrics of a process of a serving deployment, as text, on the event loop.
+// HTTP server for the metrics of a process of a serving deployment.
 #pragma once
 
 #include <memory>
@@ -8,10 +8,14 @@
 
 namespace damasklink {
 
+// Serves "/metrics" in the Prometheus text format. Runs on the event loop; not thread-safe.
+//
+//   MetricsServer metrics(loop, registry, host);
+//   auto listening = metrics.Listen(endpoint);
 class MetricsServer
 {
 public:
-  // Requires that all outlive the page.
+  // Requires that all arguments outlive the server.
   MetricsServer(asio::io_context& aLoop, const MetricsRegistry& aRegistry, const HostId& aHost)
     : listener(aLoop)
     , registry(aRegistry)
@@ -19,7 +23,7 @@
   {
   }
 
-  // Serves "/metrics"; port 0 serves nothing. Fails with Unavailable when the address is taken.
+  // Starts to serve; does nothing for port 0. Fails with Unavailable when the address is in use.
   Result<void> Listen(const Endpoint& aEndpoint);
 
 private:
--- a/src/program/Responses.cpp
+++ b/src/program/Responses.cpp
@@ -80,7 +80,7 @@
 {
   const Digest presented = DigestOf(BearerToken(aRequest));
   bool known = false;
-  // Every entry is compared, so that the time does not tell which one matched.
+  // All entries are compared, so that the duration does not reveal which one matched.
   for (const Digest& allowed : aAllowed) {
     const bool equal = EqualInConstantTime(presented, allowed);
     known = known || equal;
--- a/src/program/Responses.h
+++ b/src/program/Responses.h
@@ -1,4 +1,4 @@
-// Responses and credentials that the handlers of all addresses share.
+// Responses and checks of credentials, shared by the handlers of all servers of a host.
 #pragma once
 
 #include "damasklink/coordination/ClaimRegistry.h"
@@ -11,19 +11,20 @@
 HttpResponse
 ErrorResponse(const CallerError& aError);
 
-// Returns the response for an error of a request that no target has seen.
+// Returns the response to a request that was refused before it was sent to a target.
 HttpResponse
 RefusalResponse(Error aError);
 
-// Returns the answer of an earlier call under the same idempotency key, marked as such.
+// Returns the answer of an earlier call with the same idempotency key, marked as a replay.
 HttpResponse
 ReplayResponse(const KeptAnswer& aAnswer);
 
-// Returns the digest of all that makes a call what it is: method, path, query and body.
+// Returns the digest of method, path, query and body. Calls with the same idempotency key must have
+// the same digest.
 Digest
 CallDigest(const HttpRequest& aRequest);
 
-// Returns plain text with status 200.
+// Returns a plain-text response with status 200.
 HttpResponse
 TextResponse(std::string aText);
 
@@ -31,11 +32,12 @@
 std::string
 BearerToken(const HttpRequest& aRequest);
 
-// Checks the bearer token against digests, in constant time. Fails with Unauthenticated.
+// Checks that the digest of the bearer token is one of aAllowed, in constant time. Fails with
+// Unauthenticated.
 Result<void>
 CheckKey(const HttpRequest& aRequest, const std::vector<Digest>& aAllowed);
 
-// Returns a handler that runs aHandler only for a bearer token that CheckKey() allows. The digests
+// Returns a handler that runs aHandler only for a bearer token that CheckKey() accepts. aAllowed
 // must outlive it.
 HttpHandler
 RequireKey(const std::vector<Digest>& aAllowed, HttpHandler aHandler);
--- a/src/program/ServeCommand.cpp
+++ b/src/program/ServeCommand.cpp
@@ -10,7 +10,8 @@
 namespace damasklink {
 namespace {
 
-// Blocks the signals in this and all later threads, so that one thread can wait for them.
+// Blocks SIGTERM and SIGINT in this thread and those it starts, so that one thread can wait for
+// them.
 sigset_t
 BlockStopSignals()
 {
@@ -23,18 +24,18 @@
   return signals;
 }
 
-// Lets running requests end; a second signal ends them with explicit errors.
+// Stops the host and lets running requests end. A second signal ends them with explicit errors.
 void
 StopGracefully(HostProcess& aHost, const sigset_t& aSignals)
 {
-  constexpr timespec kStep{ 0, 100'000'000 };
+  constexpr timespec kSignalCheckInterval{ 0, 100'000'000 };
   std::atomic<bool> stopped{ false };
   std::thread stopping([&] {
     aHost.Stop();
     stopped.store(true);
   });
   while (!stopped.load()) {
-    if (sigtimedwait(&aSignals, nullptr, &kStep) > 0) {
+    if (sigtimedwait(&aSignals, nullptr, &kSignalCheckInterval) > 0) {
       LogEvent(LogLevel::Warning, "stop_hurried").With("reason", "second signal");
       aHost.Hurry();
     }
--- a/src/program/ServiceRelay.h
+++ b/src/program/ServiceRelay.h
@@ -31,7 +31,7 @@
   ServiceRelay(const RelayContext& aContext, ServiceCall aCall);
 
   // Whether this host accepts the call. Run() may only be called if it does.
-  bool Accepted() const { return this->running.Begun(); }
+  bool Accepted() const { return this->running.Accepted(); }
 
   HttpResponse Run();
 
--- a/src/program/TrafficState.cpp
+++ b/src/program/TrafficState.cpp
@@ -52,23 +52,23 @@
 }
 
 bool
-TrafficState::WaitUntilIdle(Duration aPatience)
+TrafficState::WaitUntilIdle(Duration aTimeout)
 {
   absl::MutexLock lock(&this->mutex);
   const auto over = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) {
     return this->running == 0 || this->stopNow;
   };
-  this->mutex.AwaitWithTimeout(absl::Condition(&over), absl::FromChrono(aPatience));
+  this->mutex.AwaitWithTimeout(absl::Condition(&over), absl::FromChrono(aTimeout));
   return this->running == 0;
 }
 
 bool
-TrafficState::WaitUntilEnded(Duration aPatience)
+TrafficState::WaitUntilEnded(Duration aTimeout)
 {
   absl::MutexLock lock(&this->mutex);
   const auto ended = [this]()
                        ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) { return this->running == 0; };
-  return this->mutex.AwaitWithTimeout(absl::Condition(&ended), absl::FromChrono(aPatience));
+  return this->mutex.AwaitWithTimeout(absl::Condition(&ended), absl::FromChrono(aTimeout));
 }
 
 } // namespace damasklink
--- a/src/program/TrafficState.h
+++ b/src/program/TrafficState.h
@@ -1,4 +1,4 @@
-// What the traffic threads of one host share about running requests.
+// State of the running requests of one host, shared by its traffic threads.
 #pragma once
 
 #include <absl/base/thread_annotations.h>
@@ -9,30 +9,31 @@
 
 namespace damasklink {
 
-// Counts running requests, holds the retry budget and tells when all must end. Safe from any
-// thread.
+// Counts running requests, holds the retry budget and the flags for draining and stopping.
+// Thread-safe. Requests are counted through RunningRequest.
 class TrafficState
 {
 public:
-  // Takes a new request in. Returns false, and does not count it, once Close() was called.
+  // Counts a new request as running. Returns false, and does not count it, after Close().
   bool Begin();
   void End();
 
-  // Returns whether a retry is within the budget, and pays for it.
+  // Takes a retry from the budget. Returns false when the budget is exhausted.
   bool TryTakeRetry();
 
-  // Lets no new request begin.
+  // Refuses new requests from now on.
   void Close();
 
-  // Tells running requests to end with explicit errors now.
+  // Makes running requests end with explicit errors; they check MustStop().
   void StopNow();
   bool MustStop() const;
 
-  // Waits until nothing runs or StopNow() is called, at most aPatience. Returns whether nothing
+  // Waits until no request runs or StopNow() is called, for at most aTimeout. Returns whether no
+  // request runs.
+  bool WaitUntilIdle(Duration aTimeout);
+  // Waits until no request runs, for at most aTimeout, even after StopNow(). Returns whether none
   // runs.
-  bool WaitUntilIdle(Duration aPatience);
-  // Waits until nothing runs, at most aPatience, whatever was called.
-  bool WaitUntilEnded(Duration aPatience);
+  bool WaitUntilEnded(Duration aTimeout);
 
 private:
   mutable absl::Mutex mutex;
@@ -42,30 +43,30 @@
   bool stopNow ABSL_GUARDED_BY(mutex) = false;
 };
 
-// One request's place among the running ones.
+// Counts one request as running for as long as it lives.
 class RunningRequest
 {
 public:
   explicit RunningRequest(TrafficState& aState)
     : state(aState)
-    , begun(aState.Begin())
+    , accepted(aState.Begin())
   {
   }
   ~RunningRequest()
   {
-    if (this->begun) {
+    if (this->accepted) {
       this->state.End();
     }
   }
   RunningRequest(const RunningRequest&) = delete;
   RunningRequest& operator=(const RunningRequest&) = delete;
 
-  // Whether the host still takes new work.
-  bool Begun() const { return this->begun; }
+  // Whether the host accepted the request.
+  bool Accepted() const { return this->accepted; }
 
 private:
   TrafficState& state;
-  bool begun;
+  bool accepted;
 };
 
 } // namespace damasklink
--- a/src/program/TrafficSubsystem.cpp
+++ b/src/program/TrafficSubsystem.cpp
@@ -7,11 +7,11 @@
 namespace damasklink {
 namespace {
 
-// For error events to reach their callers once all must end.
-constexpr Duration kEndPatience = std::chrono::seconds(3);
-// For the ends of claims to be committed before the process goes.
-constexpr Duration kSettlePatience = std::chrono::seconds(3);
-constexpr Duration kSettleStep = std::chrono::milliseconds(20);
+// How long stopped requests may take to send their error events.
+constexpr Duration kStopTimeout = std::chrono::seconds(3);
+// How long the settlements of claims may take to be committed before the process exits.
+constexpr Duration kSettleTimeout = std::chrono::seconds(3);
+constexpr Duration kSettleCheckInterval = std::chrono::milliseconds(20);
 
 } // namespace
 
@@ -47,11 +47,11 @@
   if (!this->state.WaitUntilIdle(this->context.settings.limits.shutdown)) {
     LogEvent(LogLevel::Warning, "drain_cut_short").With("host", this->context.settings.host);
     this->state.StopNow();
-    this->state.WaitUntilEnded(kEndPatience);
+    this->state.WaitUntilEnded(kStopTimeout);
   }
-  const MonotonicTime until = this->context.clock.MonotonicNow() + kSettlePatience;
-  while (this->claims.PendingSettlements() > 0 && this->context.clock.MonotonicNow() < until) {
-    std::this_thread::sleep_for(kSettleStep);
+  const MonotonicTime deadline = this->context.clock.MonotonicNow() + kSettleTimeout;
+  while (this->claims.PendingSettlements() > 0 && this->context.clock.MonotonicNow() < deadline) {
+    std::this_thread::sleep_for(kSettleCheckInterval);
   }
 }
 
--- a/src/program/TrafficSubsystem.h
+++ b/src/program/TrafficSubsystem.h
@@ -1,4 +1,4 @@
-// The life of requests on one host: callers, claims, admission, relay and shutdown.
+// Handling of requests on one host: callers' API, claims, admission, relays and draining.
 #pragma once
 
 #include "CallerService.h"
@@ -9,21 +9,23 @@
 
 namespace damasklink {
 
+// Owns the modules that handle the requests of callers. Start() and AddRoutes() are called once,
+// before the control loop and the servers start.
 class TrafficSubsystem
 {
 public:
   TrafficSubsystem(const HostContext& aContext, Replicator& aGroups, ReuseSubsystem& aReuse);
 
-  // Adds its modules to the control loop. Requires to be called before the loop starts.
+  // Adds the modules to the control loop. To be called before the loop starts.
   Result<void> Start();
 
   void AddRoutes(const HostServers& aServers);
 
-  // Refuses new work as "not run" and returns once running requests have ended, or the limit of
-  // the settings is over, or Hurry() was called, and the rest was ended with explicit errors.
+  // Refuses new requests as "not run" and waits for running ones to end. After limits.shutdown of
+  // the settings, or after Hurry(), the remaining ones are ended with explicit errors.
   void Drain();
 
-  // Ends a running Drain(), or the next one, at once. Safe from any thread.
+  // Makes a running Drain(), or the next one, stop waiting. Thread-safe.
   void Hurry() { this->state.StopNow(); }
 
 private:
--- a/src/program/TrafficView.cpp
+++ b/src/program/TrafficView.cpp
@@ -17,7 +17,7 @@
   }
   if (aView.stale && policy->whenStale == WhenStale::Refuse) {
     return Fail(ErrorKind::Unavailable,
-                "this host is cut off and its configuration may be old",
+                "this host is isolated and its configuration may be outdated",
                 "try again shortly; another zone may serve you");
   }
   return policy;
--- a/src/program/TrafficView.h
+++ b/src/program/TrafficView.h
@@ -1,4 +1,4 @@
-// The immutable picture of the control state that traffic threads read.
+// Immutable snapshot of the control state for the traffic threads.
 #pragma once
 
 #include <memory>
@@ -12,23 +12,23 @@
 
 namespace damasklink {
 
-// One picture. Shared and never changed once published.
+// One snapshot. Shared between threads and never changed after it is published.
 struct TrafficView
 {
   Revision revision;
-  // Whether the revision may be old because this host is cut off.
+  // Whether the revision may be outdated because this host is isolated.
   bool stale = false;
   std::shared_ptr<const CallerDirectory> callers = std::make_shared<CallerDirectory>();
   std::vector<TargetRecord> targets;
 };
 
-// Returns what the holder of the key may do, by this picture. Fails with Unauthenticated for an
-// unknown key, and with Unavailable where no tree is in force yet or the holder's subtree refuses
-// to be served by a revision that may be old.
+// Returns the policy of the caller with this key. Fails with Unauthenticated for an unknown key,
+// and with Unavailable when no tree is in force yet, or when the view is stale and the caller's
+// subtree refuses to be served then.
 Result<const ResolvedPolicy*>
 FindCaller(const TrafficView& aView, const Digest& aKey);
 
-// Holds the newest picture. The control thread publishes, any thread reads.
+// Holds the newest view. The control thread publishes, any thread reads.
 class TrafficViewHolder
 {
 public:
--- a/test/program/AgreementModuleTest.cpp
+++ b/test/program/AgreementModuleTest.cpp
@@ -19,7 +19,7 @@
 
 const GroupId kClaims = ClaimsGroupId(ZoneId("north"));
 
-// Holds what hosts send each other until the test delivers it.
+// Queues the messages of a host until the test delivers them.
 class QueueSender final : public PeerSender
 {
 public:
@@ -31,7 +31,8 @@
   std::vector<std::pair<HostId, PeerMessage>> queue;
 };
 
-// A host without its threads but for the one that writes.
+// An AgreementModule with its context. Of the threads of a host only the log writer runs; the test
+// calls OnTick().
 struct TestHost
 {
   TestHost(const HostSettings& aSettings, const Clock& aClock)
@@ -58,7 +59,8 @@
   AgreementModule module;
 };
 
-// Zone north has host a with a disk and host d without; b and c have disks in other zones.
+// Zone north has host a with a disk and host d without one. Hosts b and c have disks in other
+// zones.
 class AgreementModuleTest : public ::testing::Test
 {
 protected:
@@ -95,7 +97,8 @@
     return opened;
   }
 
-  // Lets all hosts work for some time of the clock, their disks as fast as they need to be.
+  // Advances the clock by aTime in ticks. In each tick all hosts run, their writes are completed
+  // and their messages delivered.
   void Run(Duration aTime)
   {
     for (Duration passed{}; passed < aTime; passed += kControlTick) {
@@ -115,17 +118,21 @@
     }
   }
 
-  // Returns the answer, or the name of the error.
-  std::string Propose(const std::string& aHost, const GroupId& aGroup, StateMachineId aPart)
+  // Proposes a command and returns the answer, or the name of the error.
+  std::string Propose(const std::string& aHost, const GroupId& aGroup, StateMachineId aMachineId)
   {
-    std::string ended;
+    std::string outcome;
     this->hosts.at(HostId(aHost))
-      ->module.Propose(
-        aGroup, aPart, "command", std::chrono::seconds(4), [&](const Result<std::string>& aAnswer) {
-          ended = aAnswer ? aAnswer.value() : std::string(ErrorKindName(aAnswer.error().kind));
-        });
+      ->module.Propose(aGroup,
+                       aMachineId,
+                       "command",
+                       std::chrono::seconds(4),
+                       [&](const Result<std::string>& aAnswer) {
+                         outcome = aAnswer ? aAnswer.value()
+                                           : std::string(ErrorKindName(aAnswer.error().kind));
+                       });
     this->Run(std::chrono::seconds(5));
-    return ended;
+    return outcome;
   }
 
   TestHost& Host(const std::string& aHost) { return *this->hosts.at(HostId(aHost)); }
@@ -199,7 +206,8 @@
   EXPECT_EQ(this->Propose("a", ControlGroupId(), StateMachineId::Configuration), "command");
 }
 
-// Three hosts with a disk each that a test can fill; a replica waits for its disk.
+// Three hosts, each with a disk that a test can fill. A replica whose disk is full is reopened
+// until the disk has space.
 class FullDiskTest : public ::testing::Test
 {
 protected:
@@ -263,7 +271,7 @@
     }
   }
 
-  // Puts a document and returns whether that was answered.
+  // Proposes a document and returns whether it was acknowledged.
   bool Put(const std::string& aHost, std::uint64_t aVersion)
   {
     bool acknowledged = false;
@@ -280,7 +288,7 @@
 
   FillableHost& Host(const std::string& aName) { return *this->hosts.at(HostId(aName)); }
 
-  bool Works(const std::string& aName)
+  bool IsRunning(const std::string& aName)
   {
     return !this->Host(aName).module.ReplicaOf(ControlGroupId())->Failure();
   }
@@ -295,15 +303,16 @@
   ASSERT_TRUE(this->Put("a", 1));
   this->Host("b").full = true;
   EXPECT_TRUE(this->Put("a", 2));
-  EXPECT_FALSE(this->Works("b"));
+  EXPECT_FALSE(this->IsRunning("b"));
   EXPECT_FALSE(this->Host("b").module.FailureOf(ControlGroupId()));
   this->Host("b").full = false;
   this->Run(std::chrono::seconds(5));
-  EXPECT_TRUE(this->Works("b"));
+  EXPECT_TRUE(this->IsRunning("b"));
   EXPECT_EQ(this->Host("b").machine.Version(), Revision(2));
 }
 
-// With the disks of two of three full nothing may be acknowledged, and nothing that was is lost.
+// While two of three disks are full, nothing may be acknowledged, and no acknowledged document may
+// be lost.
 TEST_F(FullDiskTest, AcknowledgesNothingWithoutMajorityOfDisks)
 {
   ASSERT_TRUE(this->Put("a", 1));
@@ -318,7 +327,7 @@
   }
 }
 
-// All disks are full at once, several times: what was acknowledged before stays.
+// All disks are full at once, several times. Documents acknowledged before must remain.
 TEST_F(FullDiskTest, KeepsAcknowledgedDocumentsWhenAllDisksFill)
 {
   for (std::uint64_t version = 1; version < 8; version += 2) {
--- a/test/program/CompletionRelayTest.cpp
+++ b/test/program/CompletionRelayTest.cpp
@@ -8,22 +8,22 @@
 namespace {
 
 constexpr std::uint64_t kLength = 10;
-const std::string kWhole = "0,1,2,3,4,5,6,7,8,9,";
+const std::string kWholeText = "0,1,2,3,4,5,6,7,8,9,";
 
-// What an engine does with one call.
+// How a scripted engine answers one call.
 struct Behaviour
 {
-  // Tokens after which the connection closes; all by default.
+  // Tokens after which the connection is closed; all of them by default.
   std::uint64_t tokens = kLength;
   bool endMark = true;
-  // Sends each frame twice, and one of another attempt before it.
+  // Sends each frame twice, and before it a frame of another attempt.
   bool noisy = false;
-  // Leaves the token at this offset out.
+  // Offset of a token that is left out.
   std::uint64_t skipped = kLength;
   bool refuses = false;
 };
 
-// An engine that answers its calls as told, the last behaviour for all that follow.
+// An engine that answers its calls by a script. The last behaviour is used for all further calls.
 class ScriptedEngine
 {
 public:
@@ -38,10 +38,10 @@
     return this->target.Record(aId, TargetKind::Engine);
   }
 
-  // Set before the first call; runs at each.
+  // Called at each call, if set. To be set before the first call.
   std::function<void()> onCall;
 
-  // The prompts that came, in order.
+  // Returns the received prompts in order.
   std::vector<EnginePrompt> Prompts() const
   {
     absl::MutexLock lock(&this->mutex);
@@ -77,10 +77,10 @@
       frame.tokens = 1;
       frame.text = std::to_string(offset) + ",";
       if (aBehaviour.noisy) {
-        AnswerFrame crossed = frame;
-        crossed.attempt = AttemptId("another");
-        crossed.text = "WRONG";
-        Send(crossed, aWriter);
+        AnswerFrame foreign = frame;
+        foreign.attempt = AttemptId("another");
+        foreign.text = "WRONG";
+        Send(foreign, aWriter);
         Send(frame, aWriter);
       }
       if (offset != aBehaviour.skipped) {
@@ -118,7 +118,7 @@
     return this->Post("/v1/completions", R"({"model":"plates-7b","prompt":"x"})", aKey);
   }
 
-  // Returns what came of a streamed answer, whether it ended properly or not.
+  // Returns the events of a streamed answer up to its end or failure.
   std::string PromptStreamed()
   {
     auto exchange = HttpExchange::Connect(
@@ -126,15 +126,16 @@
     EXPECT_TRUE(exchange.value()->Send());
     EXPECT_TRUE(exchange.value()->ReadHeader());
     std::string events;
-    auto piece = exchange.value()->ReadSome();
-    while (piece && !piece.value().empty()) {
-      events += piece.value();
-      piece = exchange.value()->ReadSome();
+    auto chunk = exchange.value()->ReadSome();
+    while (chunk && !chunk.value().empty()) {
+      events += chunk.value();
+      chunk = exchange.value()->ReadSome();
     }
     return events;
   }
 
-  // Lets the first engine have the first call; the other appears with it.
+  // Starts the host with one engine. The other one appears during the first call, so that the first
+  // call goes to aFirst.
   void StartWith(ScriptedEngine& aFirst, const TargetRecord& aOther)
   {
     const TargetRecord first = aFirst.Record("e-1");
@@ -145,7 +146,7 @@
 
   static bool ContainsWholeAnswer(const HttpAnswer& aAnswer)
   {
-    return aAnswer.body.find("\"text\":\"" + kWhole + "\"") != std::string::npos;
+    return aAnswer.body.find("\"text\":\"" + kWholeText + "\"") != std::string::npos;
   }
 };
 
@@ -170,22 +171,22 @@
 
 TEST_F(CompletionRelayTest, ContinuesOnAnotherEngineAfterDeliveredText)
 {
-  ScriptedEngine dying({ Behaviour{ 2 }, Behaviour{ 0 } });
+  ScriptedEngine failing({ Behaviour{ 2 }, Behaviour{ 0 } });
   const ScriptedEngine other({ Behaviour() });
-  this->StartWith(dying, other.Record("e-2"));
+  this->StartWith(failing, other.Record("e-2"));
   EXPECT_TRUE(ContainsWholeAnswer(this->Prompt()));
   ASSERT_EQ(other.Prompts().size(), 1U);
   EXPECT_EQ(other.Prompts()[0].delivered, "0,1,");
-  EXPECT_NE(other.Prompts()[0].attempt, dying.Prompts()[0].attempt);
+  EXPECT_NE(other.Prompts()[0].attempt, failing.Prompts()[0].attempt);
 }
 
 TEST_F(CompletionRelayTest, DoesNotContinueOnAnotherWeightVersion)
 {
-  ScriptedEngine dying({ Behaviour{ 2 }, Behaviour{ 0 } });
+  ScriptedEngine failing({ Behaviour{ 2 }, Behaviour{ 0 } });
   const ScriptedEngine other({ Behaviour() });
   TargetRecord newer = other.Record("e-2");
   newer.models[0].version = WeightVersion("v2");
-  this->StartWith(dying, newer);
+  this->StartWith(failing, newer);
   const HttpAnswer answer = this->Prompt();
   EXPECT_EQ(answer.status, 502);
   EXPECT_TRUE(other.Prompts().empty());
@@ -224,9 +225,9 @@
 
 TEST_F(CompletionRelayTest, RetriesRefusedPromptOnAnotherEngine)
 {
-  Behaviour full;
-  full.refuses = true;
-  const ScriptedEngine refusing({ full });
+  Behaviour refusal;
+  refusal.refuses = true;
+  const ScriptedEngine refusing({ refusal });
   const ScriptedEngine other({ Behaviour() });
   this->SetTargets({ refusing.Record("e-1"), other.Record("e-2") });
   this->StartHost();
@@ -235,9 +236,9 @@
 
 TEST_F(CompletionRelayTest, ReportsNotRunWhenAllEnginesRefuse)
 {
-  Behaviour full;
-  full.refuses = true;
-  const ScriptedEngine refusing({ full });
+  Behaviour refusal;
+  refusal.refuses = true;
+  const ScriptedEngine refusing({ refusal });
   this->SetTargets({ refusing.Record("e-1") });
   this->StartHost();
   EXPECT_NE(this->Prompt("note-1").body.find("\"outcome\":\"not_run\""), std::string::npos);
@@ -245,13 +246,13 @@
 
 TEST_F(CompletionRelayTest, DoesNotRestartPromptWithIdempotencyKey)
 {
-  const ScriptedEngine dying({ Behaviour{ 0 } });
+  const ScriptedEngine failing({ Behaviour{ 0 } });
   const ScriptedEngine other({ Behaviour{ 0 } });
-  this->SetTargets({ dying.Record("e-1"), other.Record("e-2") });
+  this->SetTargets({ failing.Record("e-1"), other.Record("e-2") });
   this->StartHost();
   const HttpAnswer answer = this->Prompt("note-1");
   EXPECT_NE(answer.body.find("\"outcome\":\"may_have_run\""), std::string::npos);
-  EXPECT_EQ(dying.Prompts().size() + other.Prompts().size(), 1U);
+  EXPECT_EQ(failing.Prompts().size() + other.Prompts().size(), 1U);
 }
 
 TEST_F(CompletionRelayTest, ReplaysKeptAnswerForSecondPromptWithSameKey)
@@ -268,7 +269,7 @@
   EXPECT_EQ(engine.Prompts().size(), 1U);
 }
 
-// The engine never says a word; only the caller's leaving can end its call.
+// The engine sends comments only and never ends, so only the caller's disconnect can end its call.
 TEST_F(CompletionRelayTest, CancelsAtSilentEngineWhenCallerDisconnects)
 {
   absl::Notification cancelled;
--- a/test/program/DrainTest.cpp
+++ b/test/program/DrainTest.cpp
@@ -21,7 +21,7 @@
   return "data: " + FormatAnswerFrame(frame) + "\n\n";
 }
 
-// An engine that sends its first token and ends its answer once released.
+// Has an engine that sends its first token, and the end of the answer only once released.
 class DrainTest : public TrafficFixture
 {
 protected:
@@ -46,7 +46,7 @@
     this->SetTargets({ this->engine.Record("e-1", TargetKind::Engine) });
   }
 
-  // Begins a streamed answer and waits for its first token.
+  // Starts a streamed answer and waits for its first token.
   void OpenStream()
   {
     this->exchange = std::move(HttpExchange::Connect(MakeCall("/v1/completions", kPrompt)).value());
@@ -57,10 +57,10 @@
 
   std::string ReadRest()
   {
-    auto piece = this->exchange->ReadSome();
-    while (piece && !piece.value().empty()) {
-      this->events += piece.value();
-      piece = this->exchange->ReadSome();
+    auto chunk = this->exchange->ReadSome();
+    while (chunk && !chunk.value().empty()) {
+      this->events += chunk.value();
+      chunk = this->exchange->ReadSome();
     }
     return this->events;
   }
@@ -82,7 +82,7 @@
     refused = this->Post("/services/plates/x", "17");
   }
   EXPECT_NE(refused.body.find("\"not_run\""), std::string::npos);
-  // Long enough for a relay that was told to stop to do so.
+  // Longer than a relay takes to notice a stop (kPollInterval in CompletionRun.cpp).
   EXPECT_FALSE(this->cancelled.WaitForNotificationWithTimeout(absl::Milliseconds(400)));
   this->released.Notify();
   EXPECT_NE(this->ReadRest().find("[DONE]"), std::string::npos);
@@ -101,10 +101,11 @@
   draining.join();
 }
 
-// The relay must see the stop though it never waits for the engine.
+// The engine sends without a pause, so the relay never waits for it; it must notice the stop all
+// the same.
 TEST_F(DrainTest, EndsStreamThatNeverPausesWhenHurried)
 {
-  const ScriptedTarget flowing([](const HttpRequest& aRequest) {
+  const ScriptedTarget streaming([](const HttpRequest& aRequest) {
     HttpResponse response;
     response.stream = [prompt = ParseEnginePrompt(aRequest.body).value()](StreamWriter& aWriter) {
       AnswerFrame frame;
@@ -119,7 +120,7 @@
     };
     return response;
   });
-  this->SetTargets({ flowing.Record("e-1", TargetKind::Engine) });
+  this->SetTargets({ streaming.Record("e-1", TargetKind::Engine) });
   this->StartHost();
   this->OpenStream();
   this->traffic.Hurry();
--- a/test/program/ReuseSubsystemTest.cpp
+++ b/test/program/ReuseSubsystemTest.cpp
@@ -11,10 +11,11 @@
 
 constexpr std::uint64_t kPromptBlocks = 4;
 
-// Seconds of waiting that computing a thousand tokens anew is worth.
-constexpr double kDearRecompute = 1e6;
+// Objective: seconds of waiting that are worth as much as recomputing 1,000 tokens. So high that
+// any wait for an import is accepted.
+constexpr double kHighRecomputeCost = 1e6;
 
-// An engine that exports and imports whatever it is told to, and remembers the orders.
+// An engine that confirms all orders to export and import, and records the imports.
 class FakeEngine
 {
 public:
@@ -89,7 +90,7 @@
 
   ~ReuseSubsystemTest() override { this->control.Stop(); }
 
-  // Puts an engine and a store of the given zone into the view.
+  // Adds an engine and a store in the given zone to the view.
   void Announce(const std::string& aStoreZone)
   {
     TargetRecord engineRecord;
@@ -120,7 +121,7 @@
     return request;
   }
 
-  // Looks up until the owner knows of so many blocks.
+  // Repeats the look-up until the store's owner reports aBlocks stored blocks.
   RouteRequest LookUpUntilStored(std::uint64_t aBlocks)
   {
     RouteRequest request = this->LookUp();
@@ -131,19 +132,20 @@
     return request;
   }
 
-  // Serves a prompt and keeps it.
-  void Keep(const RouteRequest& aRequest)
+  // Handles the end of an answered prompt, which exports its blocks to the store.
+  void Store(const RouteRequest& aRequest)
   {
     ASSERT_TRUE(this->reuse.Routing().ChooseAndSend(aRequest, this->views.Get()->targets));
     this->reuse.Reuse().OnAnswered(aRequest, this->Decision(), AnswerUsage());
   }
 
-  // Brings until the engine got an order: on a loaded machine the owner's grant may come later than
-  // a prompt waits for it, and then the prompt is computed instead. An import is made worth waiting
-  // for, so that no second one is begun while the order of the first is on its way.
+  // Repeats the import until the engine gets an order: on a loaded machine the owner's grant may
+  // arrive after the wait for it has ended, and the prompt is then computed instead. The high cost
+  // of recomputing lengthens that wait, so that no second import starts while the first order is
+  // sent.
   void ImportUntilOrdered(RouteRequest aRequest, const RouteDecision& aDecision)
   {
-    aRequest.objective.recompute = kDearRecompute;
+    aRequest.objective.recompute = kHighRecomputeCost;
     while (this->engine.Imports().empty()) {
       this->reuse.Reuse().ImportBlocks(aRequest, aDecision);
     }
@@ -168,7 +170,7 @@
 {
   this->Announce("hall-north");
   RouteRequest request = this->LookUpUntilStored(0);
-  this->Keep(request);
+  this->Store(request);
   request = this->LookUpUntilStored(kPromptBlocks);
   this->ImportUntilOrdered(request, this->Decision());
   const std::vector<ImportOrder> imports = this->engine.Imports();
@@ -183,7 +185,7 @@
 TEST_F(ReuseSubsystemTest, ImportsOnlyBlocksThatTargetLacks)
 {
   this->Announce("hall-north");
-  this->Keep(this->LookUpUntilStored(0));
+  this->Store(this->LookUpUntilStored(0));
   const RouteRequest request = this->LookUpUntilStored(kPromptBlocks);
   RouteDecision decision = this->Decision();
   decision.heldBlocks = 3;
@@ -195,7 +197,7 @@
 TEST_F(ReuseSubsystemTest, DoesNotOfferBlockAgainThatEngineRefused)
 {
   this->Announce("hall-north");
-  this->Keep(this->LookUpUntilStored(0));
+  this->Store(this->LookUpUntilStored(0));
   const RouteRequest request = this->LookUpUntilStored(kPromptBlocks);
   {
     absl::MutexLock lock(&this->engine.mutex);
@@ -209,7 +211,7 @@
 TEST_F(ReuseSubsystemTest, DoesNotImportOverTooSlowLink)
 {
   this->Announce("hall-north");
-  this->Keep(this->LookUpUntilStored(0));
+  this->Store(this->LookUpUntilStored(0));
   RouteRequest request = this->LookUpUntilStored(kPromptBlocks);
   request.stored.front().freeBytesPerSecond = 1;
   this->reuse.Reuse().ImportBlocks(request, this->Decision());
--- a/test/program/SamplesTest.cpp
+++ b/test/program/SamplesTest.cpp
@@ -79,19 +79,19 @@
 {
   int workspaces = 0;
   std::set<Digest> keys;
-  std::size_t written = 0;
+  std::size_t keyCount = 0;
   for (const std::string& file : YamlFilesBelow(this->Folder() / "tree")) {
     const ConfigTree tree = ParseConfigTree(ReadWholeFile(file).value(), file).value;
     for (const auto& [name, workspace] : tree.workspaces) {
       workspaces += 1;
       for (const auto& [team, node] : workspace.teams) {
         keys.insert(node.keys.begin(), node.keys.end());
-        written += node.keys.size();
+        keyCount += node.keys.size();
       }
     }
   }
   EXPECT_EQ(workspaces, 10);
-  EXPECT_EQ(keys.size(), written);
+  EXPECT_EQ(keys.size(), keyCount);
 }
 
 INSTANTIATE_TEST_SUITE_P(BothUsers, UserSamplesTest, ::testing::Values("02-kalahari", "03-clas"));
--- a/test/program/ServiceRelayTest.cpp
+++ b/test/program/ServiceRelayTest.cpp
@@ -10,7 +10,7 @@
 class ServiceRelayTest : public TrafficFixture
 {
 protected:
-  // A service that counts its runs and then answers as told.
+  // Returns the handler of a service that counts its runs and then answers with aAnswer.
   HttpHandler Counting(std::function<HttpResponse()> aAnswer)
   {
     return [this, answer = std::move(aAnswer)](const HttpRequest&) {
@@ -19,15 +19,15 @@
     };
   }
 
-  static HttpResponse Pressed()
+  static HttpResponse FixedAnswer()
   {
     HttpResponse response;
     response.body = "pressed";
     return response;
   }
 
-  // Breaks off in the middle of the answer.
-  static HttpResponse Cut()
+  // Closes the connection in the middle of the answer.
+  static HttpResponse InterruptedAnswer()
   {
     HttpResponse response;
     response.stream = [](StreamWriter& aWriter) {
@@ -37,11 +37,12 @@
     return response;
   }
 
-  // Makes calls while both targets break off, and expects each to be told so.
+  // Makes aCalls calls while both targets interrupt their answers. Expects that each call is
+  // reported as one that may have run.
   void PostToInterruptingTargets(const std::string& aKey, int aCalls)
   {
-    const ScriptedTarget one(this->Counting(Cut));
-    const ScriptedTarget other(this->Counting(Cut));
+    const ScriptedTarget one(this->Counting(InterruptedAnswer));
+    const ScriptedTarget other(this->Counting(InterruptedAnswer));
     this->SetTargets(
       { one.Record("s-1", TargetKind::Service), other.Record("s-2", TargetKind::Service) });
     this->StartHost();
@@ -58,12 +59,13 @@
 
 TEST_F(ServiceRelayTest, ReplaysKeptAnswerForSecondCallWithSameKey)
 {
-  const ScriptedTarget service(this->Counting(Pressed));
+  const ScriptedTarget service(this->Counting(FixedAnswer));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
   EXPECT_EQ(this->Post("/services/plates/jobs", "17", "order-17").body, "pressed");
   HttpAnswer second = this->Post("/services/plates/jobs", "17", "order-17");
-  // The end of the first run is committed without its caller waiting for it.
+  // The first call is answered before the end of its run is committed; until then a repeat
+  // conflicts.
   while (second.status == kConflict) {
     second = this->Post("/services/plates/jobs", "17", "order-17");
   }
@@ -73,7 +75,7 @@
 
 TEST_F(ServiceRelayTest, RunsConcurrentCallsWithSameKeyOnce)
 {
-  const ScriptedTarget service(this->Counting(Pressed));
+  const ScriptedTarget service(this->Counting(FixedAnswer));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
   std::vector<std::thread> callers;
@@ -100,14 +102,14 @@
 
 TEST_F(ServiceRelayTest, ReportsNotRunForUnreachableTargetAndAllowsKeyLater)
 {
-  ScriptedTarget gone(this->Counting(Pressed));
-  const TargetRecord record = gone.Record("s-1", TargetKind::Service);
-  gone.Stop();
+  ScriptedTarget unreachable(this->Counting(FixedAnswer));
+  const TargetRecord record = unreachable.Record("s-1", TargetKind::Service);
+  unreachable.Stop();
   this->SetTargets({ record });
   this->StartHost();
   const HttpAnswer refused = this->Post("/services/plates/jobs", "17", "order-17");
   EXPECT_NE(refused.body.find("\"not_run\""), std::string::npos) << refused.body;
-  const ScriptedTarget back(this->Counting(Pressed));
+  const ScriptedTarget back(this->Counting(FixedAnswer));
   this->control.Post([&] { this->SetTargets({ back.Record("s-2", TargetKind::Service) }); });
   HttpAnswer answer;
   while (answer.body != "pressed") {
@@ -118,7 +120,7 @@
 
 TEST_F(ServiceRelayTest, TreatsSameKeyOfOtherWorkspaceAsDistinct)
 {
-  const ScriptedTarget service(this->Counting(Pressed));
+  const ScriptedTarget service(this->Counting(FixedAnswer));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
   this->Post("/services/plates/jobs", "17", "order-17");
@@ -130,7 +132,7 @@
 
 TEST_F(ServiceRelayTest, AcceptsMintedKeyFromItsWorkspaceOnly)
 {
-  const ScriptedTarget service(this->Counting(Pressed));
+  const ScriptedTarget service(this->Counting(FixedAnswer));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
   const std::string body = this->Post("/v1/keys", "").body;
@@ -148,7 +150,7 @@
   std::string seen;
   const ScriptedTarget service([&](const HttpRequest& aRequest) {
     seen = aRequest.target;
-    return Pressed();
+    return FixedAnswer();
   });
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
--- a/test/program/TestHost.h
+++ b/test/program/TestHost.h
@@ -1,4 +1,4 @@
-// One host in this process on free ports, and plain HTTP calls to it.
+// Settings to run a host in the test process on free ports, and HTTP calls to it.
 #pragma once
 
 #include <deque>
@@ -14,12 +14,12 @@
 
 inline const std::string kSampleFolder =
   std::string(DAMASKLINK_SOURCE_DIR) + "/samples/01-one-host/";
-// The keys whose digests stand in the sample.
+// The keys whose digests are in the sample's settings and tree.
 inline const std::string kCallerKey = "counter-key";
 inline const std::string kOperatorKey = "operator-key";
 inline const std::string kTargetKey = "target-key";
 
-// Returns a new empty folder that lives as long as the test program.
+// Returns the path of a new empty folder that is removed at the end of the test program.
 inline std::string
 FreshDataFolder()
 {
@@ -27,7 +27,7 @@
   return folders.emplace_back(FolderInMemory()).Path();
 }
 
-// Returns the settings of the one-host sample with its tree, on any free ports, with an empty data
+// Returns the settings of the one-host sample with its tree, on free ports and with an empty data
 // folder.
 inline HostSettings
 SampleSettings()
@@ -39,11 +39,12 @@
   settings.listen.operators.port = 0;
   settings.listen.targets.port = 0;
   settings.listen.peers.port = 0;
-  // A closing test does not wait for idle connections.
+  // Short, so that stopping the host does not wait for idle connections.
   settings.limits.callerIdle = std::chrono::seconds(1);
   return settings;
 }
 
+// Makes an HTTP call with aKey as bearer token, or without one when it is empty.
 inline Result<HttpAnswer>
 Call(const Endpoint& aHost,
      std::string aMethod,
@@ -59,8 +60,8 @@
   if (!aKey.empty()) {
     call.headers = { { "authorization", "Bearer " + aKey } };
   }
-  constexpr ByteCount kMostAnswer{ 16 * kMebibyte };
-  return CallHttp(std::move(call), kMostAnswer);
+  constexpr ByteCount kMaxAnswer{ 16 * kMebibyte };
+  return CallHttp(std::move(call), kMaxAnswer);
 }
 
 } // namespace damasklink::testing
--- a/test/program/TrafficFixture.h
+++ b/test/program/TrafficFixture.h
@@ -1,4 +1,4 @@
-// A host's traffic part behind a real caller address, with targets that a test scripts.
+// Runs the request handling of a host behind a real HTTP server, with targets that a test scripts.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,13 +11,14 @@
 
 namespace damasklink {
 
+// Drops all messages to peers.
 class NoPeers final : public PeerSender
 {
 public:
   void Send(const HostId& /*aTo*/, PeerMessage /*aMessage*/) override {}
 };
 
-// Serves on any free port of the loopback address while it lives.
+// An HTTP server on a free port of the loopback address, whose handler the test provides.
 class ScriptedTarget
 {
 public:
@@ -54,6 +55,8 @@
   HttpServer server;
 };
 
+// A host with one zone, whose modules are started by StartHost(). Tests set the targets of its view
+// directly.
 class TrafficFixture : public ::testing::Test
 {
 protected:
@@ -107,7 +110,7 @@
     return answer ? answer.value() : HttpAnswer();
   }
 
-  // Two workspaces with one key each, "office-key" and "branch-key".
+  // Returns a tree of two workspaces with one key each, "office-key" and "branch-key".
   static ConfigTree MakeTree()
   {
     ConfigTree tree;
--- a/test/program/TrafficViewTest.cpp
+++ b/test/program/TrafficViewTest.cpp
@@ -5,7 +5,7 @@
 namespace damasklink {
 namespace {
 
-// A view of one team that wants to be refused when the configuration may be old.
+// Returns a view with one team, whose workspace has the given policy for stale configurations.
 TrafficView
 MakeView(WhenStale aWhenStale)
 {
