--- a/src/program/AdmissionController.h
+++ b/src/program/AdmissionController.h
@@ -26,7 +26,7 @@
   PoolId pool;
   // Targets that can serve the request, whatever their health.
   std::vector<TargetRecord> targets{};
-  // As the caller asked; 0 goes first. Enter() limits it to what the policy allows.
+  // Requested by the caller; 0 is the highest. Enter() lowers it to that of the policy, if need be.
   std::uint64_t priority = 1;
   TokenCount promptTokens{};
   // What the request is charged to its workspace: thousands of prompt and answer tokens, plus one.
--- a/src/program/AgreementModule.cpp
+++ b/src/program/AgreementModule.cpp
@@ -101,8 +101,8 @@
   }
   this->folder = std::move(opened.value());
   for (const GroupId& group : this->options.groups) {
-    if (auto held = this->OpenGroup(group); !held) {
-      return held;
+    if (auto replicaOpened = this->OpenGroup(group); !replicaOpened) {
+      return replicaOpened;
     }
   }
   this->writer.Start();
@@ -146,28 +146,28 @@
   groupOptions.listedVoters = ListedVoters(this->options.hosts, aGroup);
   groupOptions.mayFormGroup = this->options.mayFormGroup;
   groupOptions.maxVoters = this->options.maxVoters;
-  LocalGroup& held = this->groups[aGroup];
-  held = LocalGroup();
-  held.replica = std::make_unique<GroupReplica>(
+  LocalGroup& localGroup = this->groups[aGroup];
+  localGroup = LocalGroup();
+  localGroup.replica = std::make_unique<GroupReplica>(
     this->options.clock, std::move(groupOptions), std::move(aRecovered));
   if (aGroup == ControlGroupId()) {
-    held.replica->Machines().Add(StateMachineId::Groups, this->registry);
+    localGroup.replica->Machines().Add(StateMachineId::Groups, this->registry);
   } else {
-    held.incarnation = std::make_unique<IncarnationMachine>();
-    held.replica->Machines().Add(StateMachineId::Groups, *held.incarnation);
-    held.replica->Machines().SetIncarnation(*held.incarnation);
+    localGroup.incarnation = std::make_unique<IncarnationMachine>();
+    localGroup.replica->Machines().Add(StateMachineId::Groups, *localGroup.incarnation);
+    localGroup.replica->Machines().SetIncarnation(*localGroup.incarnation);
   }
   for (const Registration& added : this->registrations) {
     if (added.group == aGroup) {
-      held.replica->Machines().Add(added.machineId, *added.machine);
+      localGroup.replica->Machines().Add(added.machineId, *added.machine);
     }
   }
 }
 
 bool
-AgreementModule::WaitsForDisk(const LocalGroup& aHeld) const
+AgreementModule::WaitsForDisk(const LocalGroup& aLocalGroup) const
 {
-  const std::optional<Error>& failure = aHeld.replica->Failure();
+  const std::optional<Error>& failure = aLocalGroup.replica->Failure();
   return this->options.reopenAfter && failure && failure->kind == ErrorKind::Storage;
 }
 
@@ -177,15 +177,15 @@
 void
 AgreementModule::ReopenFailed(MonotonicTime aNow)
 {
-  for (auto& [group, held] : this->groups) {
-    if (!this->WaitsForDisk(held) || held.reopening) {
+  for (auto& [group, localGroup] : this->groups) {
+    if (!this->WaitsForDisk(localGroup) || localGroup.reopening) {
       continue;
     }
-    if (!held.reopenAt) {
-      held.reopenAt = aNow + *this->options.reopenAfter;
+    if (!localGroup.reopenAt) {
+      localGroup.reopenAt = aNow + *this->options.reopenAfter;
     }
-    if (aNow >= *held.reopenAt) {
-      held.reopening = true;
+    if (aNow >= *localGroup.reopenAt) {
+      localGroup.reopening = true;
       this->writer.Reopen(group, this->StoreOf(group));
     }
   }
@@ -202,10 +202,10 @@
     LogEvent(LogLevel::Warning, "group_not_opened")
       .With("group", reopened.group)
       .With("error", reopened.recovered.error());
-    LocalGroup& held = this->groups.at(reopened.group);
-    held.reopening = false;
-    held.reopenAt.reset();
-    held.replica->Stop(reopened.recovered.error());
+    LocalGroup& localGroup = this->groups.at(reopened.group);
+    localGroup.reopening = false;
+    localGroup.reopenAt.reset();
+    localGroup.replica->Stop(reopened.recovered.error());
   }
 }
 
@@ -261,8 +261,8 @@
   discovered.host = aHost;
   discovered.disk = true;
   this->options.hosts.push_back(std::move(discovered));
-  for (auto& [group, held] : this->groups) {
-    held.replica->AddDiscoveredHost(aHost);
+  for (auto& [group, localGroup] : this->groups) {
+    localGroup.replica->AddDiscoveredHost(aHost);
   }
 }
 
@@ -307,22 +307,22 @@
   this->TakeReopened();
   this->ReopenFailed(aNow);
   this->forwarder.Tick();
-  for (auto& [group, held] : this->groups) {
-    held.replica->Tick();
-    this->forwarder.ReportLeader(group, held.replica->Status().leader);
+  for (auto& [group, localGroup] : this->groups) {
+    localGroup.replica->Tick();
+    this->forwarder.ReportLeader(group, localGroup.replica->Status().leader);
   }
   this->ProcessMessages();
-  for (auto& [group, held] : this->groups) {
-    this->LogChanges(group, held);
-    this->RegisterFormation(group, held);
+  for (auto& [group, localGroup] : this->groups) {
+    this->LogChanges(group, localGroup);
+    this->RegisterFormation(group, localGroup);
   }
 }
 
 void
 AgreementModule::OnShutdown()
 {
-  for (auto& [group, held] : this->groups) {
-    held.replica->TransferLeadership();
+  for (auto& [group, localGroup] : this->groups) {
+    localGroup.replica->TransferLeadership();
   }
 }
 
@@ -345,8 +345,8 @@
   bool moved = true;
   while (moved) {
     moved = this->SendProposals();
-    for (auto& [group, held] : this->groups) {
-      moved |= this->ProcessGroupActions(group, held);
+    for (auto& [group, localGroup] : this->groups) {
+      moved |= this->ProcessGroupActions(group, localGroup);
     }
     while (!this->toSelf.empty()) {
       const AgreementMessage message = std::move(this->toSelf.front());
@@ -358,9 +358,9 @@
 }
 
 bool
-AgreementModule::ProcessGroupActions(const GroupId& aGroup, LocalGroup& aHeld)
+AgreementModule::ProcessGroupActions(const GroupId& aGroup, LocalGroup& aLocalGroup)
 {
-  GroupActions actions = aHeld.replica->TakeActions();
+  GroupActions actions = aLocalGroup.replica->TakeActions();
   const bool moved = actions.persist.has_value() || !actions.messages.empty();
   if (actions.persist) {
     this->writer.Write(aGroup, std::move(*actions.persist));
@@ -408,24 +408,24 @@
 }
 
 void
-AgreementModule::LogChanges(const GroupId& aGroup, LocalGroup& aHeld)
+AgreementModule::LogChanges(const GroupId& aGroup, LocalGroup& aLocalGroup)
 {
-  const std::optional<Error>& failure = aHeld.replica->Failure();
-  if (failure && !aHeld.failureLogged) {
-    aHeld.failureLogged = true;
+  const std::optional<Error>& failure = aLocalGroup.replica->Failure();
+  if (failure && !aLocalGroup.failureLogged) {
+    aLocalGroup.failureLogged = true;
     LogEvent(LogLevel::Error, "replica_stopped").With("group", aGroup).With("error", *failure);
   }
-  const bool leading = aHeld.replica->Status().leading;
-  if (leading && !aHeld.wasLeading) {
+  const bool leading = aLocalGroup.replica->Status().leading;
+  if (leading && !aLocalGroup.wasLeading) {
     this->options.metrics.Add(Counter::Elections, MetricKey{ {}, aGroup.Value() }, 1);
     LogEvent(LogLevel::Info, "leader_elected")
       .With("group", aGroup)
-      .With("term", aHeld.replica->Status().term);
+      .With("term", aLocalGroup.replica->Status().term);
   }
-  aHeld.wasLeading = leading;
-  const Membership& membership = aHeld.replica->Core().Log().NewestMembership();
-  if (membership != aHeld.lastMembership) {
-    aHeld.lastMembership = membership;
+  aLocalGroup.wasLeading = leading;
+  const Membership& membership = aLocalGroup.replica->Core().Log().NewestMembership();
+  if (membership != aLocalGroup.lastMembership) {
+    aLocalGroup.lastMembership = membership;
     LogEvent(LogLevel::Info, "membership_changed")
       .With("group", aGroup)
       .With("members", FormatMembership(membership));
@@ -435,17 +435,17 @@
 // The leader of a claims group asks the control group for the incarnation that it leads, and then
 // commits it to the claims group.
 void
-AgreementModule::RegisterFormation(const GroupId& aGroup, LocalGroup& aHeld)
+AgreementModule::RegisterFormation(const GroupId& aGroup, LocalGroup& aLocalGroup)
 {
-  const bool known =
-    aHeld.incarnation == nullptr || aHeld.incarnation->Current().incarnation != Incarnation();
-  if (known || aHeld.registering || !aHeld.replica->Core().LeaseHeld()) {
+  const bool known = aLocalGroup.incarnation == nullptr ||
+                     aLocalGroup.incarnation->Current().incarnation != Incarnation();
+  if (known || aLocalGroup.registering || !aLocalGroup.replica->Core().LeaseHeld()) {
     return;
   }
-  aHeld.registering = true;
+  aLocalGroup.registering = true;
   this->Propose(ControlGroupId(),
                 StateMachineId::Groups,
-                EncodeRegistration(aGroup, aHeld.replica->Core().Formation()),
+                EncodeRegistration(aGroup, aLocalGroup.replica->Core().Formation()),
                 kRegistrationTimeout,
                 [this, aGroup](const Result<std::string>& aAnswer) {
                   this->OnFormationRegistered(aGroup, aAnswer);
--- a/src/program/AgreementModule.h
+++ b/src/program/AgreementModule.h
@@ -111,19 +111,19 @@
   Result<void> OpenGroup(const GroupId& aGroup);
   void StartReplica(const GroupId& aGroup, RecoveredLog aRecovered);
   std::unique_ptr<LogStore> StoreOf(const GroupId& aGroup);
-  bool WaitsForDisk(const LocalGroup& aHeld) const;
+  bool WaitsForDisk(const LocalGroup& aLocalGroup) const;
   void ReopenFailed(MonotonicTime aNow);
   // Restarts the replicas whose stores were reopened.
   void TakeReopened();
   void TakeCompletions();
   // Passes messages on until this host has none left to handle.
   void ProcessMessages();
-  bool ProcessGroupActions(const GroupId& aGroup, LocalGroup& aHeld);
+  bool ProcessGroupActions(const GroupId& aGroup, LocalGroup& aLocalGroup);
   bool SendProposals();
   void Send(AgreementMessage aMessage);
   void Deliver(const AgreementMessage& aMessage);
-  void LogChanges(const GroupId& aGroup, LocalGroup& aHeld);
-  void RegisterFormation(const GroupId& aGroup, LocalGroup& aHeld);
+  void LogChanges(const GroupId& aGroup, LocalGroup& aLocalGroup);
+  void RegisterFormation(const GroupId& aGroup, LocalGroup& aLocalGroup);
   void OnFormationRegistered(const GroupId& aGroup, const Result<std::string>& aAnswer);
 
   AgreementOptions options;
--- a/src/program/ClaimClient.cpp
+++ b/src/program/ClaimClient.cpp
@@ -209,7 +209,7 @@
       });
   });
   if (!posted) {
-    return Fail(ErrorKind::Overloaded, "the control thread is behind", "try again shortly");
+    return Fail(ErrorKind::Overloaded, "the control thread is overloaded", "try again shortly");
   }
   absl::MutexLock lock(&waiter->mutex);
   const auto answered = [&]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(waiter->mutex) {
--- a/src/program/CompletionRun.h
+++ b/src/program/CompletionRun.h
@@ -24,7 +24,7 @@
   Digest digest;
   // Time limit for the whole answer, as the caller asked.
   Duration timeLimit{ 0 };
-  // As the caller asked; 0 goes first.
+  // Requested by the caller; 0 is the highest.
   std::uint64_t priority = 0;
 };
 
--- a/src/program/ReuseService.h
+++ b/src/program/ReuseService.h
@@ -36,7 +36,7 @@
 
   // Returns the eligible version that most targets serve; empty when there is none.
   WeightVersion MostServedVersion(const RouteRequest& aRequest, const TrafficView& aView) const;
-  // Returns the stores that a prompt with this first block is kept in, by rendezvous hashing.
+  // Returns the stores that may hold a prompt with this first block, by rendezvous hashing.
   std::vector<StoreId> Candidates(const RouteRequest& aRequest, const TrafficView& aView) const;
   void Post(StoreQuestion aQuestion);
   std::optional<StoreAnswer> Ask(StoreQuestion aQuestion, Duration aTimeout);
--- a/src/program/ServiceRelay.h
+++ b/src/program/ServiceRelay.h
@@ -14,7 +14,7 @@
   const ResolvedPolicy& policy;
   const ServiceRoute& route;
   RequestId id;
-  // As the caller asked; 0 goes first.
+  // Requested by the caller; 0 is the highest.
   std::uint64_t priority = 0;
 };
 
--- a/src/program/StoresModule.cpp
+++ b/src/program/StoresModule.cpp
@@ -97,14 +97,14 @@
 void
 StoresModule::Ask(StoreQuestion aQuestion)
 {
-  const auto mine = this->owned.find(aQuestion.store);
-  if (mine != this->owned.end()) {
-    this->stores.answers.Fulfil(mine->second->Answer(aQuestion));
+  const auto ownedStore = this->owned.find(aQuestion.store);
+  if (ownedStore != this->owned.end()) {
+    this->stores.answers.Fulfil(ownedStore->second->Answer(aQuestion));
     return;
   }
-  const auto other = this->others.find(aQuestion.store);
-  if (other != this->others.end()) {
-    this->Send(other->second.host, std::move(aQuestion));
+  const auto knownOwner = this->knownOwners.find(aQuestion.store);
+  if (knownOwner != this->knownOwners.end()) {
+    this->Send(knownOwner->second.host, std::move(aQuestion));
     return;
   }
   StoreAnswer notOwner;
@@ -116,14 +116,14 @@
 void
 StoresModule::ReportOutcome(const StoreOutcome& aOutcome)
 {
-  const auto mine = this->owned.find(aOutcome.store);
-  if (mine != this->owned.end()) {
-    mine->second->OnOutcome(aOutcome);
+  const auto ownedStore = this->owned.find(aOutcome.store);
+  if (ownedStore != this->owned.end()) {
+    ownedStore->second->OnOutcome(aOutcome);
     return;
   }
-  const auto other = this->others.find(aOutcome.store);
-  if (other != this->others.end()) {
-    this->Send(other->second.host, aOutcome);
+  const auto knownOwner = this->knownOwners.find(aOutcome.store);
+  if (knownOwner != this->knownOwners.end()) {
+    this->Send(knownOwner->second.host, aOutcome);
   }
 }
 
@@ -175,14 +175,14 @@
 void
 StoresModule::ApplyOwnerNotice(const OwnerNotice& aNotice)
 {
-  KnownOwner& known = this->others[aNotice.store];
+  KnownOwner& known = this->knownOwners[aNotice.store];
   if (aNotice.fencing < known.fencing) {
     return;
   }
   known = { aNotice.owner, aNotice.fencing, this->context.clock.MonotonicNow() };
-  const auto mine = this->owned.find(aNotice.store);
-  if (mine != this->owned.end() && mine->second->Fencing() < aNotice.fencing) {
-    this->owned.erase(mine);
+  const auto ownedStore = this->owned.find(aNotice.store);
+  if (ownedStore != this->owned.end() && ownedStore->second->Fencing() < aNotice.fencing) {
+    this->owned.erase(ownedStore);
   }
 }
 
@@ -222,14 +222,15 @@
       continue;
     }
     const StoreId store(target.id.Value());
-    const auto other = this->others.find(store);
+    const auto knownOwner = this->knownOwners.find(store);
     const bool ownedElsewhere =
-      other != this->others.end() && aNow - other->second.receivedAt < kOwnerTimeout;
-    const auto mine = this->owned.find(store);
-    if (mine != this->owned.end()) {
-      this->Broadcast(OwnerNotice{ store, this->context.settings.host, mine->second->Fencing() });
+      knownOwner != this->knownOwners.end() && aNow - knownOwner->second.receivedAt < kOwnerTimeout;
+    const auto ownedStore = this->owned.find(store);
+    if (ownedStore != this->owned.end()) {
+      this->Broadcast(
+        OwnerNotice{ store, this->context.settings.host, ownedStore->second->Fencing() });
     }
-    if (mine != this->owned.end() || !ownedElsewhere) {
+    if (ownedStore != this->owned.end() || !ownedElsewhere) {
       this->RequestLease(store, kLeaseLength);
     }
   }
@@ -258,10 +259,10 @@
                          MonotonicTime aRequestedAt,
                          const StoreLease& aLease)
 {
-  const auto mine = this->owned.find(aStore);
+  const auto ownedStore = this->owned.find(aStore);
   if (this->leaving || aLease.owner != this->context.settings.host) {
-    if (mine != this->owned.end()) {
-      this->owned.erase(mine);
+    if (ownedStore != this->owned.end()) {
+      this->owned.erase(ownedStore);
     }
     return;
   }
@@ -269,7 +270,7 @@
   if (store == nullptr) {
     return;
   }
-  if (mine == this->owned.end() || mine->second->Fencing() != aLease.fencing) {
+  if (ownedStore == this->owned.end() || ownedStore->second->Fencing() != aLease.fencing) {
     this->AcquireStore(*store, aLease);
   }
   this->owned.at(aStore)->Renew(aRequestedAt + kLeaseLength - kLeaseMargin);
@@ -283,7 +284,7 @@
   options.store = store;
   options.declared = aStore.store;
   this->owned[store] = std::make_unique<LeasedStore>(this->context.clock, aLease.fencing, options);
-  this->others.erase(store);
+  this->knownOwners.erase(store);
   LogEvent(LogLevel::Info, "store_owned").With("store", store).With("fencing", aLease.fencing);
   this->FetchInventory(store, aLease.fencing, aStore.endpoint);
 }
@@ -302,10 +303,10 @@
     }
     // A store whose inventory can't be read counts as empty, and its blocks are not reused.
     this->context.control.Post([this, aStore, aFencing, blocks = std::move(inventory)] {
-      const auto mine = this->owned.find(aStore);
-      if (mine != this->owned.end() && mine->second->Fencing() == aFencing &&
-          !mine->second->IsReady()) {
-        mine->second->Rebuild(blocks);
+      const auto ownedStore = this->owned.find(aStore);
+      if (ownedStore != this->owned.end() && ownedStore->second->Fencing() == aFencing &&
+          !ownedStore->second->IsReady()) {
+        ownedStore->second->Rebuild(blocks);
       }
     });
   });
--- a/src/program/StoresModule.h
+++ b/src/program/StoresModule.h
@@ -82,8 +82,9 @@
 
   const HostContext& context;
   StoresContext stores;
+  // The stores that this host leases.
   std::map<StoreId, std::unique_ptr<LeasedStore>> owned;
-  std::map<StoreId, KnownOwner> others;
+  std::map<StoreId, KnownOwner> knownOwners;
   MonotonicTime nextBroadcast;
   MonotonicTime nextLeaseCheck;
   bool leaving = false;
--- a/src/program/TrafficSubsystem.cpp
+++ b/src/program/TrafficSubsystem.cpp
@@ -10,7 +10,7 @@
 // How long stopped requests may take to send their error events.
 constexpr Duration kStopTimeout = std::chrono::seconds(3);
 // How long the settlements of claims may take to be committed before the process exits.
-constexpr Duration kSettleTimeout = std::chrono::seconds(3);
+constexpr Duration kSettlementWait = std::chrono::seconds(3);
 constexpr Duration kSettleCheckInterval = std::chrono::milliseconds(20);
 
 } // namespace
@@ -49,7 +49,7 @@
     this->state.StopNow();
     this->state.WaitUntilEnded(kStopTimeout);
   }
-  const MonotonicTime deadline = this->context.clock.MonotonicNow() + kSettleTimeout;
+  const MonotonicTime deadline = this->context.clock.MonotonicNow() + kSettlementWait;
   while (this->claims.PendingSettlements() > 0 && this->context.clock.MonotonicNow() < deadline) {
     std::this_thread::sleep_for(kSettleCheckInterval);
   }
