--- a/src/program/CompletionRelay.cpp
+++ b/src/program/CompletionRelay.cpp
@@ -93,7 +93,7 @@
     if (auto next = this->run.NextText(nullptr); !next) {
       return next;
     }
-    if (!this->run.Kept()) {
+    if (!this->run.Buffered()) {
       return Fail(ErrorKind::InvalidArgument, "the answer is too large", "ask for it as a stream");
     }
   }
@@ -112,7 +112,7 @@
   this->slot.MarkAnswered();
   if (this->ticket != nullptr) {
     std::optional<KeptAnswer> kept;
-    if (this->run.Kept()) {
+    if (this->run.Buffered()) {
       kept = KeptAnswer{ 200, aType, aKept() };
     }
     this->ticket->Finish(std::move(kept));
--- a/src/program/CompletionRun.cpp
+++ b/src/program/CompletionRun.cpp
@@ -17,8 +17,8 @@
 // How long Open() waits, so that a refusal gets an HTTP status of its own. Afterwards the stream is
 // open, and a disconnect of the caller is noticed.
 constexpr Duration kOpenTimeout = std::chrono::seconds(1);
-// Text kept of one answer. A longer answer can be resumed, but not continued on another engine.
-constexpr std::size_t kMaxKeptBytes = 8 * kMebibyte;
+// Text buffered of one answer. A longer answer can be resumed, but not continued on another engine.
+constexpr std::size_t kMaxBufferedBytes = 8 * kMebibyte;
 // Range of the random delay before a repeat, in milliseconds; the upper end doubles with each try.
 constexpr std::uint64_t kMinRetryDelay = 5;
 constexpr std::uint64_t kMaxRetryDelay = 25;
@@ -187,8 +187,8 @@
   this->meter.OnTokens(now - this->tokens);
   this->tokens = now;
   this->pending += aText;
-  this->kept = this->kept && this->answer.size() + aText.size() <= kMaxKeptBytes;
-  if (this->kept) {
+  this->buffered = this->buffered && this->answer.size() + aText.size() <= kMaxBufferedBytes;
+  if (this->buffered) {
     this->answer += aText;
   } else {
     this->answer.clear();
@@ -261,7 +261,7 @@
     lost.tokensBefore = this->tokensBefore;
     lost.tries = this->tries;
     lost.resumed = this->resumed;
-    lost.held = this->kept;
+    lost.held = this->buffered;
     lost.repeatable = this->ticket == nullptr;
     lost.timeLeft = this->context.state.MustStop() ? Duration(0) : this->TimeLeft();
     const RecoveryStep step = DecideRecoveryStep(lost);
--- a/src/program/CompletionRun.h
+++ b/src/program/CompletionRun.h
@@ -29,7 +29,7 @@
 };
 
 // Returns the text of an answer in order, from one engine or, after a failure, from several: lost
-// attempts are recovered as AttemptRecovery.h decides. Keeps the text up to a limit, so that
+// attempts are recovered as AttemptRecovery.h decides. Buffers the text up to a limit, so that
 // another engine can continue behind it.
 //
 //   CompletionRun run(context, call, meter, record);
@@ -74,8 +74,8 @@
   // Whether the complete answer was returned.
   bool Ended() const { return this->stream->Complete() && this->pending.empty(); }
 
-  // Whether the whole text so far is kept in memory, and that text.
-  bool Kept() const { return this->kept; }
+  // Whether the whole text so far is in the buffer, and that text.
+  bool Buffered() const { return this->buffered; }
   const std::string& Answer() const { return this->answer; }
   // Requires Ended().
   const StreamAssembler& Assembled() const { return this->stream->Assembled(); }
@@ -111,9 +111,9 @@
   RouteRequest route;
   RouteDecision decision;
   std::unique_ptr<EngineStream> stream;
-  // The whole text so far, while `kept` is set.
+  // The whole text so far, while `buffered` is set.
   std::string answer;
-  bool kept = true;
+  bool buffered = true;
   // Text that was not returned yet.
   std::string pending;
   // Tokens received in all, and before the current attempt.
--- a/src/program/ReuseService.cpp
+++ b/src/program/ReuseService.cpp
@@ -184,8 +184,8 @@
   const auto isStore = [&](const StoredPrefix& aPrefix) {
     return aPrefix.store == aDecision.importFrom;
   };
-  const auto kept = std::find_if(aRequest.stored.begin(), aRequest.stored.end(), isStore);
-  if (store == nullptr || kept == aRequest.stored.end() || kept->blocks == 0) {
+  const auto prefix = std::find_if(aRequest.stored.begin(), aRequest.stored.end(), isStore);
+  if (store == nullptr || prefix == aRequest.stored.end() || prefix->blocks == 0) {
     return;
   }
   Transfer transfer{ aRequest.workspace, store->endpoint, aDecision.endpoint, {} };
@@ -196,11 +196,11 @@
   };
   transfer.question.prompt.blocks = aRequest.blocks;
   transfer.question.to = aDecision.importBlocks;
-  const std::uint64_t blockBytes = kept->bytes.Value() / kept->blocks;
+  const std::uint64_t blockBytes = prefix->bytes.Value() / prefix->blocks;
   const MonotonicTime start = this->context.clock.MonotonicNow();
   std::uint64_t nextBlock = aDecision.heldBlocks;
   RemainingImport remaining{
-    {}, {}, kept->freeBytesPerSecond, this->PrefillRate(aDecision.target)
+    {}, {}, prefix->freeBytesPerSecond, this->PrefillRate(aDecision.target)
   };
   while (nextBlock < aDecision.importBlocks) {
     transfer.question.from = nextBlock;
@@ -298,10 +298,10 @@
     aRequest.objective,
     this->PrefillRate(aDecision.target)
   };
-  for (const StoredPrefix& kept : aRequest.stored) {
+  for (const StoredPrefix& prefix : aRequest.stored) {
     StoreQuestion answered = transfer.question;
     answered.kind = QuestionKind::Answered;
-    answered.store = kept.store;
+    answered.store = prefix.store;
     this->Post(std::move(answered));
   }
   transfer.question.kind = QuestionKind::Export;
