--- a/src/program/AdmissionDesk.cpp
+++ b/src/program/AdmissionController.cpp
@@ -1,4 +1,4 @@
-#include "AdmissionDesk.h"
+#include "AdmissionController.h"
 
 #include <algorithm>
 #include <limits>
@@ -12,12 +12,12 @@
 namespace damasklink {
 namespace {
 
-// How soon a waiting request notices that the host stops.
-constexpr absl::Duration kWaitStep = absl::Milliseconds(100);
+// How often a waiting request checks its deadline and whether the host stops.
+constexpr absl::Duration kWaitInterval = absl::Milliseconds(100);
 constexpr Duration kReportInterval = std::chrono::seconds(1);
-// Some 24 bytes each, so that a report stays below a kilobyte.
-constexpr std::size_t kMostReported = 32;
-constexpr Duration kStopComeBack = std::chrono::seconds(1);
+// Workspaces in a report: at about 24 bytes each, a report stays below a kilobyte.
+constexpr std::size_t kMaxReported = 32;
+constexpr Duration kStopRetryAfter = std::chrono::seconds(1);
 
 std::vector<HostId>
 ZonePeers(const HostSettings& aSettings)
@@ -35,7 +35,7 @@
 NotRun(const AdmissionRefusal& aRefusal)
 {
   CallerError error;
-  // Nothing was dispatched yet, and an empty record says so.
+  // Nothing was dispatched yet; the outcome of an empty record is NotRun.
   error.outcome = DispatchRecord().Outcome();
   error.error = aRefusal.error;
   if (aRefusal.retryAfter > Duration(0)) {
@@ -46,7 +46,7 @@
 
 } // namespace
 
-AdmissionDesk::AdmissionDesk(const HostContext& aContext, const TrafficState& aState)
+AdmissionController::AdmissionController(const HostContext& aContext, const TrafficState& aState)
   : context(aContext)
   , state(aState)
   , zonePeers(ZonePeers(aContext.settings))
@@ -57,9 +57,9 @@
 }
 
 std::optional<CallerError>
-AdmissionDesk::Enter(const AdmissionCall& aCall, AdmissionId& aId)
+AdmissionController::Enter(const AdmissionCall& aCall, AdmissionId& aId)
 {
-  const MonotonicTime begun = this->context.clock.MonotonicNow();
+  const MonotonicTime start = this->context.clock.MonotonicNow();
   absl::MutexLock lock(&this->mutex);
   if (const auto refusal = this->limiter.Enter(aCall.policy, aCall.promptTokens)) {
     return NotRun(*refusal);
@@ -67,7 +67,7 @@
   const auto refusal = this->WaitForTurn(aCall, aId);
   this->context.metrics.Observe(Sample::QueueWait,
                                 MetricKey{ aCall.policy.workspace, "" },
-                                this->context.clock.MonotonicNow() - begun);
+                                this->context.clock.MonotonicNow() - start);
   if (!refusal) {
     return std::nullopt;
   }
@@ -76,7 +76,7 @@
 }
 
 std::optional<AdmissionRefusal>
-AdmissionDesk::WaitForTurn(const AdmissionCall& aCall, AdmissionId& aId)
+AdmissionController::WaitForTurn(const AdmissionCall& aCall, AdmissionId& aId)
 {
   this->SetCapacity(aCall);
   AdmissionRequest request;
@@ -89,36 +89,36 @@
   Waiter waiter;
   aId = this->queue.Offer(request);
   this->waiters[aId] = &waiter;
-  this->HandOut();
+  this->NotifyWaiters();
   const auto decided = [&] { return waiter.decided; };
-  while (!this->mutex.AwaitWithTimeout(absl::Condition(&decided), kWaitStep)) {
-    const bool late = this->context.clock.MonotonicNow() >= aCall.deadline;
-    if (!late && !this->state.MustStop()) {
+  while (!this->mutex.AwaitWithTimeout(absl::Condition(&decided), kWaitInterval)) {
+    const bool expired = this->context.clock.MonotonicNow() >= aCall.deadline;
+    if (!expired && !this->state.MustStop()) {
       continue;
     }
     if (this->queue.Cancel(aId)) {
       this->waiters.erase(aId);
-      const char* message = late ? "the deadline passed in the queue" : "this host is stopping";
+      const char* message = expired ? "the deadline passed in the queue" : "this host is stopping";
       return AdmissionRefusal{ Error{ ErrorKind::Overloaded, message, "send the call again" },
-                               late ? this->queue.ExpectedWait(request) : kStopComeBack };
+                               expired ? this->queue.ExpectedWait(request) : kStopRetryAfter };
     }
   }
   return waiter.refusal;
 }
 
 void
-AdmissionDesk::Leave(const ResolvedPolicy& aPolicy, AdmissionId aId, bool aAnswered)
+AdmissionController::Leave(const ResolvedPolicy& aPolicy, AdmissionId aId, bool aAnswered)
 {
   absl::MutexLock lock(&this->mutex);
   this->limiter.Leave(aPolicy);
   this->queue.Finish(aId, aAnswered);
-  this->HandOut();
+  this->NotifyWaiters();
 }
 
-// The pool takes what its fit targets take together. A pool without any target has room for all:
-// the router then says what is missing.
+// The capacity of a pool is the sum over its healthy targets. A pool without any target is
+// unlimited, so that its requests reach the router, whose error says what is missing.
 void
-AdmissionDesk::SetCapacity(const AdmissionCall& aCall)
+AdmissionController::SetCapacity(const AdmissionCall& aCall)
 {
   std::size_t capacity = 0;
   for (const TargetRecord& target : this->health.Filter(aCall.targets)) {
@@ -131,7 +131,7 @@
 }
 
 void
-AdmissionDesk::HandOut()
+AdmissionController::NotifyWaiters()
 {
   for (AdmissionDecision& decision : this->queue.TakeDecisions()) {
     const auto found = this->waiters.find(decision.id);
@@ -145,22 +145,22 @@
 }
 
 std::vector<TargetRecord>
-AdmissionDesk::Usable(const std::vector<TargetRecord>& aTargets) const
+AdmissionController::Usable(const std::vector<TargetRecord>& aTargets) const
 {
   absl::MutexLock lock(&this->mutex);
-  std::vector<TargetRecord> fit = this->health.Filter(aTargets);
+  std::vector<TargetRecord> healthy = this->health.Filter(aTargets);
   std::vector<TargetRecord> free;
-  for (const TargetRecord& target : fit) {
+  for (const TargetRecord& target : healthy) {
     const auto found = this->limits.find(target.id);
     if (found == this->limits.end() || found->second.Free() > 0) {
       free.push_back(target);
     }
   }
-  return free.empty() ? fit : free;
+  return free.empty() ? healthy : free;
 }
 
 void
-AdmissionDesk::OnStart(const TargetId& aTarget)
+AdmissionController::OnStart(const TargetId& aTarget)
 {
   absl::MutexLock lock(&this->mutex);
   this->limits[aTarget].OnStart();
@@ -168,10 +168,10 @@
 }
 
 void
-AdmissionDesk::OnEnd(const TargetId& aTarget,
-                     LoadSignal aLoad,
-                     HealthSignal aSign,
-                     Duration aFirstToken)
+AdmissionController::OnEnd(const TargetId& aTarget,
+                           LoadSignal aLoad,
+                           HealthSignal aSign,
+                           Duration aFirstToken)
 {
   absl::MutexLock lock(&this->mutex);
   this->limits[aTarget].OnEnd(aLoad, aFirstToken);
@@ -179,12 +179,12 @@
 }
 
 void
-AdmissionDesk::OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage)
+AdmissionController::OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage)
 {
   const auto use = DecodeUseReport(aMessage.payload);
-  const bool ofZone =
+  const bool fromZone =
     std::find(this->zonePeers.begin(), this->zonePeers.end(), aFrom) != this->zonePeers.end();
-  if (!use || !ofZone) {
+  if (!use || !fromZone) {
     LogEvent(LogLevel::Warning, "use_report_refused").With("from", aFrom);
     return;
   }
@@ -195,7 +195,7 @@
 }
 
 void
-AdmissionDesk::OnTick(MonotonicTime aNow)
+AdmissionController::OnTick(MonotonicTime aNow)
 {
   if (aNow < this->nextReport) {
     return;
@@ -209,7 +209,7 @@
   if (use.empty()) {
     return;
   }
-  const std::string payload = EncodeUseReport(use, kMostReported);
+  const std::string payload = EncodeUseReport(use, kMaxReported);
   for (const HostId& peer : this->zonePeers) {
     this->context.peers.Send(peer, PeerMessage{ Channel::Admission, GroupId(), payload });
   }
--- a/src/program/AgreementModule.cpp
+++ b/src/program/AgreementModule.cpp
@@ -13,7 +13,7 @@
 
 constexpr Duration kRegistrationTimeout = std::chrono::seconds(5);
 
-// Returns a random number that is not zero.
+// Returns a random number other than zero.
 std::uint64_t
 RandomNumber()
 {
@@ -23,7 +23,7 @@
   return number == 0 ? 1 : number;
 }
 
-// Returns "host:replica", with "(learner)" behind those that do not vote.
+// Returns "host:replica" for each member, followed by "(learner)" if it does not vote.
 std::string
 FormatMembership(const Membership& aMembership)
 {
@@ -42,11 +42,11 @@
   return RaftTiming{ aTimeouts.heartbeat, aTimeouts.electionLeast, aTimeouts.electionMost };
 }
 
-AgreementSetup
-SetupOf(const HostContext& aContext)
+AgreementOptions
+OptionsOf(const HostContext& aContext)
 {
   const HostSettings& settings = aContext.settings;
-  return AgreementSetup{
+  return AgreementOptions{
     aContext.clock,
     aContext.metrics,
     aContext.peers,
@@ -66,22 +66,22 @@
 } // namespace
 
 AgreementModule::AgreementModule(const HostContext& aContext)
-  : AgreementModule(SetupOf(aContext))
+  : AgreementModule(OptionsOf(aContext))
 {
 }
 
-AgreementModule::AgreementModule(AgreementSetup aSetup, std::unique_ptr<Disk> aDisk)
-  : setup(std::move(aSetup))
+AgreementModule::AgreementModule(AgreementOptions aOptions, std::unique_ptr<Disk> aDisk)
+  : options(std::move(aOptions))
   , disk(std::move(aDisk))
-  , writer(this->setup.wake)
-  , tracker(this->setup.clock, this->setup.host, RandomNumber())
+  , writer(this->options.wake)
+  , forwarder(this->options.clock, this->options.host, RandomNumber())
 {
 }
 
 Result<void>
 AgreementModule::Open()
 {
-  const std::string& path = this->setup.dataFolder;
+  const std::string& path = this->options.dataFolder;
   if (path.empty()) {
     return Success();
   }
@@ -100,9 +100,9 @@
     return Fail(opened.error());
   }
   this->folder = std::move(opened.value());
-  for (const GroupId& group : this->setup.groups) {
-    if (auto held = this->OpenGroup(group); !held) {
-      return held;
+  for (const GroupId& group : this->options.groups) {
+    if (auto replicaOpened = this->OpenGroup(group); !replicaOpened) {
+      return replicaOpened;
     }
   }
   this->writer.Start();
@@ -137,55 +137,55 @@
     .With("formation", aRecovered.hardState.formation)
     .With("term", aRecovered.hardState.term)
     .With("entries", aRecovered.entries.size());
-  GroupOptions options;
-  options.raft.group = aGroup;
-  options.raft.host = this->setup.host;
-  options.raft.replica = this->folder.replica;
-  options.raft.timing = this->setup.timing;
-  options.raft.seed = RandomNumber();
-  options.listedVoters = ListedVoters(this->setup.hosts, aGroup);
-  options.mayFormGroup = this->setup.mayFormGroup;
-  options.maxVoters = this->setup.mostVoters;
-  HeldGroup& held = this->groups[aGroup];
-  held = HeldGroup();
-  held.replica =
-    std::make_unique<GroupReplica>(this->setup.clock, std::move(options), std::move(aRecovered));
+  GroupOptions groupOptions;
+  groupOptions.raft.group = aGroup;
+  groupOptions.raft.host = this->options.host;
+  groupOptions.raft.replica = this->folder.replica;
+  groupOptions.raft.timing = this->options.timing;
+  groupOptions.raft.seed = RandomNumber();
+  groupOptions.listedVoters = ListedVoters(this->options.hosts, aGroup);
+  groupOptions.mayFormGroup = this->options.mayFormGroup;
+  groupOptions.maxVoters = this->options.maxVoters;
+  LocalGroup& localGroup = this->groups[aGroup];
+  localGroup = LocalGroup();
+  localGroup.replica = std::make_unique<GroupReplica>(
+    this->options.clock, std::move(groupOptions), std::move(aRecovered));
   if (aGroup == ControlGroupId()) {
-    held.replica->Machines().Add(StateMachineId::Groups, this->catalogue);
+    localGroup.replica->Machines().Add(StateMachineId::Groups, this->registry);
   } else {
-    held.life = std::make_unique<IncarnationMachine>();
-    held.replica->Machines().Add(StateMachineId::Groups, *held.life);
-    held.replica->Machines().SetIncarnation(*held.life);
+    localGroup.incarnation = std::make_unique<IncarnationMachine>();
+    localGroup.replica->Machines().Add(StateMachineId::Groups, *localGroup.incarnation);
+    localGroup.replica->Machines().SetIncarnation(*localGroup.incarnation);
   }
   for (const Registration& added : this->registrations) {
     if (added.group == aGroup) {
-      held.replica->Machines().Add(added.part, *added.machine);
+      localGroup.replica->Machines().Add(added.machineId, *added.machine);
     }
   }
 }
 
 bool
-AgreementModule::WaitsForDisk(const HeldGroup& aHeld) const
+AgreementModule::WaitsForDisk(const LocalGroup& aLocalGroup) const
 {
-  const std::optional<Error>& failure = aHeld.replica->Failure();
-  return this->setup.reopenAfter && failure && failure->kind == ErrorKind::Storage;
+  const std::optional<Error>& failure = aLocalGroup.replica->Failure();
+  return this->options.reopenAfter && failure && failure->kind == ErrorKind::Storage;
 }
 
-// What a replica holds in memory may be more than what its disk does, so it goes on with what it
-// reads there, as after a start. A full disk is full for seconds: others than the log need no disk
-// and go on meanwhile.
+// After a failed write the replica may have more in memory than is on disk. It is therefore rebuilt
+// from the disk, as after a start. Only the log needs the disk, so the rest of the process keeps
+// running; a full disk usually has space again within seconds.
 void
 AgreementModule::ReopenFailed(MonotonicTime aNow)
 {
-  for (auto& [group, held] : this->groups) {
-    if (!this->WaitsForDisk(held) || held.reopening) {
+  for (auto& [group, localGroup] : this->groups) {
+    if (!this->WaitsForDisk(localGroup) || localGroup.reopening) {
       continue;
     }
-    if (!held.reopenAt) {
-      held.reopenAt = aNow + *this->setup.reopenAfter;
+    if (!localGroup.reopenAt) {
+      localGroup.reopenAt = aNow + *this->options.reopenAfter;
     }
-    if (aNow >= *held.reopenAt) {
-      held.reopening = true;
+    if (aNow >= *localGroup.reopenAt) {
+      localGroup.reopening = true;
       this->writer.Reopen(group, this->StoreOf(group));
     }
   }
@@ -202,38 +202,38 @@
     LogEvent(LogLevel::Warning, "group_not_opened")
       .With("group", reopened.group)
       .With("error", reopened.recovered.error());
-    HeldGroup& held = this->groups.at(reopened.group);
-    held.reopening = false;
-    held.reopenAt.reset();
-    held.replica->Stop(reopened.recovered.error());
+    LocalGroup& localGroup = this->groups.at(reopened.group);
+    localGroup.reopening = false;
+    localGroup.reopenAt.reset();
+    localGroup.replica->Stop(reopened.recovered.error());
   }
 }
 
 void
 AgreementModule::AddMachine(const GroupId& aGroup,
-                            StateMachineId aPart,
+                            StateMachineId aMachineId,
                             ReplicatedStateMachine& aMachine)
 {
-  this->registrations.push_back(Registration{ aGroup, aPart, &aMachine });
+  this->registrations.push_back(Registration{ aGroup, aMachineId, &aMachine });
   const auto found = this->groups.find(aGroup);
   if (found != this->groups.end()) {
-    found->second.replica->Machines().Add(aPart, aMachine);
+    found->second.replica->Machines().Add(aMachineId, aMachine);
   }
 }
 
 void
 AgreementModule::Propose(const GroupId& aGroup,
-                         StateMachineId aPart,
+                         StateMachineId aMachineId,
                          std::string aCommand,
                          Duration aTimeout,
                          ProposalDone aDone)
 {
-  this->tracker.Start(aGroup,
-                      ListedVoters(this->setup.hosts, aGroup),
-                      aPart,
-                      std::move(aCommand),
-                      aTimeout,
-                      std::move(aDone));
+  this->forwarder.Start(aGroup,
+                        ListedVoters(this->options.hosts, aGroup),
+                        aMachineId,
+                        std::move(aCommand),
+                        aTimeout,
+                        std::move(aDone));
 }
 
 GroupStatus
@@ -245,24 +245,24 @@
   }
   GroupStatus status;
   status.group = aGroup;
-  status.leader = this->tracker.LastLeader(aGroup);
+  status.leader = this->forwarder.LastLeader(aGroup);
   return status;
 }
 
 void
-AgreementModule::KnowHost(const HostId& aHost)
+AgreementModule::AddDiscoveredHost(const HostId& aHost)
 {
-  for (const PeerSettings& known : this->setup.hosts) {
+  for (const PeerSettings& known : this->options.hosts) {
     if (known.host == aHost) {
       return;
     }
   }
-  PeerSettings learnt;
-  learnt.host = aHost;
-  learnt.disk = true;
-  this->setup.hosts.push_back(std::move(learnt));
-  for (auto& [group, held] : this->groups) {
-    held.replica->AddDiscoveredHost(aHost);
+  PeerSettings discovered;
+  discovered.host = aHost;
+  discovered.disk = true;
+  this->options.hosts.push_back(std::move(discovered));
+  for (auto& [group, localGroup] : this->groups) {
+    localGroup.replica->AddDiscoveredHost(aHost);
   }
 }
 
@@ -296,7 +296,7 @@
   AgreementMessage& message = decoded.value();
   message.group = aMessage.group;
   message.fromHost = aFrom;
-  message.toHost = this->setup.host;
+  message.toHost = this->options.host;
   this->Deliver(message);
 }
 
@@ -306,23 +306,23 @@
   this->TakeCompletions();
   this->TakeReopened();
   this->ReopenFailed(aNow);
-  this->tracker.Tick();
-  for (auto& [group, held] : this->groups) {
-    held.replica->Tick();
-    this->tracker.ReportLeader(group, held.replica->Status().leader);
+  this->forwarder.Tick();
+  for (auto& [group, localGroup] : this->groups) {
+    localGroup.replica->Tick();
+    this->forwarder.ReportLeader(group, localGroup.replica->Status().leader);
   }
-  this->Pump();
-  for (auto& [group, held] : this->groups) {
-    this->NoteChanges(group, held);
-    this->RegisterFounding(group, held);
+  this->ProcessMessages();
+  for (auto& [group, localGroup] : this->groups) {
+    this->LogChanges(group, localGroup);
+    this->RegisterFormation(group, localGroup);
   }
 }
 
 void
 AgreementModule::OnShutdown()
 {
-  for (auto& [group, held] : this->groups) {
-    held.replica->TransferLeadership();
+  for (auto& [group, localGroup] : this->groups) {
+    localGroup.replica->TransferLeadership();
   }
 }
 
@@ -339,15 +339,14 @@
   }
 }
 
-// Moves messages until nothing is left that this host can do by itself.
 void
-AgreementModule::Pump()
+AgreementModule::ProcessMessages()
 {
   bool moved = true;
   while (moved) {
-    moved = this->PumpTracker();
-    for (auto& [group, held] : this->groups) {
-      moved |= this->PumpGroup(group, held);
+    moved = this->SendProposals();
+    for (auto& [group, localGroup] : this->groups) {
+      moved |= this->ProcessGroupActions(group, localGroup);
     }
     while (!this->toSelf.empty()) {
       const AgreementMessage message = std::move(this->toSelf.front());
@@ -359,9 +358,9 @@
 }
 
 bool
-AgreementModule::PumpGroup(const GroupId& aGroup, HeldGroup& aHeld)
+AgreementModule::ProcessGroupActions(const GroupId& aGroup, LocalGroup& aLocalGroup)
 {
-  GroupActions actions = aHeld.replica->TakeActions();
+  GroupActions actions = aLocalGroup.replica->TakeActions();
   const bool moved = actions.persist.has_value() || !actions.messages.empty();
   if (actions.persist) {
     this->writer.Write(aGroup, std::move(*actions.persist));
@@ -373,9 +372,9 @@
 }
 
 bool
-AgreementModule::PumpTracker()
+AgreementModule::SendProposals()
 {
-  std::vector<AgreementMessage> messages = this->tracker.TakeMessages();
+  std::vector<AgreementMessage> messages = this->forwarder.TakeMessages();
   for (AgreementMessage& message : messages) {
     this->Send(std::move(message));
   }
@@ -385,21 +384,21 @@
 void
 AgreementModule::Send(AgreementMessage aMessage)
 {
-  if (aMessage.toHost == this->setup.host) {
+  if (aMessage.toHost == this->options.host) {
     this->toSelf.push_back(std::move(aMessage));
     return;
   }
   PeerMessage message{ Channel::Agreement, aMessage.group, EncodeAgreementMessage(aMessage) };
-  this->setup.peers.Send(aMessage.toHost, std::move(message));
+  this->options.peers.Send(aMessage.toHost, std::move(message));
 }
 
 void
 AgreementModule::Deliver(const AgreementMessage& aMessage)
 {
-  const bool forTracker = std::holds_alternative<ProposalAnswer>(aMessage.body) ||
-                          std::holds_alternative<ProposalRefusal>(aMessage.body);
-  if (forTracker) {
-    this->tracker.Receive(aMessage);
+  const bool forForwarder = std::holds_alternative<ProposalAnswer>(aMessage.body) ||
+                            std::holds_alternative<ProposalRefusal>(aMessage.body);
+  if (forForwarder) {
+    this->forwarder.Receive(aMessage);
     return;
   }
   const auto found = this->groups.find(aMessage.group);
@@ -409,60 +408,62 @@
 }
 
 void
-AgreementModule::NoteChanges(const GroupId& aGroup, HeldGroup& aHeld)
+AgreementModule::LogChanges(const GroupId& aGroup, LocalGroup& aLocalGroup)
 {
-  const std::optional<Error>& failure = aHeld.replica->Failure();
-  if (failure && !aHeld.failureLogged) {
-    aHeld.failureLogged = true;
+  const std::optional<Error>& failure = aLocalGroup.replica->Failure();
+  if (failure && !aLocalGroup.failureLogged) {
+    aLocalGroup.failureLogged = true;
     LogEvent(LogLevel::Error, "replica_stopped").With("group", aGroup).With("error", *failure);
   }
-  const bool leading = aHeld.replica->Status().leading;
-  if (leading && !aHeld.wasLeading) {
-    this->setup.metrics.Add(Counter::Elections, MetricKey{ {}, aGroup.Value() }, 1);
+  const bool leading = aLocalGroup.replica->Status().leading;
+  if (leading && !aLocalGroup.wasLeading) {
+    this->options.metrics.Add(Counter::Elections, MetricKey{ {}, aGroup.Value() }, 1);
     LogEvent(LogLevel::Info, "leader_elected")
       .With("group", aGroup)
-      .With("term", aHeld.replica->Status().term);
+      .With("term", aLocalGroup.replica->Status().term);
   }
-  aHeld.wasLeading = leading;
-  const Membership& membership = aHeld.replica->Core().Log().NewestMembership();
-  if (membership != aHeld.lastMembership) {
-    aHeld.lastMembership = membership;
+  aLocalGroup.wasLeading = leading;
+  const Membership& membership = aLocalGroup.replica->Core().Log().NewestMembership();
+  if (membership != aLocalGroup.lastMembership) {
+    aLocalGroup.lastMembership = membership;
     LogEvent(LogLevel::Info, "membership_changed")
       .With("group", aGroup)
       .With("members", FormatMembership(membership));
   }
 }
 
-// The leader of a claims group learns from the control group which founding of the group it leads,
-// and then tells the group itself.
+// The leader of a claims group asks the control group for the incarnation that it leads, and then
+// commits it to the claims group.
 void
-AgreementModule::RegisterFounding(const GroupId& aGroup, HeldGroup& aHeld)
+AgreementModule::RegisterFormation(const GroupId& aGroup, LocalGroup& aLocalGroup)
 {
-  const bool known = aHeld.life == nullptr || aHeld.life->Current().incarnation != Incarnation();
-  if (known || aHeld.registering || !aHeld.replica->Core().LeaseHeld()) {
+  const bool known = aLocalGroup.incarnation == nullptr ||
+                     aLocalGroup.incarnation->Current().incarnation != Incarnation();
+  if (known || aLocalGroup.registering || !aLocalGroup.replica->Core().LeaseHeld()) {
     return;
   }
-  aHeld.registering = true;
-  this->Propose(
-    ControlGroupId(),
-    StateMachineId::Groups,
-    EncodeRegistration(aGroup, aHeld.replica->Core().Formation()),
-    kRegistrationTimeout,
-    [this, aGroup](const Result<std::string>& aAnswer) { this->TakeFounding(aGroup, aAnswer); });
+  aLocalGroup.registering = true;
+  this->Propose(ControlGroupId(),
+                StateMachineId::Groups,
+                EncodeRegistration(aGroup, aLocalGroup.replica->Core().Formation()),
+                kRegistrationTimeout,
+                [this, aGroup](const Result<std::string>& aAnswer) {
+                  this->OnFormationRegistered(aGroup, aAnswer);
+                });
 }
 
 void
-AgreementModule::TakeFounding(const GroupId& aGroup, const Result<std::string>& aAnswer)
+AgreementModule::OnFormationRegistered(const GroupId& aGroup, const Result<std::string>& aAnswer)
 {
-  const auto founding =
+  const auto registered =
     aAnswer ? DecodeGroupIncarnation(aAnswer.value()) : Result<GroupIncarnation>(aAnswer.error());
-  if (!founding || founding.value().incarnation == Incarnation()) {
+  if (!registered || registered.value().incarnation == Incarnation()) {
     this->groups.at(aGroup).registering = false;
     return;
   }
   LogEvent(LogLevel::Info, "group_registered")
     .With("group", aGroup)
-    .With("incarnation", founding.value().incarnation);
+    .With("incarnation", registered.value().incarnation);
   this->Propose(aGroup,
                 StateMachineId::Groups,
                 aAnswer.value(),
--- a/src/program/AgreementPart.h
+++ b/src/program/AgreementSubsystem.h
@@ -1,4 +1,4 @@
-// Agreement of one host: the replicas of its groups and the way to all others.
+// Agreement on one host: the replicas of its groups, and proposals to all other groups.
 #pragma once
 
 #include "AgreementModule.h"
@@ -7,15 +7,16 @@
 
 namespace damasklink {
 
-class AgreementPart
+// Owns the AgreementModule of a host.
+class AgreementSubsystem
 {
 public:
-  explicit AgreementPart(const HostContext& aContext);
+  explicit AgreementSubsystem(const HostContext& aContext);
 
   Replicator& Groups() { return this->module; }
 
-  // Opens the data folder and adds the module to the control loop. Requires to be called before
-  // the loop starts. Fails when the data folder is damaged or in use.
+  // Opens the data folder and adds the module to the control loop. To be called before the loop
+  // starts. Fails when the data folder is damaged or in use.
   Result<void> Start();
 
   void AddRoutes(const HostServers& aServers);
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -2,7 +2,7 @@
 
 #include "ControlCallHandler.h"
 #include "ControlPicture.h"
-#include "MetricsPage.h"
+#include "MetricsServer.h"
 #include "PictureTeller.h"
 #include "RefusalProposer.h"
 #include "RolloutExecutor.h"
@@ -146,7 +146,7 @@
   RefusalProposer refusals{ this->loop, this->group, this->crashes };
   PictureTeller publisher{ this->clock, this->settings, this->group, this->stores, this->tracker,
                            this->hosts, this->crashes,  this->mesh,  this->account };
-  MetricsPage metricsPage{ this->loop, this->metrics, this->settings.host };
+  MetricsServer metricsPage{ this->loop, this->metrics, this->settings.host };
   ControlCallHandler calls;
   ConnectionListener callers{ this->loop };
   ServingSignals signals;
--- a/src/program/ReusePart.cpp
+++ b/src/program/ReuseSubsystem.cpp
@@ -1,57 +1,58 @@
-#include "ReusePart.h"
+#include "ReuseSubsystem.h"
 
 #include "Responses.h"
 
 namespace damasklink {
 namespace {
 
-constexpr std::size_t kMostCalls = 1024;
-// Answered prompts that wait to be exported; later ones are not kept.
-constexpr std::size_t kMostKept = 4096;
+// Calls to stores and engines that wait; later ones are dropped.
+constexpr std::size_t kMaxCalls = 1024;
+// Answered prompts that wait for their export; later ones are not stored.
+constexpr std::size_t kMaxExports = 4096;
 
 } // namespace
 
-ReusePart::ReusePart(const HostContext& aContext, Replicator& aGroups)
+ReuseSubsystem::ReuseSubsystem(const HostContext& aContext, Replicator& aGroups)
   : context(aContext)
   , groups(aGroups)
   , router(new CostRouter(aContext.clock, CostRouterOptions()))
   , routing(std::unique_ptr<Router>(this->router))
-  , work(kMostCalls)
+  , work(kMaxCalls)
   , stores{ aGroups, this->routing, *this->router, this->answers, this->work }
   , module(aContext, this->stores)
-  , keeper(kMostKept)
-  , reuse(aContext, this->stores, this->module, this->keeper)
+  , exporter(kMaxExports)
+  , reuse(aContext, this->stores, this->module, this->exporter)
 {
 }
 
-ReusePart::~ReusePart()
+ReuseSubsystem::~ReuseSubsystem()
 {
-  // Their tasks use the other members.
-  this->keeper.Stop();
+  // Stopped first: their tasks use the other members.
+  this->exporter.Stop();
   this->work.Stop();
 }
 
 Result<void>
-ReusePart::Start()
+ReuseSubsystem::Start()
 {
   this->groups.AddMachine(
     ClaimsGroupId(this->context.settings.zone), StateMachineId::Leases, this->leases);
   this->context.control.Add(Channel::Stores, this->module);
   this->work.Start();
-  this->keeper.Start();
+  this->exporter.Start();
   return Success();
 }
 
 void
-ReusePart::AddRoutes(const HostServers& aServers)
+ReuseSubsystem::AddRoutes(const HostServers& aServers)
 {
   aServers.targets.Route("POST", kCacheEventPath, [this](const HttpRequest& aRequest) {
-    return this->TakeCacheEvent(aRequest);
+    return this->HandleCacheEvent(aRequest);
   });
 }
 
 HttpResponse
-ReusePart::TakeCacheEvent(const HttpRequest& aRequest)
+ReuseSubsystem::HandleCacheEvent(const HttpRequest& aRequest)
 {
   if (auto checked = CheckKey(aRequest, this->context.settings.targetKeys); !checked) {
     return RefusalResponse(checked.error());
@@ -60,11 +61,11 @@
   if (!event) {
     return RefusalResponse(event.error());
   }
-  const bool taken = this->context.control.Post(
-    [this, taken = std::move(event.value())] { this->module.TakeCacheEvent(taken); });
-  if (!taken) {
+  const bool posted = this->context.control.Post(
+    [this, received = std::move(event.value())] { this->module.HandleCacheEvent(received); });
+  if (!posted) {
     return RefusalResponse(
-      Error{ ErrorKind::Overloaded, "the host has no room for the event", "send it again" });
+      Error{ ErrorKind::Overloaded, "the control thread is overloaded", "send it again" });
   }
   return TextResponse("{}");
 }
--- a/src/program/ServingGroup.cpp
+++ b/src/program/ServingGroup.cpp
@@ -66,7 +66,7 @@
   this->agreement.AddMachine(ControlGroupId(), StateMachineId::Serving, this->machine);
 }
 
-AgreementSetup
+AgreementOptions
 ServingGroup::Setup(Metrics& aMetrics, PeerSender& aPeers)
 {
   std::vector<HostId> hosts = this->settings.seeds;
@@ -76,7 +76,7 @@
   if (!listed && !this->settings.firstStart) {
     hosts.push_back(this->settings.host);
   }
-  return AgreementSetup{
+  return AgreementOptions{
     this->clock,
     aMetrics,
     aPeers,
--- a/src/program/ServingGroup.h
+++ b/src/program/ServingGroup.h
@@ -45,7 +45,7 @@
   const ServingStateMachine& State() const { return this->machine; }
 
   void OnPeerMessage(const HostId& aFrom, const PeerMessage& aMessage);
-  void AddDiscoveredHost(const HostId& aHost) { this->agreement.KnowHost(aHost); }
+  void AddDiscoveredHost(const HostId& aHost) { this->agreement.AddDiscoveredHost(aHost); }
 
   // Transfers leadership to another host, because the process stops.
   void TransferLeadership();
@@ -69,7 +69,7 @@
   // The result of a command, and the timer that wakes the coroutine waiting for it.
   struct PendingCommit;
 
-  AgreementSetup Setup(Metrics& aMetrics, PeerSender& aPeers);
+  AgreementOptions Setup(Metrics& aMetrics, PeerSender& aPeers);
   const GroupReplica* WorkingReplica() const;
 
   asio::io_context& loop;
--- a/src/program/StoresModule.cpp
+++ b/src/program/StoresModule.cpp
@@ -12,16 +12,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kShareEvery = milliseconds(100);
-constexpr Duration kCareEvery = seconds(1);
-constexpr Duration kLease = seconds(6);
-// The owner stops that much before its lease ends, by its own clock from when it asked.
+constexpr Duration kBroadcastInterval = milliseconds(100);
+constexpr Duration kLeaseCheckInterval = seconds(1);
+constexpr Duration kLeaseLength = seconds(6);
+// The owner stops using its lease this long before the end, counted by its own clock from the time
+// of the request.
 constexpr Duration kLeaseMargin = seconds(1);
-// An owner that was not heard of for so long may be gone; its lease decides.
-constexpr Duration kOwnerSilence = seconds(3);
+// After this time without a notice from the owner its lease is requested; the claims group grants
+// it only when the owner's lease has ended.
+constexpr Duration kOwnerTimeout = seconds(3);
 constexpr Duration kProposalTimeout = seconds(2);
 constexpr Duration kCallTimeout = seconds(2);
-constexpr ByteCount kMostInventory{ 256 * kMebibyte };
+constexpr ByteCount kMaxInventory{ 256 * kMebibyte };
 constexpr int kOk = 200;
 
 HttpCall
@@ -38,13 +40,13 @@
 
 } // namespace
 
-// Sorts messages by their kind.
-struct StoresModule::Receiver
+// Handles a message by its type.
+struct StoresModule::MessageHandler
 {
   StoresModule& module;
   const HostId& from;
 
-  void operator()(const OwnerNotice& aNotice) const { this->module.TakeOwnerNotice(aNotice); }
+  void operator()(const OwnerNotice& aNotice) const { this->module.ApplyOwnerNotice(aNotice); }
 
   void operator()(const StoreQuestion& aQuestion) const
   {
@@ -95,40 +97,40 @@
 void
 StoresModule::Ask(StoreQuestion aQuestion)
 {
-  const auto mine = this->owned.find(aQuestion.store);
-  if (mine != this->owned.end()) {
-    this->stores.answers.Fulfil(mine->second->Answer(aQuestion));
+  const auto ownedStore = this->owned.find(aQuestion.store);
+  if (ownedStore != this->owned.end()) {
+    this->stores.answers.Fulfil(ownedStore->second->Answer(aQuestion));
     return;
   }
-  const auto other = this->others.find(aQuestion.store);
-  if (other != this->others.end()) {
-    this->Send(other->second.host, std::move(aQuestion));
+  const auto knownOwner = this->knownOwners.find(aQuestion.store);
+  if (knownOwner != this->knownOwners.end()) {
+    this->Send(knownOwner->second.host, std::move(aQuestion));
     return;
   }
-  StoreAnswer nobody;
-  nobody.number = aQuestion.number;
-  nobody.status = AnswerStatus::NotOwner;
-  this->stores.answers.Fulfil(nobody);
+  StoreAnswer notOwner;
+  notOwner.number = aQuestion.number;
+  notOwner.status = AnswerStatus::NotOwner;
+  this->stores.answers.Fulfil(notOwner);
 }
 
 void
-StoresModule::Tell(const StoreOutcome& aOutcome)
+StoresModule::ReportOutcome(const StoreOutcome& aOutcome)
 {
-  const auto mine = this->owned.find(aOutcome.store);
-  if (mine != this->owned.end()) {
-    mine->second->OnOutcome(aOutcome);
+  const auto ownedStore = this->owned.find(aOutcome.store);
+  if (ownedStore != this->owned.end()) {
+    ownedStore->second->OnOutcome(aOutcome);
     return;
   }
-  const auto other = this->others.find(aOutcome.store);
-  if (other != this->others.end()) {
-    this->Send(other->second.host, aOutcome);
+  const auto knownOwner = this->knownOwners.find(aOutcome.store);
+  if (knownOwner != this->knownOwners.end()) {
+    this->Send(knownOwner->second.host, aOutcome);
   }
 }
 
 void
-StoresModule::TakeCacheEvent(const CacheEvent& aEvent)
+StoresModule::HandleCacheEvent(const CacheEvent& aEvent)
 {
-  Receiver{ *this, this->context.settings.host }(aEvent);
+  MessageHandler{ *this, this->context.settings.host }(aEvent);
   this->Broadcast(aEvent);
 }
 
@@ -142,20 +144,20 @@
       .With("error", message.error());
     return;
   }
-  std::visit(Receiver{ *this, aFrom }, message.value());
+  std::visit(MessageHandler{ *this, aFrom }, message.value());
 }
 
 void
 StoresModule::OnTick(MonotonicTime aNow)
 {
-  if (aNow >= this->nextShare) {
-    this->nextShare = aNow + kShareEvery;
-    this->ShareSends();
-    this->CareForOwned(aNow);
+  if (aNow >= this->nextBroadcast) {
+    this->nextBroadcast = aNow + kBroadcastInterval;
+    this->BroadcastSends();
+    this->MaintainOwnedStores(aNow);
   }
-  if (aNow >= this->nextCare && !this->leaving) {
-    this->nextCare = aNow + kCareEvery;
-    this->CareForLeases(aNow);
+  if (aNow >= this->nextLeaseCheck && !this->leaving) {
+    this->nextLeaseCheck = aNow + kLeaseCheckInterval;
+    this->MaintainLeases(aNow);
     this->FetchSnapshots();
   }
 }
@@ -164,28 +166,28 @@
 StoresModule::OnShutdown()
 {
   this->leaving = true;
-  const auto given = std::exchange(this->owned, {});
-  for (const auto& [store, owned] : given) {
-    this->AskLease(store, Duration(0));
+  const auto released = std::exchange(this->owned, {});
+  for (const auto& [store, owned] : released) {
+    this->RequestLease(store, Duration(0));
   }
 }
 
 void
-StoresModule::TakeOwnerNotice(const OwnerNotice& aNotice)
+StoresModule::ApplyOwnerNotice(const OwnerNotice& aNotice)
 {
-  KnownOwner& known = this->others[aNotice.store];
+  KnownOwner& known = this->knownOwners[aNotice.store];
   if (aNotice.fencing < known.fencing) {
     return;
   }
   known = { aNotice.owner, aNotice.fencing, this->context.clock.MonotonicNow() };
-  const auto mine = this->owned.find(aNotice.store);
-  if (mine != this->owned.end() && mine->second->Fencing() < aNotice.fencing) {
-    this->owned.erase(mine);
+  const auto ownedStore = this->owned.find(aNotice.store);
+  if (ownedStore != this->owned.end() && ownedStore->second->Fencing() < aNotice.fencing) {
+    this->owned.erase(ownedStore);
   }
 }
 
 void
-StoresModule::ShareSends()
+StoresModule::BroadcastSends()
 {
   SendsNotice sends;
   this->stores.routing.Run([&] { sends = this->stores.router.TakeSends(); });
@@ -195,7 +197,7 @@
 }
 
 void
-StoresModule::CareForOwned(MonotonicTime /*aNow*/)
+StoresModule::MaintainOwnedStores(MonotonicTime /*aNow*/)
 {
   std::set<ModelVersion> served;
   for (const TargetRecord& target : this->context.publisher.Current().targets) {
@@ -212,7 +214,7 @@
 }
 
 void
-StoresModule::CareForLeases(MonotonicTime aNow)
+StoresModule::MaintainLeases(MonotonicTime aNow)
 {
   std::erase_if(this->owned, [](const auto& aOwned) { return !aOwned.second->HoldsLease(); });
   for (const TargetRecord& target : this->context.publisher.Current().targets) {
@@ -220,44 +222,47 @@
       continue;
     }
     const StoreId store(target.id.Value());
-    const auto other = this->others.find(store);
-    const bool othersOwn =
-      other != this->others.end() && aNow - other->second.heard < kOwnerSilence;
-    const auto mine = this->owned.find(store);
-    if (mine != this->owned.end()) {
-      this->Broadcast(OwnerNotice{ store, this->context.settings.host, mine->second->Fencing() });
+    const auto knownOwner = this->knownOwners.find(store);
+    const bool ownedElsewhere =
+      knownOwner != this->knownOwners.end() && aNow - knownOwner->second.receivedAt < kOwnerTimeout;
+    const auto ownedStore = this->owned.find(store);
+    if (ownedStore != this->owned.end()) {
+      this->Broadcast(
+        OwnerNotice{ store, this->context.settings.host, ownedStore->second->Fencing() });
     }
-    if (mine != this->owned.end() || !othersOwn) {
-      this->AskLease(store, kLease);
+    if (ownedStore != this->owned.end() || !ownedElsewhere) {
+      this->RequestLease(store, kLeaseLength);
     }
   }
 }
 
 void
-StoresModule::AskLease(const StoreId& aStore, Duration aLength)
+StoresModule::RequestLease(const StoreId& aStore, Duration aLength)
 {
-  const MonotonicTime asked = this->context.clock.MonotonicNow();
+  const MonotonicTime requestedAt = this->context.clock.MonotonicNow();
   const LeaseCommand command{ aStore, this->context.settings.host, aLength };
   this->stores.groups.Propose(ClaimsGroupId(this->context.settings.zone),
                               StateMachineId::Leases,
                               EncodeLeaseCommand(command),
                               kProposalTimeout,
-                              [this, aStore, asked](Result<std::string> aAnswer) {
+                              [this, aStore, requestedAt](Result<std::string> aAnswer) {
                                 auto lease = aAnswer ? DecodeLease(aAnswer.value())
                                                      : Result<StoreLease>(Fail(aAnswer.error()));
                                 if (lease) {
-                                  this->TakeLease(aStore, asked, lease.value());
+                                  this->ApplyLease(aStore, requestedAt, lease.value());
                                 }
                               });
 }
 
 void
-StoresModule::TakeLease(const StoreId& aStore, MonotonicTime aAsked, const StoreLease& aLease)
+StoresModule::ApplyLease(const StoreId& aStore,
+                         MonotonicTime aRequestedAt,
+                         const StoreLease& aLease)
 {
-  const auto mine = this->owned.find(aStore);
+  const auto ownedStore = this->owned.find(aStore);
   if (this->leaving || aLease.owner != this->context.settings.host) {
-    if (mine != this->owned.end()) {
-      this->owned.erase(mine);
+    if (ownedStore != this->owned.end()) {
+      this->owned.erase(ownedStore);
     }
     return;
   }
@@ -265,21 +270,21 @@
   if (store == nullptr) {
     return;
   }
-  if (mine == this->owned.end() || mine->second->Fencing() != aLease.fencing) {
-    this->Own(*store, aLease);
+  if (ownedStore == this->owned.end() || ownedStore->second->Fencing() != aLease.fencing) {
+    this->AcquireStore(*store, aLease);
   }
-  this->owned.at(aStore)->Renew(aAsked + kLease - kLeaseMargin);
+  this->owned.at(aStore)->Renew(aRequestedAt + kLeaseLength - kLeaseMargin);
 }
 
 void
-StoresModule::Own(const TargetRecord& aStore, const StoreLease& aLease)
+StoresModule::AcquireStore(const TargetRecord& aStore, const StoreLease& aLease)
 {
   const StoreId store(aStore.id.Value());
   StoreManagerOptions options;
   options.store = store;
   options.declared = aStore.store;
   this->owned[store] = std::make_unique<LeasedStore>(this->context.clock, aLease.fencing, options);
-  this->others.erase(store);
+  this->knownOwners.erase(store);
   LogEvent(LogLevel::Info, "store_owned").With("store", store).With("fencing", aLease.fencing);
   this->FetchInventory(store, aLease.fencing, aStore.endpoint);
 }
@@ -290,18 +295,18 @@
                              const Endpoint& aEndpoint)
 {
   this->stores.work.Add([this, aStore, aFencing, aEndpoint] {
-    const auto answer = CallHttp(CallTo(aEndpoint, "GET", kBlocksPath), kMostInventory);
+    const auto answer = CallHttp(CallTo(aEndpoint, "GET", kBlocksPath), kMaxInventory);
     std::vector<BlockHeader> inventory;
     if (answer && answer.value().status == kOk) {
       auto parsed = ParseInventory(answer.value().body);
       inventory = parsed ? std::move(parsed.value()) : std::vector<BlockHeader>();
     }
-    // A store that does not tell what it holds is taken as empty: its blocks are lost to reuse.
+    // A store whose inventory can't be read counts as empty, and its blocks are not reused.
     this->context.control.Post([this, aStore, aFencing, blocks = std::move(inventory)] {
-      const auto mine = this->owned.find(aStore);
-      if (mine != this->owned.end() && mine->second->Fencing() == aFencing &&
-          !mine->second->IsReady()) {
-        mine->second->Rebuild(blocks);
+      const auto ownedStore = this->owned.find(aStore);
+      if (ownedStore != this->owned.end() && ownedStore->second->Fencing() == aFencing &&
+          !ownedStore->second->IsReady()) {
+        ownedStore->second->Rebuild(blocks);
       }
     });
   });
@@ -319,7 +324,7 @@
   }
   HttpCall call = CallTo(store->endpoint, "POST", aPath);
   call.body = FormatStoreOrder({ aFencing, std::move(aBlocks) });
-  // An order that is lost leaves blocks behind at the store; the next owner finds them there.
+  // If an order is lost, its blocks stay at the store until the next owner reads the inventory.
   this->stores.work.Add(
     [call = std::move(call)]() mutable { (void)CallHttp(std::move(call), ByteCount(kMebibyte)); });
 }
@@ -335,7 +340,7 @@
       continue;
     }
     this->stores.work.Add([this, call = CallTo(engine->endpoint, "GET", kSnapshotPath)]() mutable {
-      const auto answer = CallHttp(std::move(call), kMostInventory);
+      const auto answer = CallHttp(std::move(call), kMaxInventory);
       if (!answer || answer.value().status != kOk) {
         return;
       }
--- a/src/program/RoutingDesk.h
+++ b/src/program/SynchronizedRouter.h
@@ -1,4 +1,4 @@
-// Shares one Router between the traffic threads.
+// A Router that is shared between threads.
 #pragma once
 
 #include <functional>
@@ -11,16 +11,16 @@
 
 namespace damasklink {
 
-// Holds the lock around a Router. Safe from any thread.
-class RoutingDesk
+// Serializes the calls to a Router with a lock. Thread-safe.
+class SynchronizedRouter
 {
 public:
-  explicit RoutingDesk(std::unique_ptr<Router> aRouter)
+  explicit SynchronizedRouter(std::unique_ptr<Router> aRouter)
     : router(std::move(aRouter))
   {
   }
 
-  // Chooses a target and counts the request as sent there.
+  // Chooses a target and counts the request as sent to it.
   Result<RouteDecision> ChooseAndSend(const RouteRequest& aRequest,
                                       const std::vector<TargetRecord>& aTargets)
   {
@@ -32,22 +32,22 @@
     return decision;
   }
 
-  void FirstToken(const RouteRequest& aRequest,
-                  const RouteDecision& aDecision,
-                  Duration aElapsed,
-                  TokenCount aReused)
+  void OnFirstToken(const RouteRequest& aRequest,
+                    const RouteDecision& aDecision,
+                    Duration aElapsed,
+                    TokenCount aReused)
   {
     absl::MutexLock lock(&this->mutex);
     this->router->OnFirstToken(aRequest, aDecision, aElapsed, aReused);
   }
 
-  void Done(const RouteRequest& aRequest, const RouteDecision& aDecision, bool aWhole)
+  void OnDone(const RouteRequest& aRequest, const RouteDecision& aDecision, bool aWhole)
   {
     absl::MutexLock lock(&this->mutex);
     this->router->OnDone(aRequest, aDecision, aWhole);
   }
 
-  // Runs an action that uses the router besides, under the lock.
+  // Runs an action under the lock, for callers that use the router directly.
   void Run(const std::function<void()>& aAction)
   {
     absl::MutexLock lock(&this->mutex);
--- a/test/program/AgreementModuleTest.cpp
+++ b/test/program/AgreementModuleTest.cpp
@@ -19,7 +19,7 @@
 
 const GroupId kClaims = ClaimsGroupId(ZoneId("north"));
 
-// Holds what hosts send each other until the test delivers it.
+// Queues the messages of a host until the test delivers them.
 class QueueSender final : public PeerSender
 {
 public:
@@ -31,7 +31,8 @@
   std::vector<std::pair<HostId, PeerMessage>> queue;
 };
 
-// A host without its threads but for the one that writes.
+// An AgreementModule with its context. Of the threads of a host only the log writer runs; the test
+// calls OnTick().
 struct TestHost
 {
   TestHost(const HostSettings& aSettings, const Clock& aClock)
@@ -58,7 +59,8 @@
   AgreementModule module;
 };
 
-// Zone north has host a with a disk and host d without; b and c have disks in other zones.
+// Zone north has host a with a disk and host d without one. Hosts b and c have disks in other
+// zones.
 class AgreementModuleTest : public ::testing::Test
 {
 protected:
@@ -95,7 +97,8 @@
     return opened;
   }
 
-  // Lets all hosts work for some time of the clock, their disks as fast as they need to be.
+  // Advances the clock by aTime in ticks. In each tick all hosts run, their writes are completed
+  // and their messages delivered.
   void Run(Duration aTime)
   {
     for (Duration passed{}; passed < aTime; passed += kControlTick) {
@@ -115,17 +118,21 @@
     }
   }
 
-  // Returns the answer, or the name of the error.
-  std::string Propose(const std::string& aHost, const GroupId& aGroup, StateMachineId aPart)
+  // Proposes a command and returns the answer, or the name of the error.
+  std::string Propose(const std::string& aHost, const GroupId& aGroup, StateMachineId aMachineId)
   {
-    std::string ended;
+    std::string outcome;
     this->hosts.at(HostId(aHost))
-      ->module.Propose(
-        aGroup, aPart, "command", std::chrono::seconds(4), [&](const Result<std::string>& aAnswer) {
-          ended = aAnswer ? aAnswer.value() : std::string(ErrorKindName(aAnswer.error().kind));
-        });
+      ->module.Propose(aGroup,
+                       aMachineId,
+                       "command",
+                       std::chrono::seconds(4),
+                       [&](const Result<std::string>& aAnswer) {
+                         outcome = aAnswer ? aAnswer.value()
+                                           : std::string(ErrorKindName(aAnswer.error().kind));
+                       });
     this->Run(std::chrono::seconds(5));
-    return ended;
+    return outcome;
   }
 
   TestHost& Host(const std::string& aHost) { return *this->hosts.at(HostId(aHost)); }
@@ -136,7 +143,7 @@
   std::map<HostId, std::unique_ptr<TestHost>> hosts;
 };
 
-TEST_F(AgreementModuleTest, HostWithoutDiskReachesEveryGroup)
+TEST_F(AgreementModuleTest, ProposesToEveryGroupFromHostWithoutDisk)
 {
   EXPECT_EQ(this->Propose("d", ControlGroupId(), StateMachineId::Configuration), "command");
   EXPECT_EQ(this->Propose("d", kClaims, StateMachineId::Claims), "command");
@@ -145,12 +152,12 @@
   EXPECT_EQ(this->Host("d").module.Status(kClaims).leader, HostId("a"));
 }
 
-TEST_F(AgreementModuleTest, PartThatNoHostHoldsIsSurelyNotApplied)
+TEST_F(AgreementModuleTest, RefusesCommandForUnregisteredStateMachine)
 {
   EXPECT_EQ(this->Propose("d", kClaims, StateMachineId::Leases), "unavailable");
 }
 
-TEST_F(AgreementModuleTest, CutOffZoneGoesOnClaiming)
+TEST_F(AgreementModuleTest, IsolatedZoneContinuesToCommitClaims)
 {
   this->Run(std::chrono::seconds(6));
   this->hosts.erase(HostId("b"));
@@ -161,7 +168,7 @@
   EXPECT_FALSE(this->Host("a").module.Status(ControlGroupId()).leaseHeld);
 }
 
-TEST_F(AgreementModuleTest, RestartKeepsEverything)
+TEST_F(AgreementModuleTest, RestoresStateAfterRestart)
 {
   this->Propose("a", kClaims, StateMachineId::Claims);
   this->hosts.erase(HostId("a"));
@@ -172,7 +179,7 @@
   EXPECT_EQ(this->Host("a").claims.last.incarnation, Incarnation(1));
 }
 
-TEST_F(AgreementModuleTest, ClaimsGroupThatLostItsDisksKnowsThatItIsAnother)
+TEST_F(AgreementModuleTest, AssignsNewIncarnationToClaimsGroupThatLostItsDisks)
 {
   this->Propose("a", kClaims, StateMachineId::Claims);
   const WallTime before = this->clock.WallNow();
@@ -185,21 +192,22 @@
   EXPECT_GT(this->Host("a").claims.last.formedAt, before);
 }
 
-TEST_F(AgreementModuleTest, DataFolderInUseIsRefused)
+TEST_F(AgreementModuleTest, RefusesDataFolderInUse)
 {
   auto second = this->Start(HostId("a"));
   ASSERT_FALSE(second);
   EXPECT_EQ(second.error().kind, ErrorKind::Conflict);
 }
 
-TEST_F(AgreementModuleTest, DamagedMessageIsBorne)
+TEST_F(AgreementModuleTest, IgnoresDamagedMessage)
 {
   this->Host("a").module.OnPeerMessage(
     HostId("b"), PeerMessage{ Channel::Agreement, ControlGroupId(), "damaged" });
   EXPECT_EQ(this->Propose("a", ControlGroupId(), StateMachineId::Configuration), "command");
 }
 
-// Three hosts with a disk each that a test can fill; a replica waits for its disk.
+// Three hosts, each with a disk that a test can fill. A replica whose disk is full is reopened
+// until the disk has space.
 class FullDiskTest : public ::testing::Test
 {
 protected:
@@ -207,18 +215,18 @@
   {
     FillableHost(const Clock& aClock, const std::vector<PeerSettings>& aPeers, HostId aSelf)
       : self(std::move(aSelf))
-      , module(AgreementSetup{ aClock,
-                               metrics,
-                               sender,
-                               [] {},
-                               self,
-                               folder.Path() + "/data",
-                               aPeers,
-                               { ControlGroupId() },
-                               RaftTiming(),
-                               true,
-                               std::nullopt,
-                               std::chrono::seconds(1) },
+      , module(AgreementOptions{ aClock,
+                                 metrics,
+                                 sender,
+                                 [] {},
+                                 self,
+                                 folder.Path() + "/data",
+                                 aPeers,
+                                 { ControlGroupId() },
+                                 RaftTiming(),
+                                 true,
+                                 std::nullopt,
+                                 std::chrono::seconds(1) },
                std::make_unique<testing::FullDisk>(full))
     {
       this->module.AddMachine(ControlGroupId(), StateMachineId::Serving, this->machine);
@@ -263,7 +271,7 @@
     }
   }
 
-  // Puts a document and returns whether that was answered.
+  // Proposes a document and returns whether it was acknowledged.
   bool Put(const std::string& aHost, std::uint64_t aVersion)
   {
     bool acknowledged = false;
@@ -280,7 +288,7 @@
 
   FillableHost& Host(const std::string& aName) { return *this->hosts.at(HostId(aName)); }
 
-  bool Works(const std::string& aName)
+  bool IsRunning(const std::string& aName)
   {
     return !this->Host(aName).module.ReplicaOf(ControlGroupId())->Failure();
   }
@@ -290,21 +298,22 @@
   std::map<HostId, std::unique_ptr<FillableHost>> hosts;
 };
 
-TEST_F(FullDiskTest, ReplicaWaitsForItsDiskAndCatchesUp)
+TEST_F(FullDiskTest, ReopensReplicaAndCatchesUpWhenDiskHasSpace)
 {
   ASSERT_TRUE(this->Put("a", 1));
   this->Host("b").full = true;
   EXPECT_TRUE(this->Put("a", 2));
-  EXPECT_FALSE(this->Works("b"));
+  EXPECT_FALSE(this->IsRunning("b"));
   EXPECT_FALSE(this->Host("b").module.FailureOf(ControlGroupId()));
   this->Host("b").full = false;
   this->Run(std::chrono::seconds(5));
-  EXPECT_TRUE(this->Works("b"));
+  EXPECT_TRUE(this->IsRunning("b"));
   EXPECT_EQ(this->Host("b").machine.Version(), Revision(2));
 }
 
-// With the disks of two of three full nothing may be acknowledged, and nothing that was is lost.
-TEST_F(FullDiskTest, NothingIsAcknowledgedWithoutAMajorityOfDisks)
+// While two of three disks are full, nothing may be acknowledged, and no acknowledged document may
+// be lost.
+TEST_F(FullDiskTest, AcknowledgesNothingWithoutMajorityOfDisks)
 {
   ASSERT_TRUE(this->Put("a", 1));
   this->Host("b").full = true;
@@ -318,8 +327,8 @@
   }
 }
 
-// All disks are full at once, several times: what was acknowledged before stays.
-TEST_F(FullDiskTest, AllDisksFullInTurnsLoseNothing)
+// All disks are full at once, several times. Documents acknowledged before must remain.
+TEST_F(FullDiskTest, KeepsAcknowledgedDocumentsWhenAllDisksFill)
 {
   for (std::uint64_t version = 1; version < 8; version += 2) {
     ASSERT_TRUE(this->Put("a", version));
--- a/test/program/ReusePartTest.cpp
+++ b/test/program/ReuseSubsystemTest.cpp
@@ -1,4 +1,4 @@
-#include "ReusePart.h"
+#include "ReuseSubsystem.h"
 
 #include <thread>
 
@@ -11,10 +11,11 @@
 
 constexpr std::uint64_t kPromptBlocks = 4;
 
-// Seconds of waiting that computing a thousand tokens anew is worth.
-constexpr double kDearRecompute = 1e6;
+// Objective: seconds of waiting that are worth as much as recomputing 1,000 tokens. So high that
+// any wait for an import is accepted.
+constexpr double kHighRecomputeCost = 1e6;
 
-// An engine that exports and imports whatever it is told to, and remembers the orders.
+// An engine that confirms all orders to export and import, and records the imports.
 class FakeEngine
 {
 public:
@@ -70,10 +71,10 @@
   HttpServer server;
 };
 
-class ReusePartTest : public TrafficFixture
+class ReuseSubsystemTest : public TrafficFixture
 {
 protected:
-  ReusePartTest()
+  ReuseSubsystemTest()
     : store(ScriptedTarget::Options())
   {
     this->store.Route("GET", kBlocksPath, [](const HttpRequest&) {
@@ -87,9 +88,9 @@
     this->StartHost();
   }
 
-  ~ReusePartTest() override { this->control.Stop(); }
+  ~ReuseSubsystemTest() override { this->control.Stop(); }
 
-  // Puts an engine and a store of the given zone into the view.
+  // Adds an engine and a store in the given zone to the view.
   void Announce(const std::string& aStoreZone)
   {
     TargetRecord engineRecord;
@@ -120,8 +121,8 @@
     return request;
   }
 
-  // Looks up until the owner knows of so many blocks.
-  RouteRequest LookUpUntilKept(std::uint64_t aBlocks)
+  // Repeats the look-up until the store's owner reports aBlocks stored blocks.
+  RouteRequest LookUpUntilStored(std::uint64_t aBlocks)
   {
     RouteRequest request = this->LookUp();
     while (request.stored.empty() || request.stored.front().blocks != aBlocks) {
@@ -131,19 +132,20 @@
     return request;
   }
 
-  // Serves a prompt and keeps it.
-  void Keep(const RouteRequest& aRequest)
+  // Handles the end of an answered prompt, which exports its blocks to the store.
+  void Store(const RouteRequest& aRequest)
   {
     ASSERT_TRUE(this->reuse.Routing().ChooseAndSend(aRequest, this->views.Get()->targets));
     this->reuse.Reuse().OnAnswered(aRequest, this->Decision(), AnswerUsage());
   }
 
-  // Brings until the engine got an order: on a loaded machine the owner's grant may come later than
-  // a prompt waits for it, and then the prompt is computed instead. An import is made worth waiting
-  // for, so that no second one is begun while the order of the first is on its way.
-  void BringUntilOrdered(RouteRequest aRequest, const RouteDecision& aDecision)
+  // Repeats the import until the engine gets an order: on a loaded machine the owner's grant may
+  // arrive after the wait for it has ended, and the prompt is then computed instead. The high cost
+  // of recomputing lengthens that wait, so that no second import starts while the first order is
+  // sent.
+  void ImportUntilOrdered(RouteRequest aRequest, const RouteDecision& aDecision)
   {
-    aRequest.objective.recompute = kDearRecompute;
+    aRequest.objective.recompute = kHighRecomputeCost;
     while (this->engine.Imports().empty()) {
       this->reuse.Reuse().ImportBlocks(aRequest, aDecision);
     }
@@ -164,13 +166,13 @@
   FakeEngine engine;
 };
 
-TEST_F(ReusePartTest, KeepsAnAnsweredPromptAndBringsItBack)
+TEST_F(ReuseSubsystemTest, ExportsAnsweredPromptAndImportsItAgain)
 {
   this->Announce("hall-north");
-  RouteRequest request = this->LookUpUntilKept(0);
-  this->Keep(request);
-  request = this->LookUpUntilKept(kPromptBlocks);
-  this->BringUntilOrdered(request, this->Decision());
+  RouteRequest request = this->LookUpUntilStored(0);
+  this->Store(request);
+  request = this->LookUpUntilStored(kPromptBlocks);
+  this->ImportUntilOrdered(request, this->Decision());
   const std::vector<ImportOrder> imports = this->engine.Imports();
   ASSERT_EQ(imports.size(), 1U);
   ASSERT_EQ(imports[0].blocks.size(), kPromptBlocks);
@@ -180,43 +182,43 @@
   EXPECT_GT(imports[0].blocks[0].generation, Generation());
 }
 
-TEST_F(ReusePartTest, BringsOnlyWhatTheTargetLacks)
+TEST_F(ReuseSubsystemTest, ImportsOnlyBlocksThatTargetLacks)
 {
   this->Announce("hall-north");
-  this->Keep(this->LookUpUntilKept(0));
-  const RouteRequest request = this->LookUpUntilKept(kPromptBlocks);
+  this->Store(this->LookUpUntilStored(0));
+  const RouteRequest request = this->LookUpUntilStored(kPromptBlocks);
   RouteDecision decision = this->Decision();
   decision.heldBlocks = 3;
-  this->BringUntilOrdered(request, decision);
+  this->ImportUntilOrdered(request, decision);
   ASSERT_EQ(this->engine.Imports().size(), 1U);
   EXPECT_EQ(this->engine.Imports()[0].blocks.size(), 1U);
 }
 
-TEST_F(ReusePartTest, BlockThatTheEngineRefusesIsNotOfferedAgain)
+TEST_F(ReuseSubsystemTest, DoesNotOfferBlockAgainThatEngineRefused)
 {
   this->Announce("hall-north");
-  this->Keep(this->LookUpUntilKept(0));
-  const RouteRequest request = this->LookUpUntilKept(kPromptBlocks);
+  this->Store(this->LookUpUntilStored(0));
+  const RouteRequest request = this->LookUpUntilStored(kPromptBlocks);
   {
     absl::MutexLock lock(&this->engine.mutex);
     this->engine.refuses = true;
   }
-  this->BringUntilOrdered(request, this->Decision());
+  this->ImportUntilOrdered(request, this->Decision());
   EXPECT_EQ(this->engine.Imports().size(), 1U);
-  this->LookUpUntilKept(0);
+  this->LookUpUntilStored(0);
 }
 
-TEST_F(ReusePartTest, ImportOverATooSlowLinkIsNotBegun)
+TEST_F(ReuseSubsystemTest, DoesNotImportOverTooSlowLink)
 {
   this->Announce("hall-north");
-  this->Keep(this->LookUpUntilKept(0));
-  RouteRequest request = this->LookUpUntilKept(kPromptBlocks);
+  this->Store(this->LookUpUntilStored(0));
+  RouteRequest request = this->LookUpUntilStored(kPromptBlocks);
   request.stored.front().freeBytesPerSecond = 1;
   this->reuse.Reuse().ImportBlocks(request, this->Decision());
   EXPECT_TRUE(this->engine.Imports().empty());
 }
 
-TEST_F(ReusePartTest, SilentOwnerCountsAsNothingKept)
+TEST_F(ReuseSubsystemTest, TreatsUnresponsiveStoreOwnerAsEmpty)
 {
   this->Announce("hall-south");
   const OwnerNotice notice{ StoreId("store-1"), HostId("south-1"), FencingNumber(5) };
@@ -230,10 +232,10 @@
   EXPECT_EQ(request.blocks.size(), kPromptBlocks);
 }
 
-TEST_F(ReusePartTest, NamesAreThoseOfTheWorkspaceAndVersion)
+TEST_F(ReuseSubsystemTest, NamesBlocksByWorkspaceAndVersion)
 {
   this->Announce("hall-north");
-  const RouteRequest request = this->LookUpUntilKept(0);
+  const RouteRequest request = this->LookUpUntilStored(0);
   const std::string prompt(kPromptBlocks * kBlockTokens * sizeof(Token), 'p');
   const BlockScope scope{
     WorkspaceId("office"), ModelName("plates-7b"), WeightVersion("v1"), AdapterName()
--- a/test/program/ServiceRelayTest.cpp
+++ b/test/program/ServiceRelayTest.cpp
@@ -10,7 +10,7 @@
 class ServiceRelayTest : public TrafficFixture
 {
 protected:
-  // A service that counts its runs and then answers as told.
+  // Returns the handler of a service that counts its runs and then answers with aAnswer.
   HttpHandler Counting(std::function<HttpResponse()> aAnswer)
   {
     return [this, answer = std::move(aAnswer)](const HttpRequest&) {
@@ -19,15 +19,15 @@
     };
   }
 
-  static HttpResponse Pressed()
+  static HttpResponse FixedAnswer()
   {
     HttpResponse response;
     response.body = "pressed";
     return response;
   }
 
-  // Breaks off in the middle of the answer.
-  static HttpResponse Cut()
+  // Closes the connection in the middle of the answer.
+  static HttpResponse InterruptedAnswer()
   {
     HttpResponse response;
     response.stream = [](StreamWriter& aWriter) {
@@ -37,11 +37,12 @@
     return response;
   }
 
-  // Makes calls while both targets break off, and expects each to be told so.
-  void PostToCutTargets(const std::string& aKey, int aCalls)
+  // Makes aCalls calls while both targets interrupt their answers. Expects that each call is
+  // reported as one that may have run.
+  void PostToInterruptingTargets(const std::string& aKey, int aCalls)
   {
-    const ScriptedTarget one(this->Counting(Cut));
-    const ScriptedTarget other(this->Counting(Cut));
+    const ScriptedTarget one(this->Counting(InterruptedAnswer));
+    const ScriptedTarget other(this->Counting(InterruptedAnswer));
     this->SetTargets(
       { one.Record("s-1", TargetKind::Service), other.Record("s-2", TargetKind::Service) });
     this->StartHost();
@@ -56,14 +57,15 @@
 
 constexpr int kConflict = 409;
 
-TEST_F(ServiceRelayTest, SecondCallWithTheSameKeyGetsTheKeptAnswer)
+TEST_F(ServiceRelayTest, ReplaysKeptAnswerForSecondCallWithSameKey)
 {
-  const ScriptedTarget service(this->Counting(Pressed));
+  const ScriptedTarget service(this->Counting(FixedAnswer));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
   EXPECT_EQ(this->Post("/services/plates/jobs", "17", "order-17").body, "pressed");
   HttpClientResponse second = this->Post("/services/plates/jobs", "17", "order-17");
-  // The end of the first run is committed without its caller waiting for it.
+  // The first call is answered before the end of its run is committed; until then a repeat
+  // conflicts.
   while (second.status == kConflict) {
     second = this->Post("/services/plates/jobs", "17", "order-17");
   }
@@ -71,9 +73,9 @@
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, CallsWithOneKeyAtTheSameMomentRunOnce)
+TEST_F(ServiceRelayTest, RunsConcurrentCallsWithSameKeyOnce)
 {
-  const ScriptedTarget service(this->Counting(Pressed));
+  const ScriptedTarget service(this->Counting(FixedAnswer));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
   std::vector<std::thread> callers;
@@ -86,28 +88,28 @@
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, BrokenOffRunIsReportedAndNeverRepeated)
+TEST_F(ServiceRelayTest, ReportsInterruptedRunAndDoesNotRepeatIt)
 {
-  this->PostToCutTargets("order-17", 3);
+  this->PostToInterruptingTargets("order-17", 3);
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, CallWithoutAKeyIsSentOnce)
+TEST_F(ServiceRelayTest, SendsCallWithoutKeyOnce)
 {
-  this->PostToCutTargets("", 1);
+  this->PostToInterruptingTargets("", 1);
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, TargetThatIsGoneIsNotRunAndTheKeyMayRunLater)
+TEST_F(ServiceRelayTest, ReportsNotRunForUnreachableTargetAndAllowsKeyLater)
 {
-  ScriptedTarget gone(this->Counting(Pressed));
-  const TargetRecord record = gone.Record("s-1", TargetKind::Service);
-  gone.Stop();
+  ScriptedTarget unreachable(this->Counting(FixedAnswer));
+  const TargetRecord record = unreachable.Record("s-1", TargetKind::Service);
+  unreachable.Stop();
   this->SetTargets({ record });
   this->StartHost();
   const HttpClientResponse refused = this->Post("/services/plates/jobs", "17", "order-17");
   EXPECT_NE(refused.body.find("\"not_run\""), std::string::npos) << refused.body;
-  const ScriptedTarget back(this->Counting(Pressed));
+  const ScriptedTarget back(this->Counting(FixedAnswer));
   this->control.Post([&] { this->SetTargets({ back.Record("s-2", TargetKind::Service) }); });
   HttpClientResponse answer;
   while (answer.body != "pressed") {
@@ -116,9 +118,9 @@
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, KeyOfAnotherWorkspaceIsAnotherKey)
+TEST_F(ServiceRelayTest, TreatsSameKeyOfOtherWorkspaceAsDistinct)
 {
-  const ScriptedTarget service(this->Counting(Pressed));
+  const ScriptedTarget service(this->Counting(FixedAnswer));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
   this->Post("/services/plates/jobs", "17", "order-17");
@@ -128,9 +130,9 @@
   EXPECT_EQ(this->runs, 2);
 }
 
-TEST_F(ServiceRelayTest, MintedKeyWorksForItsWorkspaceOnly)
+TEST_F(ServiceRelayTest, AcceptsMintedKeyFromItsWorkspaceOnly)
 {
-  const ScriptedTarget service(this->Counting(Pressed));
+  const ScriptedTarget service(this->Counting(FixedAnswer));
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
   const std::string body = this->Post("/v1/keys", "").body;
@@ -143,12 +145,12 @@
   EXPECT_EQ(this->runs, 1);
 }
 
-TEST_F(ServiceRelayTest, PassesPathAndQueryOn)
+TEST_F(ServiceRelayTest, ForwardsPathAndQuery)
 {
   std::string seen;
   const ScriptedTarget service([&](const HttpRequest& aRequest) {
     seen = aRequest.target;
-    return Pressed();
+    return FixedAnswer();
   });
   this->SetTargets({ service.Record("s-1", TargetKind::Service) });
   this->StartHost();
