--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -29,7 +29,8 @@
 // would say little about the prompts that targets have yet to prefill.
 constexpr Duration kLoadReportInterval = std::chrono::milliseconds(100);
 
-// How long before the end of stopWithin the loop stops, so that the last responses leave the host.
+// Calls that still run are cut off this long before the end of stopWithin, so that the last
+// responses still leave the host.
 constexpr Duration kStopMargin = std::chrono::milliseconds(400);
 
 // How long connections are still accepted after the signal to stop. The load balancer probes once a
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -15,7 +15,8 @@
 // A host without power never answers; a longer timeout would waste time that other targets need.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(300);
 
-// Largest response that is not a stream. A larger one counts as broken.
+// Largest response that is buffered, so that another target can be tried when it breaks off.
+// Streams are not buffered; a larger response counts as broken.
 constexpr std::size_t kMaxBufferedResponse = std::size_t{ 4 } * 1024 * 1024;
 
 // Retry-After of a refused call: a target's queue takes some hundred milliseconds to drain.
--- a/src/program/ExchangeReporting.cpp
+++ b/src/program/ExchangeReporting.cpp
@@ -83,8 +83,8 @@
   return this->responseBegun || this->context.clock.MonotonicNow() - this->sentAt >= kMaxDropTime;
 }
 
-// A target that ended without closing its connections, for example by losing power, shows only by
-// its silence. Callers that leave before kSuspiciousSilence say nothing about the target.
+// A target that ended without closing its connections shows it only by its silence. Callers that
+// leave before kSuspiciousSilence say nothing about the target.
 void
 Exchange::OnAttemptWithoutResponse(const TargetRecord& aTarget)
 {
--- a/src/program/ExchangeRouting.cpp
+++ b/src/program/ExchangeRouting.cpp
@@ -258,7 +258,7 @@
   }
   aTo.fetches.resize(this->call.parts.size());
   aTo.saves.resize(this->call.parts.size());
-  // Whether all parts so far can be fetched: a cached part is of use only behind its predecessors.
+  // Whether all parts before this one can be fetched.
   bool leading = true;
   TokenCount largest;
   for (std::size_t index = 0; index < this->selection.parts.size(); ++index) {
--- a/src/program/HostProcess.h
+++ b/src/program/HostProcess.h
@@ -8,7 +8,9 @@
 
 namespace damasklink {
 
-////   HostProcess host(settings);
+// Start() and Stop() must be called by one thread, once each.
+//
+//   HostProcess host(settings);
 //   auto started = host.Start();
 //   ...
 //   host.Stop();
--- a/src/program/RequestMeter.h
+++ b/src/program/RequestMeter.h
@@ -10,8 +10,8 @@
 
 namespace damasklink {
 
-// Construction counts the request as arrived. Exactly one of OnEngineAnswer(), OnServiceResponse()
-// and OnFailure() must be called at its end. Not thread-safe.
+// The constructor counts the request as arrived; OnEngineAnswer(), OnServiceResponse() or
+// OnFailure() is called at its end. Not thread-safe.
 //
 //   RequestMeter meter(metrics, clock, policy);
 //   meter.OnTokens(1);
@@ -30,7 +30,8 @@
   // Records the complete answer of an engine.
   void OnEngineAnswer(const AnswerUsage& aUsage);
 
-  // Records the complete answer of a service.
+  // Records a complete response without token usage: of a service, or a stored one that is
+  // replayed.
   void OnServiceResponse();
 
   // Records a refusal or failure. Errors of the caller, such as a wrong key, don't count against
--- a/src/program/StoreWatcher.h
+++ b/src/program/StoreWatcher.h
@@ -13,8 +13,8 @@
 
 namespace damasklink {
 
-// Gets each store's events by long polling, and its full list at the start, after a gap in the
-// events, and at intervals, since a few events get lost.
+// Gets each store's events by long polling, so that an idle store costs few requests, and its full
+// list at the start, after a gap in the events, and at intervals, since a few events get lost.
 //
 //   StoreWatcher watcher(loop, clock, dialect, [](const auto& aUpdates) { ... });
 //   watcher.Follow(services);         // After each change of the configuration.
--- a/src/program/TargetCheck.cpp
+++ b/src/program/TargetCheck.cpp
@@ -12,8 +12,9 @@
 // A listener that drops unwanted connections does so at once.
 constexpr Duration kDropTimeout = std::chrono::milliseconds(50);
 
-// Number of consecutive connections that must be dropped, and the interval between them: an
-// overloaded target drops only some new connections, and sends bytes of its responses in between.
+// Number of consecutive connections that must be dropped, and the interval between them: a
+// target with too many connections drops only some new ones, and sends bytes of its responses in
+// between.
 constexpr int kRequiredDrops = 3;
 constexpr Duration kDropCheckInterval = std::chrono::milliseconds(100);
 
--- a/src/program/TargetCheck.h
+++ b/src/program/TargetCheck.h
@@ -14,15 +14,15 @@
 
 // How a connection to the target's address shows that its process has ended. A running target
 // accepts connections even if it failed a response. A process that has ended refuses them until it
-// is started again. Where another listener (a proxy, for example) holds its address, each
-// connection is accepted and closed at once. An overloaded target does that, too, but goes on with
+// is started again. Where another process listens at its address, each connection may be
+// accepted and closed at once. A target with too many connections does that, too, but goes on with
 // the requests that it runs.
 enum class TerminationEvidence
 {
   // Nobody listens at the address. Whatever was sent there was sent before the process ended.
   Refused,
-  // Another listener closes each connection. Requests sent after the process ended may have been
-  // closed by it, too, and so broke off without having reached the target.
+  // Another process that listens there closes each connection. Requests sent after the process
+  // ended may have been closed by it, too, and so broke off without having reached the target.
   Dropped,
 };
 
--- a/src/program/WorkStatistics.h
+++ b/src/program/WorkStatistics.h
@@ -38,7 +38,7 @@
   Decoding,    // Decoding of messages of other hosts, whose kind is not known yet.
 };
 
-// Returns the kind of work that handling a message of another host is.
+// Returns the kind of work of handling a message of another host.
 Work
 WorkOf(const ServingMessage& aMessage);
 
