--- a/src/program/HostProcess.h
+++ b/src/program/HostProcess.h
@@ -8,7 +8,7 @@
 
 namespace damasklink {
 
-// Start() and Stop() must be called by one thread, once each.
+// Not thread-safe, except for Hurry().
 //
 //   HostProcess host(settings);
 //   auto started = host.Start();
