--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -436,7 +436,7 @@
 }
 
 Duration
-Exchange::RetryDelay()
+Exchange::RefusalRetryDelay()
 {
   if (this->overloaded) {
     return this->context.retryScheduler.NextRetryDelay();
@@ -469,7 +469,7 @@
     case ExchangeStep::Refuse: {
       CallerError error =
         Refusal(ErrorKind::Unavailable, "no target took the request", "retry after the given time");
-      error.retryAfter = this->RetryDelay();
+      error.retryAfter = this->RefusalRetryDelay();
       co_return co_await this->RespondWithError(error);
     }
     case ExchangeStep::Expire: {
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -125,7 +125,7 @@
   // Sets the targets of the service that this host has no rate permit for at the moment.
   void UpdateRateLimited();
   // Returns the Retry-After of a call that no target took.
-  Duration RetryDelay();
+  Duration RefusalRetryDelay();
   void ReportSuccessfulRun();
   // Computed on first use, since no call needs it while no target crashes.
   RequestFingerprint Fingerprint();
