--- a/src/program/CompletionRelay.cpp
+++ b/src/program/CompletionRelay.cpp
@@ -56,7 +56,7 @@
     return ErrorResponse(*result.refusal);
   }
   if (result.kept) {
-    this->meter.OnServed();
+    this->meter.OnServiceResponse();
     return ReplayResponse(*result.kept);
   }
   this->ticket = std::move(result.ticket);
@@ -108,7 +108,7 @@
 CompletionRelay::FinishAnswer(const std::string& aType, const std::function<std::string()>& aKept)
 {
   const AnswerUsage& usage = this->run.Assembled().Usage();
-  this->meter.OnWhole(usage);
+  this->meter.OnEngineAnswer(usage);
   this->slot.MarkAnswered();
   if (this->ticket != nullptr) {
     std::optional<KeptAnswer> kept;
--- a/src/program/ConfigurationFeed.cpp
+++ b/src/program/ConfigurationFeed.cpp
@@ -12,111 +12,114 @@
 ConfigurationFeed::ConfigurationFeed(asio::io_context& aLoop,
                                      const Clock& aClock,
                                      const ControlDialect& aDialect,
-                                     EntryPicture& aPicture,
+                                     EntryPicture& aState,
                                      PeerSender& aPeers,
                                      Metrics& aMetrics,
-                                     std::function<void()> aInForce)
+                                     std::function<void()> aOnInstalled)
   : loop(aLoop)
   , clock(aClock)
   , dialect(aDialect)
-  , picture(aPicture)
+  , state(aState)
   , peers(aPeers)
   , metrics(aMetrics)
-  , inForce(std::move(aInForce))
+  , onInstalled(std::move(aOnInstalled))
   , fetch(aClock)
   , document(std::make_shared<const std::string>())
 {
 }
 
 void
-ConfigurationFeed::OnPicture(const HostId& aFrom, const ServingUpdate& aPicture)
+ConfigurationFeed::OnUpdate(const HostId& aFrom, const ServingUpdate& aUpdate)
 {
-  this->fetch.OnVersionAnnounced(aFrom, aPicture.documentVersion);
+  this->fetch.OnVersionAnnounced(aFrom, aUpdate.documentVersion);
   this->Step();
 }
 
 void
-ConfigurationFeed::OnLost(const HostId& aHost)
+ConfigurationFeed::OnDisconnected(const HostId& aHost)
 {
   this->fetch.OnLost(aHost);
   this->Step();
 }
 
 void
-ConfigurationFeed::OnPiece(const HostId& aFrom, const DocumentChunk& aPiece)
+ConfigurationFeed::OnChunk(const HostId& aFrom, const DocumentChunk& aChunk)
 {
   if (this->reading) {
-    // Late, of the transfer that is being read.
+    // A late duplicate of the transfer that is being read.
     return;
   }
-  if (std::optional<FetchedDocument> fetched = this->fetch.OnChunk(aFrom, aPiece)) {
-    this->StartReading(aFrom, std::move(*fetched));
+  if (std::optional<FetchedDocument> fetched = this->fetch.OnChunk(aFrom, aChunk)) {
+    this->StartDocumentRead(aFrom, std::move(*fetched));
   }
   this->Step();
 }
 
-ConfigurationFeed::Reading
+ConfigurationFeed::ReadResult
 ConfigurationFeed::Read(const Clock& aClock,
                         const ControlDialect& aDialect,
                         const HostId& aFrom,
                         const FetchedDocument& aFetched,
                         const TextPtr& aBase)
 {
-  const MonotonicTime begun = aClock.MonotonicNow();
+  const MonotonicTime start = aClock.MonotonicNow();
   const TransferId& transfer = aFetched.transfer;
   const std::string_view base = transfer.base == Revision() ? std::string_view() : *aBase;
   auto text = UnpackText(aFetched.packed, base, kMostDocumentBytes);
   if (!text) {
-    return Reading{ transfer, aFrom, nullptr, Fail(text.error()), Duration() };
+    return ReadResult{ transfer, aFrom, nullptr, Fail(text.error()), Duration() };
   }
   const auto document = std::make_shared<const std::string>(std::move(text.value()));
   Result<RoutesPtr> routes = ReadRoutes(aDialect, *document);
-  return Reading{ transfer, aFrom, document, std::move(routes), aClock.MonotonicNow() - begun };
+  return ReadResult{ transfer, aFrom, document, std::move(routes), aClock.MonotonicNow() - start };
 }
 
 void
-ConfigurationFeed::StartReading(const HostId& aFrom, FetchedDocument aFetched)
+ConfigurationFeed::StartDocumentRead(const HostId& aFrom, FetchedDocument aFetched)
 {
   this->reading = true;
-  asio::post(
-    this->reader, [this, from = aFrom, fetched = std::move(aFetched), base = this->document] {
-      Reading done = Read(this->clock, this->dialect, from, fetched, base);
-      asio::post(this->loop,
-                 [this, done = std::move(done)]() mutable { this->OnRead(std::move(done)); });
-    });
+  asio::post(this->reader,
+             [this, from = aFrom, fetched = std::move(aFetched), base = this->document] {
+               ReadResult result = Read(this->clock, this->dialect, from, fetched, base);
+               asio::post(this->loop, [this, result = std::move(result)]() mutable {
+                 this->OnDocumentRead(std::move(result));
+               });
+             });
 }
 
 void
-ConfigurationFeed::OnRead(Reading aReading)
+ConfigurationFeed::OnDocumentRead(ReadResult aResult)
 {
   this->reading = false;
-  const TransferId& transfer = aReading.transfer;
-  if (!aReading.routes) {
-    // A control host has checked it: it was packed against another base, or is of a newer program.
+  const TransferId& transfer = aResult.transfer;
+  if (!aResult.routes) {
+    // Control hosts validate documents, so this one was packed against another base, or needs a
+    // newer version of the program.
     LogEvent(LogLevel::Error, "configuration_unreadable")
       .With("version", transfer.version)
       .With("base", transfer.base)
-      .With("from", aReading.from)
-      .With("error", aReading.routes.error());
+      .With("from", aResult.from)
+      .With("error", aResult.routes.error());
     this->fetch.OnUnpackFailed(transfer);
     this->Step();
     return;
   }
-  const Duration since = this->clock.MonotonicNow() - this->fetch.AnnouncedAt(transfer.version);
+  const Duration sinceAnnounced =
+    this->clock.MonotonicNow() - this->fetch.AnnouncedAt(transfer.version);
   LogEvent(LogLevel::Info, "configuration_fetched")
     .With("version", transfer.version)
     .With("base", transfer.base)
     .With("packed", transfer.bytes)
-    .With("bytes", aReading.document->size())
-    .With("last_from", aReading.from)
-    .With("since_announced_ms", WholeMilliseconds(since))
-    .With("read_ms", WholeMilliseconds(aReading.took));
-  this->document = aReading.document;
+    .With("bytes", aResult.document->size())
+    .With("last_from", aResult.from)
+    .With("since_announced_ms", WholeMilliseconds(sinceAnnounced))
+    .With("read_ms", WholeMilliseconds(aResult.took));
+  this->document = aResult.document;
   this->fetch.OnVersionInstalled(transfer.version);
-  this->picture.PutInForce(std::move(aReading.routes.value()));
+  this->state.InstallRoutes(std::move(aResult.routes.value()));
   this->metrics.Add(Counter::ConfigChanges, MetricKey{}, 1);
-  this->metrics.Observe(Sample::ConfigSpread, MetricKey{}, since);
-  this->inForce();
+  this->metrics.Observe(Sample::ConfigSpread, MetricKey{}, sinceAnnounced);
+  this->onInstalled();
   this->Step();
 }
 
@@ -126,23 +129,23 @@
   if (this->reading) {
     return;
   }
-  const std::optional<OutgoingDocumentRequest> ask = this->fetch.Next();
-  if (!ask) {
+  const std::optional<OutgoingDocumentRequest> outgoing = this->fetch.Next();
+  if (!outgoing) {
     return;
   }
-  const DocumentRequest& question = ask->request;
-  // Not for each piece: a transfer that goes on as it began needs no line.
-  if (question.offset == 0 || ask->timedOut) {
+  const DocumentRequest& request = outgoing->request;
+  // Only the first request of a transfer and those after a timeout are logged, not each chunk.
+  if (request.offset == 0 || outgoing->timedOut) {
     LogEvent(LogLevel::Info, "configuration_asked")
-      .With("of", ask->source)
-      .With("silent", ask->timedOut.value_or(HostId()))
-      .With("held", question.held)
-      .With("version", question.transfer.version)
-      .With("offset", question.offset)
-      .With("bytes", question.transfer.bytes);
+      .With("of", outgoing->source)
+      .With("silent", outgoing->timedOut.value_or(HostId()))
+      .With("held", request.held)
+      .With("version", request.transfer.version)
+      .With("offset", request.offset)
+      .With("bytes", request.transfer.bytes);
   }
-  this->peers.Send(ask->source,
-                   PeerMessage{ Channel::Serving, GroupId(), EncodeServingMessage(question) });
+  this->peers.Send(outgoing->source,
+                   PeerMessage{ Channel::Serving, GroupId(), EncodeServingMessage(request) });
 }
 
 } // namespace damasklink
--- a/src/program/ConfigurationFeed.h
+++ b/src/program/ConfigurationFeed.h
@@ -1,5 +1,5 @@
-// How an entry host comes to the configuration that is in force: asks control hosts for what they
-// announce, reads it beside the thread that serves calls, and puts it in force.
+// Keeps the configuration of an entry host up to date: fetches versions that control hosts
+// announce, parses them on a thread of its own, and installs them.
 #pragma once
 
 #include <functional>
@@ -14,66 +14,68 @@
 
 namespace damasklink {
 
-// Requires what it is made of to outlive it. Belongs to the thread of the loop.
+// Everything passed to the constructor must outlive the updater. Methods must be called on the
+// thread of the event loop.
 class ConfigurationFeed
 {
 public:
-  // aInForce is called after each configuration that was put in force.
+  // aOnInstalled is called after each configuration that was installed.
   ConfigurationFeed(asio::io_context& aLoop,
                     const Clock& aClock,
                     const ControlDialect& aDialect,
-                    EntryPicture& aPicture,
+                    EntryPicture& aState,
                     PeerSender& aPeers,
                     Metrics& aMetrics,
-                    std::function<void()> aInForce);
+                    std::function<void()> aOnInstalled);
 
-  // A control host told a picture.
-  void OnPicture(const HostId& aFrom, const ServingUpdate& aPicture);
+  // Takes the version that a control host's update announces.
+  void OnUpdate(const HostId& aFrom, const ServingUpdate& aUpdate);
 
-  // A control host answered.
-  void OnPiece(const HostId& aFrom, const DocumentChunk& aPiece);
+  // Takes a control host's response to a request for a chunk.
+  void OnChunk(const HostId& aFrom, const DocumentChunk& aChunk);
 
-  void OnLost(const HostId& aHost);
+  void OnDisconnected(const HostId& aHost);
 
-  // Asks another control host when one has not answered in time. To be called every 100 ms or so.
+  // Sends the next request, if one is due; asks another control host when one has not answered in
+  // time. To be called about every 100 ms.
   void Step();
 
 private:
   using TextPtr = std::shared_ptr<const std::string>;
 
-  // What came of a transfer.
-  struct Reading
+  // The result of unpacking and parsing a fetched document.
+  struct ReadResult
   {
     TransferId transfer;
-    // Who sent the last piece.
+    // The host that sent the last chunk.
     HostId from;
     TextPtr document;
     Result<RoutesPtr> routes;
     Duration took{};
   };
 
-  static Reading Read(const Clock& aClock,
-                      const ControlDialect& aDialect,
-                      const HostId& aFrom,
-                      const FetchedDocument& aFetched,
-                      const TextPtr& aBase);
-  void StartReading(const HostId& aFrom, FetchedDocument aFetched);
-  void OnRead(Reading aReading);
+  static ReadResult Read(const Clock& aClock,
+                         const ControlDialect& aDialect,
+                         const HostId& aFrom,
+                         const FetchedDocument& aFetched,
+                         const TextPtr& aBase);
+  void StartDocumentRead(const HostId& aFrom, FetchedDocument aFetched);
+  void OnDocumentRead(ReadResult aResult);
 
   asio::io_context& loop;
   const Clock& clock;
   const ControlDialect& dialect;
-  EntryPicture& picture;
+  EntryPicture& state;
   PeerSender& peers;
   Metrics& metrics;
-  std::function<void()> inForce;
+  std::function<void()> onInstalled;
   DocumentFetch fetch;
-  // What is in force, for the next version to be unpacked against.
+  // The installed document: the next version may be packed as a delta against it.
   TextPtr document;
-  // While one is read nothing is asked for: the next one is packed against it.
+  // While a document is read none is requested, since the next one is packed against it.
   bool reading = false;
-  // Calls go on while a document is read: 4,000 routes take a fifth of a second on 0.12 of a core,
-  // and first answers are due in 300 ms. Ends before what its work uses.
+  // Reads documents, so that calls are not held up: 4,000 routes take 200 ms on 0.12 of a core, and
+  // first responses are due in 300 ms. Declared last, so that it ends before what its work uses.
   asio::thread_pool reader{ 1 };
 };
 
--- a/src/program/ControlCallHandler.cpp
+++ b/src/program/ControlCallHandler.cpp
@@ -40,7 +40,7 @@
                                        ServingGroup& aGroup,
                                        ControlPicture& aTracker,
                                        Metrics& aMetrics,
-                                       WorkAccount& aAccount,
+                                       WorkStatistics& aAccount,
                                        std::function<void()> aPublish)
   : clock(aClock)
   , settings(aSettings)
@@ -114,7 +114,7 @@
 ControlCallHandler::Read(const HttpRequestMessage& aRequest)
 {
   const WorkTimer timer(this->account, Work::Heartbeats);
-  this->account.NoteHeard(Work::Heartbeats, aRequest.body.size());
+  this->account.CountReceived(Work::Heartbeats, aRequest.body.size());
   return this->dialect.ReadControlCall(aRequest);
 }
 
--- a/src/program/ControlCallHandler.h
+++ b/src/program/ControlCallHandler.h
@@ -6,7 +6,7 @@
 
 #include "ControlPicture.h"
 #include "ServingGroup.h"
-#include "WorkAccount.h"
+#include "WorkStatistics.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
 #include "damasklink/transport/CallerChannel.h"
@@ -26,7 +26,7 @@
                      ServingGroup& aGroup,
                      ControlPicture& aTracker,
                      Metrics& aMetrics,
-                     WorkAccount& aAccount,
+                     WorkStatistics& aAccount,
                      std::function<void()> aPublish);
 
   // Serves the calls of one connection until it is closed.
@@ -51,7 +51,7 @@
   ServingGroup& group;
   ControlPicture& tracker;
   Metrics& metrics;
-  WorkAccount& account;
+  WorkStatistics& account;
   std::function<void()> publishTargets;
 };
 
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -133,7 +133,7 @@
   SystemClock clock;
   ServiceLevelWindows serviceLevels{ this->clock, kMostMetricSeries };
   MetricsRegistry metrics{ this->clock, this->serviceLevels, kMostMetricSeries };
-  WorkAccount account{ this->clock, this->metrics };
+  WorkStatistics account{ this->clock, this->metrics };
   asio::io_context loop{ 1 };
   PeerMesh mesh;
   ServingGroup group;
@@ -251,7 +251,7 @@
   if (this->clock.MonotonicNow() >= this->nextLoads || this->publisher.HasUrgentReport()) {
     this->nextLoads = this->clock.MonotonicNow() + kLoadInterval;
     this->publisher.PublishLoads();
-    this->stores.TellChanges();
+    this->stores.PublishChanges();
   }
   this->ticker.expires_after(kTick);
   this->ticker.async_wait([this](const IoError& aError) {
@@ -385,7 +385,7 @@
 {
   if (aMessage.channel == Channel::Agreement) {
     const WorkTimer timer(this->account, Work::Agreement);
-    this->account.NoteHeard(Work::Agreement, aMessage.payload.size());
+    this->account.CountReceived(Work::Agreement, aMessage.payload.size());
     this->group.OnPeerMessage(aPeer, aMessage);
     return;
   }
@@ -398,7 +398,7 @@
   }
   const Work work = WorkOf(message.value());
   const WorkTimer timer(this->account, work);
-  this->account.NoteHeard(work, aMessage.payload.size());
+  this->account.CountReceived(work, aMessage.payload.size());
   this->OnServingMessage(aPeer, message.value());
 }
 
--- a/src/program/EntryPicture.cpp
+++ b/src/program/EntryPicture.cpp
@@ -20,92 +20,92 @@
 }
 
 void
-EntryPicture::Take(const HostId& aFrom, const ServingUpdate& aPicture)
+EntryPicture::Apply(const HostId& aFrom, const ServingUpdate& aUpdate)
 {
-  if (this->connected.contains(aFrom) && this->spoken.insert(aFrom).second) {
+  if (this->connected.contains(aFrom) && this->reported.insert(aFrom).second) {
     this->targets.OnLink(aFrom, true);
   }
-  for (const auto& [model, version] : aPicture.weights) {
-    std::uint64_t& held = this->weights[model];
-    if (version > held) {
-      held = version;
-      this->weightsHeardAt[model][version] = this->clock.MonotonicNow();
+  for (const auto& [model, version] : aUpdate.weights) {
+    std::uint64_t& newest = this->weights[model];
+    if (version > newest) {
+      newest = version;
+      this->weightsAnnouncedAt[model][version] = this->clock.MonotonicNow();
       LogEvent(LogLevel::Info, "weights_named")
         .With("model", model)
         .With("version", version)
         .With("from", aFrom);
     }
   }
-  for (const TargetUpdate& statement : aPicture.targets) {
-    this->targets.Take(aFrom, statement);
-    LogEvent(LogLevel::Debug, "target_stated")
-      .With("target", statement.record.id)
-      .With("standing", static_cast<int>(statement.standing))
-      .With("sequence", statement.record.sequence)
+  for (const TargetUpdate& target : aUpdate.targets) {
+    this->targets.Take(aFrom, target);
+    LogEvent(LogLevel::Debug, "target_updated")
+      .With("target", target.record.id)
+      .With("standing", static_cast<int>(target.standing))
+      .With("sequence", target.record.sequence)
       .With("from", aFrom);
   }
-  if (aPicture.evacuated) {
-    this->TakeEvacuated(aFrom, *aPicture.evacuated);
+  if (aUpdate.evacuated) {
+    this->ApplyEvacuations(aFrom, *aUpdate.evacuated);
   }
   if (aFrom == this->hub) {
-    for (const StoreUpdate& statement : aPicture.stores) {
-      this->stored.Apply(statement);
+    for (const StoreUpdate& store : aUpdate.stores) {
+      this->stored.Apply(store);
     }
   }
-  if (aPicture.entryHosts > 0) {
-    this->entryHosts[aFrom] = aPicture.entryHosts;
+  if (aUpdate.entryHosts > 0) {
+    this->entryHosts[aFrom] = aUpdate.entryHosts;
   }
-  if (aPicture.isolated) {
+  if (aUpdate.isolated) {
     this->isolated.insert(aFrom);
   } else {
     this->isolated.erase(aFrom);
   }
-  this->controlHosts.insert(aPicture.controlHosts.begin(), aPicture.controlHosts.end());
+  this->discoveredControlHosts.insert(aUpdate.controlHosts.begin(), aUpdate.controlHosts.end());
 }
 
 void
-EntryPicture::TakeEvacuated(const HostId& aFrom, const EvacuatedZones& aTold)
+EntryPicture::ApplyEvacuations(const HostId& aFrom, const EvacuatedZones& aEvacuations)
 {
-  if (aTold.revision <= this->evacuationRevision) {
+  if (aEvacuations.revision <= this->evacuationRevision) {
     return;
   }
-  this->evacuationRevision = aTold.revision;
+  this->evacuationRevision = aEvacuations.revision;
   const std::set<ZoneId>& before = this->targets.Evacuated();
-  std::set_difference(aTold.zones.begin(),
-                      aTold.zones.end(),
+  std::set_difference(aEvacuations.zones.begin(),
+                      aEvacuations.zones.end(),
                       before.begin(),
                       before.end(),
-                      std::inserter(this->newlyEvacuated, this->newlyEvacuated.end()));
+                      std::inserter(this->pendingEvacuated, this->pendingEvacuated.end()));
   std::set_difference(before.begin(),
                       before.end(),
-                      aTold.zones.begin(),
-                      aTold.zones.end(),
-                      std::inserter(this->newlyReturned, this->newlyReturned.end()));
-  this->targets.SetEvacuated(aTold.zones);
+                      aEvacuations.zones.begin(),
+                      aEvacuations.zones.end(),
+                      std::inserter(this->pendingReturned, this->pendingReturned.end()));
+  this->targets.SetEvacuated(aEvacuations.zones);
   LogEvent(LogLevel::Info, "evacuations_told")
-    .With("revision", aTold.revision)
-    .With("zones", aTold.zones.size())
+    .With("revision", aEvacuations.revision)
+    .With("zones", aEvacuations.zones.size())
     .With("from", aFrom);
 }
 
 void
-EntryPicture::PutInForce(RoutesPtr aRoutes)
+EntryPicture::InstallRoutes(RoutesPtr aRoutes)
 {
-  const Revision held = this->routes == nullptr ? Revision() : this->routes->Config().version;
+  const Revision installed = this->routes == nullptr ? Revision() : this->routes->Config().version;
   const Revision version = aRoutes->Config().version;
-  if (version <= held) {
+  if (version <= installed) {
     return;
   }
   this->routes = std::move(aRoutes);
   this->stored.SetStores(this->routes->Config().services);
   LogEvent(LogLevel::Info, "configuration_in_force")
     .With("version", version)
-    .With("before", held)
+    .With("before", installed)
     .With("routes", this->routes->Config().routes.size());
 }
 
 void
-EntryPicture::OnLink(const HostId& aHost, bool aUp)
+EntryPicture::OnConnection(const HostId& aHost, bool aUp)
 {
   if (aUp) {
     this->connected.insert(aHost);
@@ -113,22 +113,22 @@
   }
   this->targets.OnLink(aHost, false);
   this->connected.erase(aHost);
-  this->spoken.erase(aHost);
+  this->reported.erase(aHost);
   this->isolated.erase(aHost);
   this->entryHosts.erase(aHost);
   if (this->hub == aHost) {
-    this->ListenForStores(std::nullopt);
+    this->SelectStoreSource(std::nullopt);
   }
 }
 
 bool
-EntryPicture::IsGood(const HostId& aHost) const
+EntryPicture::IsHealthy(const HostId& aHost) const
 {
-  return this->spoken.contains(aHost) && !this->isolated.contains(aHost);
+  return this->reported.contains(aHost) && !this->isolated.contains(aHost);
 }
 
 void
-EntryPicture::ListenForStores(const std::optional<HostId>& aHub)
+EntryPicture::SelectStoreSource(const std::optional<HostId>& aHub)
 {
   this->hub = aHub;
   this->stored = StoredParts();
@@ -138,22 +138,22 @@
 }
 
 std::uint64_t
-EntryPicture::WeightsOf(const ModelName& aModel) const
+EntryPicture::WeightVersionOf(const ModelName& aModel) const
 {
   const auto found = this->weights.find(aModel);
   return found == this->weights.end() ? 0 : found->second;
 }
 
 std::uint64_t
-EntryPicture::WeightsKnownFor(const ModelName& aModel, Duration aAge) const
+EntryPicture::WeightVersionKnownFor(const ModelName& aModel, Duration aAge) const
 {
-  const auto found = this->weightsHeardAt.find(aModel);
-  if (found == this->weightsHeardAt.end()) {
+  const auto found = this->weightsAnnouncedAt.find(aModel);
+  if (found == this->weightsAnnouncedAt.end()) {
     return 0;
   }
   std::uint64_t known = 0;
-  for (const auto& [version, heardAt] : found->second) {
-    if (this->clock.MonotonicNow() - heardAt >= aAge) {
+  for (const auto& [version, announcedAt] : found->second) {
+    if (this->clock.MonotonicNow() - announcedAt >= aAge) {
       known = version;
     }
   }
@@ -169,17 +169,17 @@
 std::uint64_t
 EntryPicture::EntryHosts() const
 {
-  std::uint64_t most = 0;
+  std::uint64_t largest = 0;
   for (const auto& [host, count] : this->entryHosts) {
-    most = std::max(most, count);
+    largest = std::max(largest, count);
   }
-  return most;
+  return largest;
 }
 
 ControlHostZones
-EntryPicture::TakeNewControlHosts()
+EntryPicture::TakeDiscoveredControlHosts()
 {
-  return std::exchange(this->controlHosts, {});
+  return std::exchange(this->discoveredControlHosts, {});
 }
 
 } // namespace damasklink
--- a/src/program/EntryPicture.h
+++ b/src/program/EntryPicture.h
@@ -1,4 +1,5 @@
-// What an entry host relays by: the newest configuration, targets and weights that it was told.
+// What an entry host routes calls by: the newest configuration, targets and weights that control
+// hosts reported.
 #pragma once
 
 #include <map>
@@ -18,13 +19,22 @@
 
 using RoutesPtr = std::shared_ptr<const RouteTable>;
 
-// Reads a configuration document and makes the index of its routes. Fails with InvalidArgument.
-// Takes some 25 ms of a whole core for 4,000 routes: not for the thread that serves calls.
+// Parses a configuration document and builds the index of its routes. Fails with InvalidArgument.
+// Takes about 25 ms of a full core for 4,000 routes, so the thread that serves calls must not run
+// it.
 Result<RoutesPtr>
 ReadRoutes(const ControlDialect& aDialect, std::string_view aDocument);
 
-// Merges the pictures of several control hosts. The configuration never goes back in one life of
-// the process, whoever tells it. Not thread-safe.
+// Merges the updates of several control hosts.
+//
+//   EntryPicture state(clock);
+//   state.OnConnection(host, true);
+//   state.Apply(host, update);               // For each update of a connected control host.
+//   state.InstallRoutes(routes);             // Read by ReadRoutes() on another thread.
+//   state.Targets().Usable(service);
+//
+// The configuration, versions of weights and evacuations only ever move to newer revisions,
+// whichever control host reports them. Not thread-safe.
 class EntryPicture
 {
 public:
@@ -33,75 +43,79 @@
   {
   }
 
-  // Takes what a control host told.
-  void Take(const HostId& aFrom, const ServingUpdate& aPicture);
+  // Applies an update of a control host.
+  void Apply(const HostId& aFrom, const ServingUpdate& aUpdate);
 
-  // Puts the configuration in force unless a newer one is.
-  void PutInForce(RoutesPtr aRoutes);
+  // Installs the configuration unless the installed one is as new or newer.
+  void InstallRoutes(RoutesPtr aRoutes);
 
-  // Tells whether the control host is connected.
-  void OnLink(const HostId& aHost, bool aUp);
+  // To be called when a connection to a control host was made or lost.
+  void OnConnection(const HostId& aHost, bool aUp);
 
-  // Null before the first configuration came.
+  // Returns the routes of the installed configuration; null before the first one.
   const RoutesPtr& Routes() const { return this->routes; }
 
   TargetBoard& Targets() { return this->targets; }
 
-  // Returns the version of weights that calls for the model should begin on; 0 when none is named.
-  std::uint64_t WeightsOf(const ModelName& aModel) const;
+  // Returns the version of weights that calls for the model should begin on; 0 if none was
+  // announced.
+  std::uint64_t WeightVersionOf(const ModelName& aModel) const;
 
-  // Returns the newest version that this host has known for so long; 0 for none. A version counts
-  // from when it was named, whatever was named after it.
-  std::uint64_t WeightsKnownFor(const ModelName& aModel, Duration aAge) const;
+  // Returns the newest version that this host has known for at least aAge; 0 for none. The age of a
+  // version counts from its first announcement and isn't reset by later versions.
+  std::uint64_t WeightVersionKnownFor(const ModelName& aModel, Duration aAge) const;
 
-  // Names the control host that tells of stored parts; what another one told before counts no more.
-  void ListenForStores(const std::optional<HostId>& aHub);
+  // Selects the control host whose reports of stored parts are used, and drops what an earlier one
+  // reported.
+  void SelectStoreSource(const std::optional<HostId>& aHub);
 
-  // Returns what is known of stored parts. Null when no control host tells of them.
+  // Returns the index of stored parts; null while no control host is selected for it.
   const StoredParts* Stored() const;
 
-  // Returns whether the control host is connected and has told a picture since. One that is
-  // suspended accepts connections too, and says nothing on them.
-  bool HasSpoken(const HostId& aHost) const { return this->spoken.contains(aHost); }
+  // Returns whether the control host is connected and has sent an update on this connection. A
+  // suspended process accepts connections too, but sends nothing.
+  bool HasReported(const HostId& aHost) const { return this->reported.contains(aHost); }
 
   // Returns whether any control host is connected.
   bool HasControlHost() const { return !this->connected.empty(); }
 
-  // Returns whether the control host has spoken on this connection and hears a leader.
-  bool IsGood(const HostId& aHost) const;
+  // Returns whether the control host has reported on this connection and is in contact with a
+  // leader.
+  bool IsHealthy(const HostId& aHost) const;
 
-  // The most entry hosts that a connected control host counts.
+  // Returns the number of entry hosts: the largest count that a connected control host reports.
   std::uint64_t EntryHosts() const;
 
-  // Control hosts that were named so far and not yet taken from here.
-  ControlHostZones TakeNewControlHosts();
+  // Returns the control hosts that updates named since the last call.
+  ControlHostZones TakeDiscoveredControlHosts();
 
-  // Zones that were evacuated, or are not any more, since the last call.
-  std::set<ZoneId> TakeEvacuated() { return std::exchange(this->newlyEvacuated, {}); }
-  std::set<ZoneId> TakeReturned() { return std::exchange(this->newlyReturned, {}); }
+  // Returns the zones that were evacuated, or returned to service, since the last call.
+  std::set<ZoneId> TakeEvacuated() { return std::exchange(this->pendingEvacuated, {}); }
+  std::set<ZoneId> TakeReturned() { return std::exchange(this->pendingReturned, {}); }
 
 private:
-  void TakeEvacuated(const HostId& aFrom, const EvacuatedZones& aTold);
+  void ApplyEvacuations(const HostId& aFrom, const EvacuatedZones& aEvacuations);
 
   const Clock& clock;
   RoutesPtr routes;
   TargetBoard targets;
   std::map<ModelName, std::uint64_t> weights;
-  // When each version was heard of, by model; a few a day.
-  std::map<ModelName, std::map<std::uint64_t, MonotonicTime>> weightsHeardAt;
+  // When each version was first announced, by model. Never pruned: there are a few a day.
+  std::map<ModelName, std::map<std::uint64_t, MonotonicTime>> weightsAnnouncedAt;
   std::map<HostId, std::uint64_t> entryHosts;
-  // The control host that tells of stored parts, and what it told.
+  // The control host whose reports of stored parts are used, and what it reported.
   std::optional<HostId> hub;
   StoredParts stored;
   std::set<HostId> connected;
-  // Those of them that have told a picture on this connection.
-  std::set<HostId> spoken;
+  // The connected hosts that have sent an update on their connection.
+  std::set<HostId> reported;
+  // The connected hosts that reported to be without contact to a leader.
   std::set<HostId> isolated;
-  ControlHostZones controlHosts;
-  // The newest that any control host told: one that is behind must not bring an earlier state back.
+  ControlHostZones discoveredControlHosts;
+  // The newest revision seen. A control host that lags behind must not restore an earlier state.
   std::uint64_t evacuationRevision = 0;
-  std::set<ZoneId> newlyEvacuated;
-  std::set<ZoneId> newlyReturned;
+  std::set<ZoneId> pendingEvacuated;
+  std::set<ZoneId> pendingReturned;
 };
 
 } // namespace damasklink
--- a/src/program/PictureTeller.cpp
+++ b/src/program/PictureTeller.cpp
@@ -35,7 +35,7 @@
                              HostRegistry& aHosts,
                              CrashLedger& aCrashes,
                              PeerMesh& aMesh,
-                             WorkAccount& aAccount)
+                             WorkStatistics& aAccount)
   : clock(aClock)
   , settings(aSettings)
   , group(aGroup)
@@ -203,7 +203,7 @@
 {
   const WorkTimer timer(this->account, Work::StoredParts);
   ServingUpdate update = this->MakeBaseUpdate();
-  update.stores = this->stores.All();
+  update.stores = this->stores.Snapshot();
   this->EncodeAndSend(Work::StoredParts, aEntryHost, update);
 }
 
@@ -384,7 +384,7 @@
 void
 PictureTeller::Send(Work aWork, const HostId& aTo, std::string aPayload)
 {
-  this->account.NoteSent(aWork, aPayload.size());
+  this->account.CountSent(aWork, aPayload.size());
   this->mesh.Send(aTo, PeerMessage{ Channel::Serving, GroupId(), std::move(aPayload) });
 }
 
--- a/src/program/PictureTeller.h
+++ b/src/program/PictureTeller.h
@@ -9,7 +9,7 @@
 #include "ControlPicture.h"
 #include "ServingGroup.h"
 #include "StoreWatcher.h"
-#include "WorkAccount.h"
+#include "WorkStatistics.h"
 #include "damasklink/coordination/CrashLedger.h"
 #include "damasklink/coordination/DocumentPublisher.h"
 #include "damasklink/coordination/HostRegistry.h"
@@ -37,7 +37,7 @@
                 HostRegistry& aHosts,
                 CrashLedger& aCrashes,
                 PeerMesh& aMesh,
-                WorkAccount& aAccount);
+                WorkStatistics& aAccount);
 
   // Sends what has changed of targets and hosts since the last call.
   void PublishChanges();
@@ -97,7 +97,7 @@
   HostRegistry& hosts;
   CrashLedger& crashes;
   PeerMesh& mesh;
-  WorkAccount& account;
+  WorkStatistics& account;
   SendsHub sends;
   DocumentPublisher document;
   // When totals were last sent to entry hosts.
--- a/src/program/ServiceRelay.cpp
+++ b/src/program/ServiceRelay.cpp
@@ -68,7 +68,7 @@
   if (this->ticket != nullptr) {
     this->ticket->Finish(KeptAnswer{ response.status, response.contentType, response.body });
   }
-  this->meter.OnServed();
+  this->meter.OnServiceResponse();
   this->slot.MarkAnswered();
   return response;
 }
@@ -111,7 +111,7 @@
     return this->Failure(*result.refusal);
   }
   if (result.kept) {
-    this->meter.OnServed();
+    this->meter.OnServiceResponse();
     return ReplayResponse(*result.kept);
   }
   this->ticket = std::move(result.ticket);
--- a/src/program/TargetCheck.cpp
+++ b/src/program/TargetCheck.cpp
@@ -7,26 +7,27 @@
 namespace damasklink {
 namespace {
 
-constexpr Duration kConnectPatience = std::chrono::milliseconds(300);
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(300);
 
-// Whoever ends connections that it does not want does so at once.
-constexpr Duration kStaysOpen = std::chrono::milliseconds(50);
+// A listener that drops unwanted connections does so at once.
+constexpr Duration kDropTimeout = std::chrono::milliseconds(50);
 
-// Connections in a row that must be dropped, so far apart: a target that has too many connections
-// drops some of the new ones, and goes on with its answers meanwhile.
-constexpr int kDropsToBelieve = 3;
-constexpr Duration kBetweenDrops = std::chrono::milliseconds(100);
+// Number of consecutive connections that must be dropped, and the interval between them: a
+// target with too many connections drops only some new ones, and sends bytes of its responses in
+// between.
+constexpr int kRequiredDrops = 3;
+constexpr Duration kDropCheckInterval = std::chrono::milliseconds(100);
 
 } // namespace
 
 void
-TargetCheck::Run(const TargetRecord& aTarget, OnEnded aOnEnded)
+TargetCheck::Run(const TargetRecord& aTarget, TerminationHandler aOnTerminated)
 {
   if (this->waiting.empty()) {
     this->alive.clear();
   }
-  std::vector<OnEnded>& waiters = this->waiting[{ aTarget.id, aTarget.incarnation }];
-  waiters.push_back(std::move(aOnEnded));
+  std::vector<TerminationHandler>& waiters = this->waiting[{ aTarget.id, aTarget.incarnation }];
+  waiters.push_back(std::move(aOnTerminated));
   if (waiters.size() == 1) {
     this->alive.erase(aTarget.id);
     asio::co_spawn(this->loop, this->Check(aTarget), asio::detached);
@@ -36,55 +37,55 @@
 Awaitable<void>
 TargetCheck::Check(TargetRecord aTarget)
 {
-  const std::optional<EndProof> proof = co_await this->FindProof(aTarget);
+  const std::optional<TerminationEvidence> evidence = co_await this->FindEvidence(aTarget);
   const auto found = this->waiting.find({ aTarget.id, aTarget.incarnation });
-  const std::vector<OnEnded> waiters = std::move(found->second);
+  const std::vector<TerminationHandler> waiters = std::move(found->second);
   this->waiting.erase(found);
   LogEvent(LogLevel::Info, "target_checked")
     .With("target", aTarget.id)
     .With("incarnation", aTarget.incarnation)
-    .With("ended", proof.has_value())
-    .With("dropped", proof == EndProof::Dropped)
+    .With("ended", evidence.has_value())
+    .With("dropped", evidence == TerminationEvidence::Dropped)
     .With("broken_attempts", waiters.size());
-  if (proof) {
-    for (const OnEnded& waiter : waiters) {
-      waiter(*proof);
+  if (evidence) {
+    for (const TerminationHandler& waiter : waiters) {
+      waiter(*evidence);
     }
   }
 }
 
-Awaitable<std::optional<EndProof>>
-TargetCheck::FindProof(TargetRecord aTarget)
+Awaitable<std::optional<TerminationEvidence>>
+TargetCheck::FindEvidence(TargetRecord aTarget)
 {
   asio::steady_timer pause(this->loop);
-  for (int drops = 0; drops < kDropsToBelieve; ++drops) {
+  for (int drops = 0; drops < kRequiredDrops; ++drops) {
     if (drops > 0) {
-      pause.expires_after(kBetweenDrops);
+      pause.expires_after(kDropCheckInterval);
       co_await pause.async_wait(kAsValue);
     }
-    const Finding finding = co_await this->Connect(aTarget.endpoint);
-    if (finding == Finding::Refused) {
-      co_return EndProof::Refused;
+    const ConnectResult result = co_await this->Connect(aTarget.endpoint);
+    if (result == ConnectResult::Refused) {
+      co_return TerminationEvidence::Refused;
     }
-    if (finding != Finding::Dropped) {
+    if (result != ConnectResult::Dropped) {
       co_return std::nullopt;
     }
   }
-  const bool lives = this->alive.contains(aTarget.id);
-  co_return lives ? std::nullopt : std::optional(EndProof::Dropped);
+  const bool alive = this->alive.contains(aTarget.id);
+  co_return alive ? std::nullopt : std::optional(TerminationEvidence::Dropped);
 }
 
-Awaitable<TargetCheck::Finding>
+Awaitable<TargetCheck::ConnectResult>
 TargetCheck::Connect(Endpoint aAddress)
 {
   TargetChannel channel(this->loop.get_executor(), this->clock);
-  const auto connected = co_await channel.Connect(aAddress, kConnectPatience);
+  const auto connected = co_await channel.Connect(aAddress, kConnectTimeout);
   if (!connected) {
     const bool refused = connected.error().kind == ErrorKind::NotFound;
-    co_return refused ? Finding::Refused : Finding::Nothing;
+    co_return refused ? ConnectResult::Refused : ConnectResult::Nothing;
   }
-  const bool open = co_await channel.StaysOpen(kStaysOpen);
-  co_return open ? Finding::Open : Finding::Dropped;
+  const bool open = co_await channel.StaysOpen(kDropTimeout);
+  co_return open ? ConnectResult::Open : ConnectResult::Dropped;
 }
 
 } // namespace damasklink
--- a/src/program/TargetCheck.h
+++ b/src/program/TargetCheck.h
@@ -1,4 +1,4 @@
-// Finds out whether a target whose answer broke off has ended.
+// Finds out whether the process of a target whose response broke off has ended.
 #pragma once
 
 #include <functional>
@@ -12,38 +12,43 @@
 
 namespace damasklink {
 
-// A target that failed one answer still accepts connections; one whose process has ended refuses
-// them until it is started again. Where somebody else listens at its address, each connection is
-// accepted and ended at once: so is one to a target that has too many, but such a target goes on
-// with what it runs. Not thread-safe.
-//
-//   TargetCheck check(loop, clock);
-//   check.Run(record, [](EndProof aProof) { ... });   // Called where the target has ended.
-//   check.OnBytes(target);           // It lives.
-enum class EndProof
+// How a connection to the target's address shows that its process has ended. A running target
+// accepts connections even if it failed a response. A process that has ended refuses them until it
+// is started again. Where another process listens at its address, each connection may be
+// accepted and closed at once. A target with too many connections does that, too, but goes on with
+// the requests that it runs.
+enum class TerminationEvidence
 {
-  // Nobody listens at its address. What was sent there had been sent before it ended.
+  // Nobody listens at the address. Whatever was sent there was sent before the process ended.
   Refused,
-  // Somebody listens there who ends each connection: so was, perhaps, what was sent afterwards.
+  // Another process that listens there closes each connection. Requests sent after the process
+  // ended may have been closed by it, too, and so broke off without having reached the target.
   Dropped,
 };
 
+// Connects to targets on the event loop.
+//
+//   TargetCheck probe(loop, clock);
+//   probe.Run(record, [](TerminationEvidence aEvidence) { ... });   // Called if the process ended.
+//   probe.OnBytes(target);                                          // The target is alive.
+//
+// Not thread-safe.
 class TargetCheck
 {
 public:
-  using OnEnded = std::function<void(EndProof)>;
+  using TerminationHandler = std::function<void(TerminationEvidence)>;
 
-  // Requires that all outlive the checks, which end with the loop.
+  // The loop and the clock must outlive the probe, and the probe must outlive the loop's run.
   TargetCheck(asio::io_context& aLoop, const Clock& aClock)
     : loop(aLoop)
     , clock(aClock)
   {
   }
 
-  // Those who ask for the same start of a target while one check is under way share it.
-  void Run(const TargetRecord& aTarget, OnEnded aOnEnded);
+  // Starts a probe. Calls for the same incarnation of a target share the one that is running.
+  void Run(const TargetRecord& aTarget, TerminationHandler aOnTerminated);
 
-  // Tells that an answer of the target goes on.
+  // To be called when bytes of a response arrive from the target.
   void OnBytes(const TargetId& aTarget)
   {
     if (!this->waiting.empty()) {
@@ -52,28 +57,28 @@
   }
 
 private:
-  // What a connection to the target showed.
-  enum class Finding
+  // The result of one connection to the target.
+  enum class ConnectResult
   {
     Open,
     // Nobody listens.
     Refused,
-    // It was ended without a word.
+    // It was accepted and closed without any bytes.
     Dropped,
-    // No answer, which a lost link gives too.
+    // No answer, which a broken link causes, too.
     Nothing,
   };
 
-  using TargetStart = std::pair<TargetId, Incarnation>;
+  using ProbeKey = std::pair<TargetId, Incarnation>;
 
   Awaitable<void> Check(TargetRecord aTarget);
-  Awaitable<std::optional<EndProof>> FindProof(TargetRecord aTarget);
-  Awaitable<Finding> Connect(Endpoint aAddress);
+  Awaitable<std::optional<TerminationEvidence>> FindEvidence(TargetRecord aTarget);
+  Awaitable<ConnectResult> Connect(Endpoint aAddress);
 
   asio::io_context& loop;
   const Clock& clock;
-  std::map<TargetStart, std::vector<OnEnded>> waiting;
-  // Targets that were heard of while a check was under way.
+  std::map<ProbeKey, std::vector<TerminationHandler>> waiting;
+  // Targets that sent bytes while a probe was running.
   std::set<TargetId> alive;
 };
 
--- a/test/program/EntryPictureTest.cpp
+++ b/test/program/EntryPictureTest.cpp
@@ -22,168 +22,168 @@
 protected:
   EntryPictureTest()
   {
-    this->picture.OnLink(kFirst, true);
-    this->picture.OnLink(kSecond, true);
+    this->state.OnConnection(kFirst, true);
+    this->state.OnConnection(kSecond, true);
   }
 
-  void PutInForce(std::uint64_t aVersion)
+  void InstallRoutes(std::uint64_t aVersion)
   {
-    this->picture.PutInForce(ReadRoutes(this->dialect, Document(aVersion)).value());
+    this->state.InstallRoutes(ReadRoutes(this->dialect, Document(aVersion)).value());
   }
 
-  void Name(std::uint64_t aVersion)
+  void AnnounceWeights(std::uint64_t aVersion)
   {
-    ServingUpdate told;
-    told.weights[kModel] = aVersion;
-    this->picture.Take(kFirst, told);
+    ServingUpdate update;
+    update.weights[kModel] = aVersion;
+    this->state.Apply(kFirst, update);
   }
 
   ManualClock clock;
   platform::Dialect dialect;
-  EntryPicture picture{ this->clock };
+  EntryPicture state{ this->clock };
 };
 
-TEST_F(EntryPictureTest, ConfigurationNeverGoesBackWhoeverTellsIt)
+TEST_F(EntryPictureTest, IgnoresOlderConfiguration)
 {
-  EXPECT_EQ(this->picture.Routes(), nullptr);
-  this->PutInForce(7);
-  this->PutInForce(5);
-  EXPECT_EQ(this->picture.Routes()->Config().version, Revision(7));
-  this->PutInForce(9);
-  EXPECT_EQ(this->picture.Routes()->Config().version, Revision(9));
+  EXPECT_EQ(this->state.Routes(), nullptr);
+  this->InstallRoutes(7);
+  this->InstallRoutes(5);
+  EXPECT_EQ(this->state.Routes()->Config().version, Revision(7));
+  this->InstallRoutes(9);
+  EXPECT_EQ(this->state.Routes()->Config().version, Revision(9));
 }
 
-TEST_F(EntryPictureTest, UnreadableDocumentLeavesWhatIsInForce)
+TEST_F(EntryPictureTest, UnreadableDocumentKeepsCurrentConfiguration)
 {
-  this->PutInForce(7);
+  this->InstallRoutes(7);
   EXPECT_FALSE(ReadRoutes(this->dialect, "{\"version\":"));
-  EXPECT_EQ(this->picture.Routes()->Config().version, Revision(7));
+  EXPECT_EQ(this->state.Routes()->Config().version, Revision(7));
 }
 
-TEST_F(EntryPictureTest, PictureWithoutADocumentChangesNoRoutes)
+TEST_F(EntryPictureTest, UpdateWithoutDocumentKeepsRoutes)
 {
-  this->PutInForce(7);
-  this->picture.Take(kFirst, ServingUpdate{});
-  ASSERT_NE(this->picture.Routes(), nullptr);
+  this->InstallRoutes(7);
+  this->state.Apply(kFirst, ServingUpdate{});
+  ASSERT_NE(this->state.Routes(), nullptr);
 }
 
-TEST_F(EntryPictureTest, EachVersionOfWeightsAgesByItself)
+TEST_F(EntryPictureTest, TracksAgeOfEachWeightVersion)
 {
-  this->Name(2);
+  this->AnnounceWeights(2);
   this->clock.Advance(std::chrono::seconds(5));
-  this->Name(3);
+  this->AnnounceWeights(3);
   this->clock.Advance(std::chrono::seconds(3));
-  EXPECT_EQ(this->picture.WeightsOf(kModel), 3U);
-  EXPECT_EQ(this->picture.WeightsKnownFor(kModel, std::chrono::seconds(7)), 2U);
-  EXPECT_EQ(this->picture.WeightsKnownFor(kModel, std::chrono::seconds(9)), 0U);
+  EXPECT_EQ(this->state.WeightVersionOf(kModel), 3U);
+  EXPECT_EQ(this->state.WeightVersionKnownFor(kModel, std::chrono::seconds(7)), 2U);
+  EXPECT_EQ(this->state.WeightVersionKnownFor(kModel, std::chrono::seconds(9)), 0U);
   this->clock.Advance(std::chrono::seconds(5));
-  EXPECT_EQ(this->picture.WeightsKnownFor(kModel, std::chrono::seconds(7)), 3U);
+  EXPECT_EQ(this->state.WeightVersionKnownFor(kModel, std::chrono::seconds(7)), 3U);
 }
 
-TEST_F(EntryPictureTest, OlderNameOfWeightsChangesNothing)
+TEST_F(EntryPictureTest, IgnoresOlderWeightVersion)
 {
-  this->Name(3);
-  this->Name(2);
-  EXPECT_EQ(this->picture.WeightsOf(kModel), 3U);
+  this->AnnounceWeights(3);
+  this->AnnounceWeights(2);
+  EXPECT_EQ(this->state.WeightVersionOf(kModel), 3U);
 }
 
-TEST_F(EntryPictureTest, HostsAreCountedByThoseThatAreConnected)
+TEST_F(EntryPictureTest, CountsEntryHostsReportedByConnectedControlHosts)
 {
-  ServingUpdate told;
-  told.entryHosts = 9;
-  this->picture.Take(kFirst, told);
-  told.entryHosts = 4;
-  this->picture.Take(kSecond, told);
-  EXPECT_EQ(this->picture.EntryHosts(), 9U);
-  this->picture.OnLink(kFirst, false);
-  EXPECT_EQ(this->picture.EntryHosts(), 4U);
+  ServingUpdate update;
+  update.entryHosts = 9;
+  this->state.Apply(kFirst, update);
+  update.entryHosts = 4;
+  this->state.Apply(kSecond, update);
+  EXPECT_EQ(this->state.EntryHosts(), 9U);
+  this->state.OnConnection(kFirst, false);
+  EXPECT_EQ(this->state.EntryHosts(), 4U);
 }
 
-TEST_F(EntryPictureTest, StoredPartsOfALostControlHostAreForgotten)
+TEST_F(EntryPictureTest, DropsStoredPartsWhenTheirControlHostDisconnects)
 {
-  this->picture.ListenForStores(kFirst);
-  this->picture.OnLink(kSecond, false);
-  EXPECT_NE(this->picture.Stored(), nullptr);
-  this->picture.OnLink(kFirst, false);
-  EXPECT_EQ(this->picture.Stored(), nullptr);
-  this->picture.OnLink(kFirst, true);
-  EXPECT_EQ(this->picture.Stored(), nullptr) << "it has to be listened to again";
+  this->state.SelectStoreSource(kFirst);
+  this->state.OnConnection(kSecond, false);
+  EXPECT_NE(this->state.Stored(), nullptr);
+  this->state.OnConnection(kFirst, false);
+  EXPECT_EQ(this->state.Stored(), nullptr);
+  this->state.OnConnection(kFirst, true);
+  EXPECT_EQ(this->state.Stored(), nullptr) << "must be selected again after a reconnection";
 }
 
-TEST_F(EntryPictureTest, OnlyTheChosenControlHostTellsOfStoredParts)
+TEST_F(EntryPictureTest, TakesStoredPartsFromSelectedControlHostOnly)
 {
   const std::string config =
     R"({"version":1,"services":[{"name":"store","kv-store":"172.20.0.2:8006",)"
     R"("zone":"z","kv-capacity":1000,"link-mbps":1000}]})";
-  this->picture.PutInForce(ReadRoutes(this->dialect, config).value());
-  this->picture.ListenForStores(kFirst);
-  ServingUpdate told;
-  StoreUpdate& store = told.stores.emplace_back();
+  this->state.InstallRoutes(ReadRoutes(this->dialect, config).value());
+  this->state.SelectStoreSource(kFirst);
+  ServingUpdate update;
+  StoreUpdate& store = update.stores.emplace_back();
   store.store = Endpoint{ "172.20.0.2", 8006 };
   store.live = true;
-  this->picture.Take(kSecond, told);
-  EXPECT_EQ(this->picture.Stored()->CountLiveStores(), 0U);
-  this->picture.Take(kFirst, told);
-  EXPECT_EQ(this->picture.Stored()->CountLiveStores(), 1U);
-  this->picture.ListenForStores(kSecond);
-  EXPECT_EQ(this->picture.Stored()->CountLiveStores(), 0U)
-    << "what another one told counts no more";
+  this->state.Apply(kSecond, update);
+  EXPECT_EQ(this->state.Stored()->CountLiveStores(), 0U);
+  this->state.Apply(kFirst, update);
+  EXPECT_EQ(this->state.Stored()->CountLiveStores(), 1U);
+  this->state.SelectStoreSource(kSecond);
+  EXPECT_EQ(this->state.Stored()->CountLiveStores(), 0U)
+    << "reports of the host selected before are dropped";
 }
 
-TEST_F(EntryPictureTest, ControlHostWithoutALeaderIsNotGood)
+TEST_F(EntryPictureTest, IsolatedControlHostIsNotHealthy)
 {
-  this->picture.Take(kFirst, ServingUpdate());
-  EXPECT_TRUE(this->picture.IsGood(kFirst));
+  this->state.Apply(kFirst, ServingUpdate());
+  EXPECT_TRUE(this->state.IsHealthy(kFirst));
   ServingUpdate isolated;
   isolated.isolated = true;
-  this->picture.Take(kFirst, isolated);
-  EXPECT_FALSE(this->picture.IsGood(kFirst));
-  EXPECT_TRUE(this->picture.HasSpoken(kFirst));
-  this->picture.Take(kFirst, ServingUpdate());
-  EXPECT_TRUE(this->picture.IsGood(kFirst));
+  this->state.Apply(kFirst, isolated);
+  EXPECT_FALSE(this->state.IsHealthy(kFirst));
+  EXPECT_TRUE(this->state.HasReported(kFirst));
+  this->state.Apply(kFirst, ServingUpdate());
+  EXPECT_TRUE(this->state.IsHealthy(kFirst));
 }
 
-// A suspended process still has its connections accepted.
-TEST_F(EntryPictureTest, ControlHostCountsOnlyOnceItHasSpokenOnItsConnection)
+// The kernel accepts connections for a suspended process, so a connection proves nothing.
+TEST_F(EntryPictureTest, ControlHostIsNotHealthyBeforeFirstUpdateOnItsConnection)
 {
-  EXPECT_FALSE(this->picture.HasSpoken(kFirst));
-  EXPECT_FALSE(this->picture.IsGood(kFirst));
-  ServingUpdate told;
-  TargetUpdate& statement = told.targets.emplace_back();
-  statement.record.id = TargetId("t");
-  statement.record.service = ServiceName("s");
-  this->picture.Take(kFirst, told);
-  EXPECT_TRUE(this->picture.IsGood(kFirst));
-  // Its last words from before do not stand against those of one that speaks.
-  this->picture.OnLink(kFirst, false);
-  this->picture.OnLink(kFirst, true);
-  EXPECT_FALSE(this->picture.HasSpoken(kFirst));
-  told.targets.front().standing = TargetAvailability::Silent;
-  told.targets.push_back(told.targets.front());
-  told.targets.back().record.id = TargetId("other");
-  told.targets.back().standing = TargetAvailability::Usable;
-  this->picture.Take(kSecond, told);
-  ASSERT_EQ(this->picture.Targets().Usable(ServiceName("s")).size(), 1U);
-  EXPECT_EQ(this->picture.Targets().Usable(ServiceName("s")).front().id, TargetId("other"));
+  EXPECT_FALSE(this->state.HasReported(kFirst));
+  EXPECT_FALSE(this->state.IsHealthy(kFirst));
+  ServingUpdate update;
+  TargetUpdate& target = update.targets.emplace_back();
+  target.record.id = TargetId("t");
+  target.record.service = ServiceName("s");
+  this->state.Apply(kFirst, update);
+  EXPECT_TRUE(this->state.IsHealthy(kFirst));
+  // What it reported on an earlier connection does not outweigh a host that reports now.
+  this->state.OnConnection(kFirst, false);
+  this->state.OnConnection(kFirst, true);
+  EXPECT_FALSE(this->state.HasReported(kFirst));
+  update.targets.front().standing = TargetAvailability::Silent;
+  update.targets.push_back(update.targets.front());
+  update.targets.back().record.id = TargetId("other");
+  update.targets.back().standing = TargetAvailability::Usable;
+  this->state.Apply(kSecond, update);
+  ASSERT_EQ(this->state.Targets().Usable(ServiceName("s")).size(), 1U);
+  EXPECT_EQ(this->state.Targets().Usable(ServiceName("s")).front().id, TargetId("other"));
 }
 
-TEST_F(EntryPictureTest, EvacuationsNeverGoBackWhoeverTellsThem)
+TEST_F(EntryPictureTest, IgnoresOlderEvacuations)
 {
   const ZoneId zone("hall");
   ServingUpdate newer;
   newer.evacuated = EvacuatedZones{ 2, { zone } };
   ServingUpdate older;
   older.evacuated = EvacuatedZones{ 1, {} };
-  this->picture.Take(kFirst, newer);
-  this->picture.Take(kSecond, older);
-  EXPECT_EQ(this->picture.Targets().Evacuated(), std::set<ZoneId>{ zone });
-  EXPECT_EQ(this->picture.TakeEvacuated(), std::set<ZoneId>{ zone });
-  EXPECT_TRUE(this->picture.TakeEvacuated().empty());
+  this->state.Apply(kFirst, newer);
+  this->state.Apply(kSecond, older);
+  EXPECT_EQ(this->state.Targets().Evacuated(), std::set<ZoneId>{ zone });
+  EXPECT_EQ(this->state.TakeEvacuated(), std::set<ZoneId>{ zone });
+  EXPECT_TRUE(this->state.TakeEvacuated().empty());
   ServingUpdate returned;
   returned.evacuated = EvacuatedZones{ 3, {} };
-  this->picture.Take(kSecond, returned);
-  EXPECT_EQ(this->picture.TakeReturned(), std::set<ZoneId>{ zone });
-  EXPECT_TRUE(this->picture.Targets().Evacuated().empty());
+  this->state.Apply(kSecond, returned);
+  EXPECT_EQ(this->state.TakeReturned(), std::set<ZoneId>{ zone });
+  EXPECT_TRUE(this->state.Targets().Evacuated().empty());
 }
 
 } // namespace
