--- a/src/program/ControlCallHandler.h
+++ b/src/program/ControlCalls.h
@@ -15,19 +15,19 @@
 
 // Heartbeats and departures go to the ControlPicture, changes to the replicated log, and queries
 // are answered from its state. Not thread-safe.
-class ControlCallHandler
+class ControlCalls
 {
 public:
   // aPublish sends changes of targets to entry hosts at once. The references must outlive this
   // object.
-  ControlCallHandler(const Clock& aClock,
-                     const ServingSettings& aSettings,
-                     const ControlDialect& aDialect,
-                     ServingGroup& aGroup,
-                     ControlPicture& aTracker,
-                     Metrics& aMetrics,
-                     WorkStatistics& aAccount,
-                     std::function<void()> aPublish);
+  ControlCalls(const Clock& aClock,
+               const ServingSettings& aSettings,
+               const ControlDialect& aDialect,
+               ServingGroup& aGroup,
+               ControlPicture& aTracker,
+               Metrics& aMetrics,
+               WorkStatistics& aAccount,
+               std::function<void()> aPublish);
 
   // Serves the calls of one connection until it is closed.
   Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -1,6 +1,6 @@
 #include "ControlHost.h"
 
-#include "ControlCallHandler.h"
+#include "ControlCalls.h"
 #include "ControlPicture.h"
 #include "MetricsServer.h"
 #include "PictureTeller.h"
@@ -147,7 +147,7 @@
   PictureTeller publisher{ this->clock, this->settings, this->group, this->stores, this->tracker,
                            this->hosts, this->crashes,  this->mesh,  this->account };
   MetricsServer metricsPage{ this->loop, this->metrics, this->settings.host };
-  ControlCallHandler calls;
+  ControlCalls calls;
   ConnectionListener callers{ this->loop };
   ServingSignals signals;
   asio::steady_timer ticker;
