--- a/bench/SlopesBench.cpp
+++ b/bench/SlopesBench.cpp
@@ -3,8 +3,8 @@
 #include <memory>
 
 #include "Bench.h"
-#include "ControlPicture.h"
 #include "Slope.h"
+#include "TargetTracker.h"
 #include "damasklink/coordination/ClaimRegistry.h"
 #include "damasklink/coordination/Router.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
@@ -76,7 +76,7 @@
   std::vector<SlopePoint> step;
   for (const std::uint64_t size : { 300U, 1'000U, 3'000U }) {
     ManualClock clock;
-    ControlPicture picture(clock, kSilence);
+    TargetTracker picture(clock, kSilence);
     std::vector<TargetRecord> targets;
     for (std::uint64_t number = 0; number < size; ++number) {
       TargetRecord target = MakeTarget(number);
--- a/include/damasklink/coordination/ControlLinks.h
+++ b/include/damasklink/coordination/ControlHostSelector.h
@@ -1,6 +1,6 @@
 // Selects the control hosts that an entry host keeps connections to.
 //
-//   ControlLinks links(ownHost, ownZone);
+//   ControlHostSelector links(ownHost, ownZone);
 //   links.AddHost(host, zone);
 //   for (const HostId& host : links.Select(isHealthy)) { ... }   // Connect to these.
 //
@@ -18,14 +18,14 @@
 
 namespace damasklink {
 
-class ControlLinks
+class ControlHostSelector
 {
 public:
   // Three, since one host may be down and another may lag behind.
   static constexpr std::size_t kHealthyLinks = 3;
   static constexpr std::size_t kMaxInOwnZone = 2;
 
-  ControlLinks(HostId aSelf, ZoneId aZone)
+  ControlHostSelector(HostId aSelf, ZoneId aZone)
     : self(std::move(aSelf))
     , zone(std::move(aZone))
   {
--- a/include/damasklink/coordination/CrashWatch.h
+++ b/include/damasklink/coordination/CrashFilter.h
@@ -1,6 +1,6 @@
 // Filters out requests that crash targets; used on entry hosts.
 //
-//   CrashWatch filter(clock);
+//   CrashFilter filter(clock);
 //   if (filter.IsActive() && filter.IsRefused(fingerprint)) { ... }
 //   filter.OnCrash(report);                  // A target crashed while it ran a request.
 //   filter.OnSuccessfulRun(run);             // A request ran without a crash.
@@ -18,7 +18,7 @@
 
 namespace damasklink {
 
-class CrashWatch
+class CrashFilter
 {
 public:
   // Reports are sent again to each new hub for this long, in case the previous hub failed before it
@@ -26,7 +26,7 @@
   static constexpr Duration kReportLifetime = std::chrono::seconds(10);
   static constexpr std::size_t kMaxReports = 1024;
 
-  explicit CrashWatch(const Clock& aClock)
+  explicit CrashFilter(const Clock& aClock)
     : clock(aClock)
   {
   }
--- a/include/damasklink/coordination/CrashLedger.h
+++ b/include/damasklink/coordination/CrashRegistry.h
@@ -1,6 +1,6 @@
 // Detects requests that crash the targets that run them; used on control hosts.
 //
-//   CrashLedger registry(clock);
+//   CrashRegistry registry(clock);
 //   registry.Add(reports);                   // From entry hosts and other control hosts.
 //   registry.AddSuccessfulRuns(runs);        // Requests that ran without a crash.
 //   registry.SetRefused(machine.Refused());  // From the replicated log.
@@ -24,7 +24,7 @@
 
 namespace damasklink {
 
-class CrashLedger
+class CrashRegistry
 {
 public:
   static constexpr std::size_t kCrashesToRefuse = 3;
@@ -40,7 +40,7 @@
   // A refused request is allowed again after this time, in case the fault in the target is fixed.
   static constexpr Duration kRefusalPeriod = std::chrono::hours(24);
 
-  explicit CrashLedger(const Clock& aClock)
+  explicit CrashRegistry(const Clock& aClock)
     : clock(aClock)
   {
   }
--- a/include/damasklink/coordination/DocumentFetch.h
+++ b/include/damasklink/coordination/DocumentFetcher.h
@@ -1,6 +1,6 @@
 // Fetches the configuration document for an entry host: the receiving side of DocumentTransfer.h.
 //
-//   DocumentFetch fetcher(clock);
+//   DocumentFetcher fetcher(clock);
 //   // For each ServingUpdate of a control host:
 //   fetcher.OnVersionAnnounced(controlHost, version);
 //   // After each event, and on a timer:
@@ -40,10 +40,10 @@
 };
 
 // Not thread-safe.
-class DocumentFetch
+class DocumentFetcher
 {
 public:
-  explicit DocumentFetch(const Clock& aClock);
+  explicit DocumentFetcher(const Clock& aClock);
 
   // A connected control host has announced the version that is in force.
   void OnVersionAnnounced(const HostId& aSource, Revision aVersion);
--- a/include/damasklink/coordination/EnginePace.h
+++ b/include/damasklink/coordination/EngineLatencyModel.h
@@ -1,7 +1,7 @@
 // Estimates how fast the engines of a model process prompts, from the first events of this host's
 // calls.
 //
-//   EnginePace pace;
+//   EngineLatencyModel pace;
 //   pace.RecordPrefill(TokenCount(12'800), took);  // Nothing else waited for prefill there.
 //   pace.RecordShortPrompt(took);                  // Next to nothing to prefill.
 //   pace.RecordRun(took);                          // A prompt held its slot for so long.
@@ -51,7 +51,7 @@
   double median;
 };
 
-class EnginePace
+class EngineLatencyModel
 {
 public:
   // Milliseconds a token before anything was observed: between the slowest and the fastest engines
--- a/include/damasklink/coordination/ExchangePlan.h
+++ b/include/damasklink/coordination/ExchangeRetryPolicy.h
@@ -1,6 +1,6 @@
 // Decides what to do with a call after each of its attempts. Performs no I/O.
 //
-//   ExchangePlan plan(limits);
+//   ExchangeRetryPolicy plan(limits);
 //   plan.Begin(attempt, target);
 //   plan.Sending();                                  // Before the first byte leaves.
 //   switch (plan.After(AttemptResult::Refused, clock.MonotonicNow(), budget)) {
@@ -60,7 +60,7 @@
 std::string_view
 ExchangeStepName(ExchangeStep aStep);
 
-class ExchangePlan
+class ExchangeRetryPolicy
 {
 public:
   // Attempts without a connection before the call is refused. Each takes up to the connect timeout,
@@ -69,7 +69,7 @@
   // With less time left, another attempt cannot finish.
   static constexpr Duration kMinTimeLeft = std::chrono::milliseconds(30);
 
-  explicit ExchangePlan(ExchangeLimits aLimits)
+  explicit ExchangeRetryPolicy(ExchangeLimits aLimits)
     : limits(aLimits)
   {
   }
--- a/include/damasklink/coordination/HubChoice.h
+++ b/include/damasklink/coordination/HubSelector.h
@@ -1,6 +1,6 @@
 // Selects the hub of an entry host: the control host to which it sends its load reports.
 //
-//   HubChoice choice(clock, zone);
+//   HubSelector choice(clock, zone);
 //   choice.Choose(candidates);     // Control hosts that have sent something on their connection.
 //   choice.OnReportSent();         // The hub now has to reply with its sums.
 //   choice.OnMessageFrom(host);
@@ -31,14 +31,14 @@
   bool hearsLeader = false;
 };
 
-class HubChoice
+class HubSelector
 {
 public:
   // A hub replies to a report with its sums within 50 ms. Ten times that suffices under any load,
   // and is a third of the time after which a silent connection is closed.
   static constexpr Duration kReplyTimeout = std::chrono::milliseconds(500);
 
-  HubChoice(const Clock& aClock, ZoneId aZone)
+  HubSelector(const Clock& aClock, ZoneId aZone)
     : clock(aClock)
     , zone(std::move(aZone))
   {
--- a/include/damasklink/coordination/SendsSum.h
+++ b/include/damasklink/coordination/InFlightLoadSum.h
@@ -1,9 +1,9 @@
 // Adds up the in-flight load at targets from the reports of several hosts.
 //
-//   SendsSum sum;
+//   InFlightLoadSum sum;
 //   sum.Update(report, clock.MonotonicNow());   // The targets at which the load of a host changed.
 //   sum.Of(target);                             // The load of all hosts at the target.
-//   sum.RemoveSilentSince(clock.MonotonicNow() - SendsSum::kSilenceLimit);
+//   sum.RemoveSilentSince(clock.MonotonicNow() - InFlightLoadSum::kSilenceLimit);
 //
 // Reports contain absolute counts, so a lost message has no lasting effect. A control host adds up
 // the reports of its entry hosts, and separately the sums of other control hosts. Not thread-safe.
@@ -36,7 +36,7 @@
   bool operator==(const LoadCounts&) const = default;
 };
 
-class SendsSum
+class InFlightLoadSum
 {
 public:
   // A control host that sends no sums for this long may have failed; its entry hosts report to
--- a/include/damasklink/coordination/BrokenRuns.h
+++ b/include/damasklink/coordination/InterruptedRequests.h
@@ -1,6 +1,6 @@
 // Requests whose answers broke off recently, kept until it is known whether their target crashed.
 //
-//   BrokenRuns interrupted(clock);
+//   InterruptedRequests interrupted(clock);
 //   interrupted.Add(report, target.endpoint);                // An answer broke off.
 //   interrupted.OnAnswered(target, incarnation, sentAt);     // The target is alive.
 //   for (report : interrupted.TakeConfirmedByStart(started)) ...    // It was started again.
@@ -19,7 +19,7 @@
 
 namespace damasklink {
 
-class BrokenRuns
+class InterruptedRequests
 {
 public:
   // Longest time from a crash until the next start announces itself. A start that comes later has
@@ -29,7 +29,7 @@
   static constexpr Duration kSilenceWindow = std::chrono::seconds(10);
   static constexpr std::size_t kMaxInterrupted = 1024;
 
-  explicit BrokenRuns(const Clock& aClock)
+  explicit InterruptedRequests(const Clock& aClock)
     : clock(aClock)
   {
   }
--- a/include/damasklink/coordination/SendsHub.h
+++ b/include/damasklink/coordination/LoadReportAggregator.h
@@ -2,7 +2,7 @@
 // stores, and which targets were found unreachable or back. The sum over its own entry hosts goes
 // to the other control hosts, and the total over all entry hosts to its own ones.
 //
-//   SendsHub aggregator;
+//   LoadReportAggregator aggregator;
 //   aggregator.Update(report, clock.MonotonicNow());      // From an entry host.
 //   aggregator.UpdatePeerSum(sum, clock.MonotonicNow());  // From another control host.
 //   LoadReport sum = aggregator.TakeChanges(ownHost);      // For the other control hosts.
@@ -19,11 +19,11 @@
 #include <set>
 #include <vector>
 
-#include "damasklink/coordination/SendsSum.h"
+#include "damasklink/coordination/InFlightLoadSum.h"
 
 namespace damasklink {
 
-class SendsHub
+class LoadReportAggregator
 {
 public:
   // Processes the report of an entry host, which becomes one of Publishers(). A report with `last`
@@ -70,9 +70,9 @@
   LoadCounts TotalOf(const TargetId& aTarget) const;
   void MarkTotalsChanged(const std::vector<TargetId>& aTargets);
 
-  SendsSum sum;
+  InFlightLoadSum sum;
   // The sums of the other control hosts.
-  SendsSum peerSums;
+  InFlightLoadSum peerSums;
   std::set<HostId> publishers;
   PendingUpdate changes;
   PendingUpdate totals;
--- a/include/damasklink/coordination/HomeRegions.h
+++ b/include/damasklink/coordination/RegionRestriction.h
@@ -1,7 +1,7 @@
 // Restricts a call to the regions that its route and its workspace allow.
 //
-//   const HomeRegions homes(route.allowedRegions, workspace.allowedRegions, settings.regions);
-//   if (homes.Allows(target.zone)) ...
+//   const RegionRestriction homes(route.allowedRegions, workspace.allowedRegions,
+//   settings.regions); if (homes.Allows(target.zone)) ...
 //
 // Applies to the targets of the call and to the stores that cache parts of its prompt. Immutable.
 #pragma once
@@ -14,17 +14,17 @@
 
 namespace damasklink {
 
-class HomeRegions
+class RegionRestriction
 {
 public:
   // No restriction: allows every zone.
-  HomeRegions() = default;
+  RegionRestriction() = default;
 
   // An empty list does not restrict; if both lists have regions, only those in both are allowed.
   // aRegions maps each zone to its region.
-  HomeRegions(const std::vector<RegionId>& aRouteRegions,
-              const std::vector<RegionId>& aWorkspaceRegions,
-              const ZoneRegions& aRegions);
+  RegionRestriction(const std::vector<RegionId>& aRouteRegions,
+                    const std::vector<RegionId>& aWorkspaceRegions,
+                    const ZoneRegions& aRegions);
 
   bool IsRestricted() const { return this->restricted; }
 
--- a/include/damasklink/coordination/ReturnQueue.h
+++ b/include/damasklink/coordination/RetryScheduler.h
@@ -1,6 +1,6 @@
 // Spreads the retries of callers that were refused because all targets are full.
 //
-//   ReturnQueue scheduler(clock, seed);
+//   RetryScheduler scheduler(clock, seed);
 //   scheduler.OnAdmitted();                            // A call was sent to a target.
 //   Duration delay = scheduler.NextRetryDelay();       // A call was refused: for its Retry-After.
 //
@@ -19,7 +19,7 @@
 
 namespace damasklink {
 
-class ReturnQueue
+class RetryScheduler
 {
 public:
   // Scheduled retries per admitted call.
@@ -29,7 +29,7 @@
   // Callers do not wait longer, and scheduling retries does not help with a longer overload.
   static constexpr Duration kMaxRetryDelay = std::chrono::seconds(2);
 
-  ReturnQueue(const Clock& aClock, std::uint64_t aSeed)
+  RetryScheduler(const Clock& aClock, std::uint64_t aSeed)
     : clock(aClock)
     , random(aSeed)
   {
--- a/include/damasklink/coordination/StorePace.h
+++ b/include/damasklink/coordination/SlowStoreDetector.h
@@ -1,6 +1,6 @@
 // Detects stores of prompt parts that are slower than the others, from the delays of first events.
 //
-//   StorePace detector(seed);
+//   SlowStoreDetector detector(seed);
 //   detector.Observe(store, delay);        // Time to the first event beyond the engine's own work.
 //   if (detector.ShouldFetch(store)) ...   // Fetch the part; else prefill it.
 //
@@ -18,7 +18,7 @@
 
 namespace damasklink {
 
-class StorePace
+class SlowStoreDetector
 {
 public:
   // Weight of a new observation in the moving average of its store, which covers about five of
@@ -35,7 +35,7 @@
   // One in this many calls still fetches from a slow store, to detect that it has recovered.
   static constexpr unsigned kProbeInterval = 8;
 
-  explicit StorePace(std::uint64_t aSeed)
+  explicit SlowStoreDetector(std::uint64_t aSeed)
     : random(aSeed)
   {
   }
--- a/include/damasklink/coordination/SettledWeights.h
+++ b/include/damasklink/coordination/StableWeightVersions.h
@@ -1,7 +1,7 @@
 // Determines, for each model, the weight version that all engines have reached for some time.
 // Cached parts made by lower versions are then of no use any more.
 //
-//   SettledWeights settled(clock, std::chrono::seconds(3));
+//   StableWeightVersions settled(clock, std::chrono::seconds(3));
 //   settled.Update(engines);      // All engines that have not left, including silent ones.
 //   settled.MinimumVersions();    // By model.
 //
@@ -17,10 +17,10 @@
 
 namespace damasklink {
 
-class SettledWeights
+class StableWeightVersions
 {
 public:
-  SettledWeights(const Clock& aClock, Duration aSettlingTime)
+  StableWeightVersions(const Clock& aClock, Duration aSettlingTime)
     : clock(aClock)
     , settlingTime(aSettlingTime)
   {
--- a/include/damasklink/coordination/ComeBack.h
+++ b/include/damasklink/coordination/StartupRetryDelay.h
@@ -1,6 +1,6 @@
 // Retry-After for callers that are refused while an entry host has no configuration yet.
 //
-//   ComeBack retryDelay(seed);
+//   StartupRetryDelay retryDelay(seed);
 //   retryDelay.DelayDuringStartup(clock.MonotonicNow() - started);
 //
 // Callers retry once or twice at most. A delay that is too short wastes their last retry: it is
@@ -13,7 +13,7 @@
 
 namespace damasklink {
 
-class ComeBack
+class StartupRetryDelay
 {
 public:
   // Time from the start of an entry host to its first configuration when all hosts start together
@@ -26,7 +26,7 @@
   // Delay when startup takes longer than kStartTakes, because fewer control hosts are running.
   static constexpr Duration kLateStartupDelay = std::chrono::milliseconds(500);
 
-  explicit ComeBack(std::uint64_t aSeed)
+  explicit StartupRetryDelay(std::uint64_t aSeed)
     : random(aSeed)
   {
   }
--- a/include/damasklink/coordination/StartupWait.h
+++ b/include/damasklink/coordination/StartupWaitLimiter.h
@@ -1,6 +1,6 @@
 // Limits which calls may wait for the first configuration of an entry host that has just started.
 //
-//   StartupWait wait;
+//   StartupWaitLimiter wait;
 //   const Duration longest = wait.Begin(patience, body.size());
 //   if (longest > Duration::zero()) { ... wait for up to that time; wait.End(body.size()); }
 //
@@ -18,7 +18,7 @@
 
 namespace damasklink {
 
-class StartupWait
+class StartupWaitLimiter
 {
 public:
   // The time from the start of all hosts until a leader has configured them, provided that all
--- a/include/damasklink/coordination/StoredParts.h
+++ b/include/damasklink/coordination/StoredPartIndex.h
@@ -1,6 +1,6 @@
 // Index of which store has which prompt parts, as one control host reports it.
 //
-//   StoredParts stored;
+//   StoredPartIndex stored;
 //   stored.SetStores(config.services);
 //   stored.Apply(update);
 //   const PromptStore* from = stored.Find(part, zone, {});  // A store to fetch the part from.
@@ -35,7 +35,7 @@
   absl::flat_hash_map<PartKey, TokenCount> parts;
 };
 
-class StoredParts
+class StoredPartIndex
 {
 public:
   // Stores are filled up to this ratio only, since parts in transfer are not counted yet.
--- a/include/damasklink/coordination/TargetBoard.h
+++ b/include/damasklink/coordination/TargetDirectory.h
@@ -1,6 +1,6 @@
 // The targets as one entry host knows them, merged from the updates of several control hosts.
 //
-//   TargetBoard board;
+//   TargetDirectory board;
 //   board.Take(controlHost, update);
 //   board.OnLink(controlHost, false);     // Disconnected: its reports lose precedence.
 //   for (const TargetRecord& target : board.Usable(service)) ...
@@ -25,7 +25,7 @@
 
 namespace damasklink {
 
-class TargetBoard
+class TargetDirectory
 {
 public:
   // Removed targets that are remembered so that a late update does not bring them back; beyond this
--- a/include/damasklink/coordination/TargetPicker.h
+++ b/include/damasklink/coordination/TargetSelector.h
@@ -1,6 +1,6 @@
 // Chooses the target of a call in a serving deployment.
 //
-//   TargetPicker picker(health, reach, seed);
+//   TargetSelector picker(health, reach, seed);
 //   const TargetRecord* target = picker.Choose(request, board.Usable(service));
 //   picker.OnSent(target->id, request, load);
 //   picker.OnFirstEvent(target->id, load);
@@ -21,12 +21,12 @@
 #include <absl/container/flat_hash_map.h>
 
 #include "damasklink/coordination/EngineCacheModel.h"
-#include "damasklink/coordination/EnginePace.h"
-#include "damasklink/coordination/SendsSum.h"
+#include "damasklink/coordination/EngineLatencyModel.h"
+#include "damasklink/coordination/InFlightLoadSum.h"
 #include "damasklink/coordination/ServingMessages.h"
 #include "damasklink/coordination/Target.h"
 #include "damasklink/coordination/TargetHealth.h"
-#include "damasklink/coordination/ZoneReach.h"
+#include "damasklink/coordination/ZoneReachability.h"
 
 namespace damasklink {
 
@@ -84,8 +84,8 @@
   Incarnation incarnation;
 };
 
-// Coefficients of the cost, in milliseconds unless stated otherwise. EnginePace supplies the
-// figures that are learnt.
+// Coefficients of the cost, in milliseconds unless stated otherwise. EngineLatencyModel supplies
+// the figures that are learnt.
 struct SelectionCosts
 {
   // Extra cost of prefill, as a multiple of its duration: an engine prefills one prompt after the
@@ -122,17 +122,17 @@
   double crossZone = 4;
 };
 
-class TargetPicker
+class TargetSelector
 {
 public:
   // From this number of uncached tokens on, a send is reported to the other hosts at once;
   // otherwise short calls that they send behind it before they know of it would be late.
   static constexpr std::uint64_t kLongPrefill = 1000;
 
-  TargetPicker(const TargetHealth& aHealth,
-               const ZoneReach& aReach,
-               std::uint64_t aSeed,
-               SelectionCosts aCosts = SelectionCosts());
+  TargetSelector(const TargetHealth& aHealth,
+                 const ZoneReachability& aReach,
+                 std::uint64_t aSeed,
+                 SelectionCosts aCosts = SelectionCosts());
 
   // Returns the target of least cost, or nullptr when there is none. It compares the targets that
   // have the shared parts of the prompt, a random sample, and a sample of this host's zone.
@@ -195,7 +195,7 @@
                                  const TargetRecord& aFor) const;
 
   // Returns the latency model of the engines of a model.
-  const EnginePace& PaceOf(const ModelName& aModel) const;
+  const EngineLatencyModel& LatencyModelOf(const ModelName& aModel) const;
 
   // Records the time from sending a call to its first event in the latency model. aFetched tells
   // that parts came from a store. Returns whether the call was used: calls behind which other
@@ -221,11 +221,11 @@
   double QueueDelay(const SelectionRequest& aRequest, const TargetRecord& aTarget) const;
 
   const TargetHealth& health;
-  const ZoneReach& reach;
+  const ZoneReachability& reach;
   SelectionCosts costs;
   std::minstd_rand random;
   EngineCacheModel held;
-  absl::flat_hash_map<ModelName, EnginePace> paces;
+  absl::flat_hash_map<ModelName, EngineLatencyModel> paces;
   // The load of this host.
   absl::flat_hash_map<TargetId, LoadCounts> ownLoads;
   // The newest incarnations of the targets that have restarted.
@@ -236,7 +236,7 @@
   // The load that this host has reported; the sums of control hosts include it.
   absl::flat_hash_map<TargetId, LoadCounts> ownReported;
   // The sums of all control hosts.
-  SendsSum sums;
+  InFlightLoadSum sums;
 };
 
 } // namespace damasklink
--- a/include/damasklink/coordination/ZoneReach.h
+++ b/include/damasklink/coordination/ZoneReachability.h
@@ -1,6 +1,6 @@
 // Detects availability zones whose targets this host cannot reach: a circuit breaker for each zone.
 //
-//   ZoneReach reach(clock, seed);
+//   ZoneReachability reach(clock, seed);
 //   reach.OnStart(target.zone);                  // A call is sent.
 //   reach.OnEnd(target.zone, target.id, sign);   // The call has ended.
 //   if (reach.IsUnreachable(target.zone)) ...    // Choose another zone.
@@ -23,7 +23,7 @@
 
 namespace damasklink {
 
-class ZoneReach
+class ZoneReachability
 {
 public:
   // The number of targets that must fail, without an answer from any other, to make their zone
@@ -35,7 +35,7 @@
   // do not probe at the same time.
   static constexpr Duration kRetryDelay = std::chrono::seconds(2);
 
-  ZoneReach(const Clock& aClock, std::uint64_t aSeed)
+  ZoneReachability(const Clock& aClock, std::uint64_t aSeed)
     : clock(aClock)
     , random(aSeed)
   {
--- a/include/damasklink/transport/CallerChannel.h
+++ b/include/damasklink/transport/CallerConnection.h
@@ -1,6 +1,6 @@
 // The server side of one HTTP/1.1 connection, on the event loop.
 //
-//   CallerChannel connection(std::move(socket));
+//   CallerConnection connection(std::move(socket));
 //   auto request = co_await connection.Read(limits);
 //   if (!request) ...   // The error says how to respond, or that the caller closed.
 //   co_await connection.WriteWhole(response, close);
@@ -18,13 +18,13 @@
 
 namespace damasklink {
 
-class CallerChannel
+class CallerConnection
 {
 public:
-  explicit CallerChannel(TcpSocket aSocket);
-  ~CallerChannel();
-  CallerChannel(const CallerChannel&) = delete;
-  CallerChannel& operator=(const CallerChannel&) = delete;
+  explicit CallerConnection(TcpSocket aSocket);
+  ~CallerConnection();
+  CallerConnection(const CallerConnection&) = delete;
+  CallerConnection& operator=(const CallerConnection&) = delete;
 
   // Reads the next request, body included. Fails with
   // - Interrupted when the caller closed the connection, or was idle for too long between requests,
--- a/include/damasklink/transport/ConnectionListener.h
+++ b/include/damasklink/transport/ConnectionListener.h
@@ -8,7 +8,7 @@
 #include <functional>
 #include <memory>
 
-#include "damasklink/transport/CallerChannel.h"
+#include "damasklink/transport/CallerConnection.h"
 
 namespace damasklink {
 
@@ -16,7 +16,7 @@
 {
 public:
   // The connection is shared, so that its owner can close it while it is served.
-  using Serve = std::function<Awaitable<void>(std::shared_ptr<CallerChannel>)>;
+  using Serve = std::function<Awaitable<void>(std::shared_ptr<CallerConnection>)>;
 
   explicit ConnectionListener(asio::io_context& aLoop)
     : loop(aLoop)
--- a/include/damasklink/transport/DialPace.h
+++ b/include/damasklink/transport/DialBackoff.h
@@ -1,6 +1,6 @@
 // Timeout and retry delay of a host's attempts to connect to a peer.
 //
-//   DialPace backoff(timing);
+//   DialBackoff backoff(timing);
 //   backoff.ConnectTimeout();   // Abandon the attempt after this long,
 //   backoff.RetryDelay();       // and begin the next one this long after it.
 //   backoff.OnFailed();
@@ -27,10 +27,10 @@
   Duration retryDelay = std::chrono::milliseconds(300);
 };
 
-class DialPace
+class DialBackoff
 {
 public:
-  explicit DialPace(DialTiming aTiming)
+  explicit DialBackoff(DialTiming aTiming)
     : timing(aTiming)
   {
   }
--- a/include/damasklink/transport/PeerMesh.h
+++ b/include/damasklink/transport/PeerMesh.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "damasklink/transport/DialPace.h"
+#include "damasklink/transport/DialBackoff.h"
 #include "damasklink/transport/EventLoop.h"
 #include "damasklink/transport/PeerNetwork.h"
 
@@ -106,7 +106,7 @@
   std::unique_ptr<TcpAcceptor> acceptor;
   // By peer; null while waiting to dial again.
   std::map<HostId, std::shared_ptr<Link>> dialed;
-  std::map<HostId, DialPace> backoffs;
+  std::map<HostId, DialBackoff> backoffs;
   std::map<HostId, std::shared_ptr<Link>> accepted;
   // Accepted connections whose peer has not sent its id yet.
   std::vector<std::weak_ptr<Link>> unnamed;
--- a/include/damasklink/transport/TargetChannel.h
+++ b/include/damasklink/transport/TargetConnection.h
@@ -1,8 +1,8 @@
 // The client side of one HTTP/1.1 connection, on the event loop, and a pool of idle ones.
 //
-//   std::unique_ptr<TargetChannel> connection = pool.TakeIdle(endpoint);
+//   std::unique_ptr<TargetConnection> connection = pool.TakeIdle(endpoint);
 //   if (connection == nullptr) {
-//     connection = std::make_unique<TargetChannel>(executor, clock);
+//     connection = std::make_unique<TargetConnection>(executor, clock);
 //     auto connected = co_await connection->Connect(endpoint, timeout);
 //   }
 //   co_await connection->Send(head, body);
@@ -29,13 +29,13 @@
 
 namespace damasklink {
 
-class TargetChannel
+class TargetConnection
 {
 public:
-  TargetChannel(const asio::any_io_executor& aExecutor, const Clock& aClock);
-  ~TargetChannel();
-  TargetChannel(const TargetChannel&) = delete;
-  TargetChannel& operator=(const TargetChannel&) = delete;
+  TargetConnection(const asio::any_io_executor& aExecutor, const Clock& aClock);
+  ~TargetConnection();
+  TargetConnection(const TargetConnection&) = delete;
+  TargetConnection& operator=(const TargetConnection&) = delete;
 
   // Fails with NotFound when nothing listens at the address, and with Unavailable for any other
   // reason. In either case nothing of a request has been sent.
@@ -88,23 +88,23 @@
 
 // Idle connections by address. The most recently used one is reused first. Belongs to one event
 // loop.
-class TargetChannelPool
+class TargetConnectionPool
 {
 public:
   // Limit of idle connections per target; the oldest ones above it are closed. A host needs about
   // as many as it has requests in flight at the target.
   static constexpr std::size_t kMaxIdle = 64;
 
-  explicit TargetChannelPool(const Clock& aClock)
+  explicit TargetConnectionPool(const Clock& aClock)
     : clock(aClock)
   {
   }
 
   // Returns an idle connection that is still open, or null if there is none.
-  std::unique_ptr<TargetChannel> TakeIdle(const Endpoint& aEndpoint);
+  std::unique_ptr<TargetConnection> TakeIdle(const Endpoint& aEndpoint);
 
   // Adds the connection to the pool, or closes it if it cannot be reused.
-  void Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetChannel> aConnection);
+  void Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetConnection> aConnection);
 
   // Closes connections that were idle for too long. Must be called periodically.
   void CloseExpired();
@@ -116,7 +116,7 @@
 
 private:
   const Clock& clock;
-  absl::flat_hash_map<std::string, std::deque<std::unique_ptr<TargetChannel>>> idle;
+  absl::flat_hash_map<std::string, std::deque<std::unique_ptr<TargetConnection>>> idle;
 };
 
 } // namespace damasklink
--- a/src/coordination/ControlLinks.cpp
+++ b/src/coordination/ControlHostSelector.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ControlLinks.h"
+#include "damasklink/coordination/ControlHostSelector.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 namespace damasklink {
 
 void
-ControlLinks::AddHost(const HostId& aHost, const ZoneId& aZone)
+ControlHostSelector::AddHost(const HostId& aHost, const ZoneId& aZone)
 {
   ZoneId& knownZone = this->known[aHost];
   if (!aZone.Empty()) {
@@ -17,7 +17,7 @@
 }
 
 bool
-ControlLinks::AddHosts(const ControlHostZones& aHosts)
+ControlHostSelector::AddHosts(const ControlHostZones& aHosts)
 {
   for (const auto& [host, hostZone] : aHosts) {
     this->AddHost(host, hostZone);
@@ -26,7 +26,7 @@
 }
 
 std::vector<HostId>
-ControlLinks::ByPreference() const
+ControlHostSelector::ByPreference() const
 {
   std::vector<HostId> near;
   std::vector<HostId> far;
@@ -44,7 +44,7 @@
 }
 
 std::vector<HostId>
-ControlLinks::Select(const std::function<bool(const HostId&)>& aIsHealthy) const
+ControlHostSelector::Select(const std::function<bool(const HostId&)>& aIsHealthy) const
 {
   std::vector<HostId> selected;
   std::size_t healthy = 0;
--- a/src/coordination/CrashWatch.cpp
+++ b/src/coordination/CrashFilter.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashWatch.h"
+#include "damasklink/coordination/CrashFilter.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,7 +6,7 @@
 namespace damasklink {
 
 void
-CrashWatch::OnCrash(CrashReport aReport)
+CrashFilter::OnCrash(CrashReport aReport)
 {
   if (this->reports.size() >= kMaxReports) {
     this->reports.erase(this->reports.begin());
@@ -15,7 +15,7 @@
 }
 
 void
-CrashWatch::OnSuccessfulRun(const SuccessfulRun& aRun)
+CrashFilter::OnSuccessfulRun(const SuccessfulRun& aRun)
 {
   const auto isSameRequest = [&](const PendingReport& aPending) {
     return aPending.report.request == aRun.request && aPending.report.service == aRun.service;
@@ -27,7 +27,7 @@
 }
 
 void
-CrashWatch::SetVerdicts(const HostId& aFrom, const CrashingRequests& aVerdicts)
+CrashFilter::SetVerdicts(const HostId& aFrom, const CrashingRequests& aVerdicts)
 {
   std::erase_if(this->verdicts, [](const auto& aItem) { return !aItem.second.connected; });
   this->verdicts[aFrom] = Verdicts{ aVerdicts, true };
@@ -35,7 +35,7 @@
 }
 
 void
-CrashWatch::OnLost(const HostId& aHost)
+CrashFilter::OnLost(const HostId& aHost)
 {
   const auto found = this->verdicts.find(aHost);
   if (found == this->verdicts.end()) {
@@ -53,7 +53,7 @@
 }
 
 void
-CrashWatch::MergeVerdicts()
+CrashFilter::MergeVerdicts()
 {
   this->refused.clear();
   this->watched.clear();
@@ -67,7 +67,7 @@
 }
 
 void
-CrashWatch::ResendAll()
+CrashFilter::ResendAll()
 {
   for (PendingReport& pending : this->reports) {
     pending.sent = false;
@@ -75,7 +75,7 @@
 }
 
 std::vector<CrashReport>
-CrashWatch::TakeReports()
+CrashFilter::TakeReports()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   std::erase_if(this->reports, [&](const PendingReport& aPending) {
@@ -91,7 +91,7 @@
 }
 
 std::vector<SuccessfulRun>
-CrashWatch::TakeSuccessfulRuns()
+CrashFilter::TakeSuccessfulRuns()
 {
   const std::set<SuccessfulRun> taken = std::exchange(this->successfulRuns, {});
   return std::vector<SuccessfulRun>(taken.begin(), taken.end());
--- a/src/coordination/CrashLedger.cpp
+++ b/src/coordination/CrashRegistry.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashLedger.h"
+#include "damasklink/coordination/CrashRegistry.h"
 
 #include <algorithm>
 #include <tuple>
@@ -6,7 +6,7 @@
 namespace damasklink {
 
 void
-CrashLedger::Add(const std::vector<CrashReport>& aReports)
+CrashRegistry::Add(const std::vector<CrashReport>& aReports)
 {
   for (const CrashReport& report : aReports) {
     if (!this->entries.contains(report.request) && this->entries.size() >= kMaxRequests) {
@@ -25,7 +25,7 @@
 // Evicts the request with the fewest crashes, and the oldest among these: requests that are sent
 // once must not evict those that are repeated.
 void
-CrashLedger::EvictOne()
+CrashRegistry::EvictOne()
 {
   const auto least = std::min_element(
     this->entries.begin(), this->entries.end(), [](const auto& aLeft, const auto& aRight) {
@@ -36,7 +36,7 @@
 }
 
 void
-CrashLedger::AddSuccessfulRuns(const std::vector<SuccessfulRun>& aRuns)
+CrashRegistry::AddSuccessfulRuns(const std::vector<SuccessfulRun>& aRuns)
 {
   for (const SuccessfulRun& run : aRuns) {
     const auto found = this->entries.find(run.request);
@@ -55,7 +55,7 @@
 }
 
 void
-CrashLedger::SetRefused(const RefusedRequests& aRefused)
+CrashRegistry::SetRefused(const RefusedRequests& aRefused)
 {
   for (const auto& [request, facts] : this->refused) {
     if (!aRefused.contains(request)) {
@@ -68,14 +68,14 @@
 }
 
 bool
-CrashLedger::ShouldRefuse(const Entry& aEntry) const
+CrashRegistry::ShouldRefuse(const Entry& aEntry) const
 {
   return aEntry.crashed.size() >= kCrashesToRefuse &&
          this->clock.MonotonicNow() - aEntry.lastCrash >= kSettleTime;
 }
 
 CrashingRequests
-CrashLedger::Verdicts() const
+CrashRegistry::Verdicts() const
 {
   CrashingRequests verdicts;
   for (const auto& [request, facts] : this->refused) {
@@ -95,7 +95,7 @@
 }
 
 std::vector<RefuseRequest>
-CrashLedger::ToRefuse() const
+CrashRegistry::ToRefuse() const
 {
   std::vector<RefuseRequest> requests;
   for (const auto& [request, entry] : this->entries) {
@@ -107,7 +107,7 @@
 }
 
 std::vector<ReleaseRequest>
-CrashLedger::ToRelease() const
+CrashRegistry::ToRelease() const
 {
   std::vector<ReleaseRequest> requests;
   for (const auto& [request, facts] : this->refused) {
@@ -120,7 +120,7 @@
 }
 
 std::vector<CrashReport>
-CrashLedger::All() const
+CrashRegistry::All() const
 {
   std::vector<CrashReport> reports;
   for (const auto& [request, entry] : this->entries) {
--- a/src/coordination/DocumentFetch.cpp
+++ b/src/coordination/DocumentFetcher.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/DocumentFetch.h"
+#include "damasklink/coordination/DocumentFetcher.h"
 
 #include <algorithm>
 
@@ -32,7 +32,7 @@
 
 } // namespace
 
-DocumentFetch::DocumentFetch(const Clock& aClock)
+DocumentFetcher::DocumentFetcher(const Clock& aClock)
   : clock(aClock)
   , timeout(kInitialTimeout)
   , chunkBytes(kInitialChunkBytes)
@@ -40,7 +40,7 @@
 }
 
 void
-DocumentFetch::OnVersionAnnounced(const HostId& aSource, Revision aVersion)
+DocumentFetcher::OnVersionAnnounced(const HostId& aSource, Revision aVersion)
 {
   this->sources[aSource] = aVersion;
   if (aVersion > this->newest) {
@@ -53,7 +53,7 @@
 }
 
 MonotonicTime
-DocumentFetch::AnnouncedAt(Revision aVersion) const
+DocumentFetcher::AnnouncedAt(Revision aVersion) const
 {
   MonotonicTime earliest = this->clock.MonotonicNow();
   for (auto item = this->announcedAt.lower_bound(aVersion); item != this->announcedAt.end();
@@ -64,7 +64,7 @@
 }
 
 void
-DocumentFetch::OnLost(const HostId& aSource)
+DocumentFetcher::OnLost(const HostId& aSource)
 {
   this->sources.erase(aSource);
   this->timedOut.erase(aSource);
@@ -74,7 +74,7 @@
 }
 
 void
-DocumentFetch::OnVersionInstalled(Revision aVersion)
+DocumentFetcher::OnVersionInstalled(Revision aVersion)
 {
   this->installed = std::max(this->installed, aVersion);
   this->wantsFullDocument = false;
@@ -83,7 +83,7 @@
 }
 
 void
-DocumentFetch::OnUnpackFailed(const TransferId& aTransfer)
+DocumentFetcher::OnUnpackFailed(const TransferId& aTransfer)
 {
   if (aTransfer.base == Revision()) {
     this->unreadable = aTransfer.version;
@@ -94,14 +94,14 @@
 
 // Returns the lowest version that is worth requesting: that of the started transfer, if any.
 Revision
-DocumentFetch::LowestWantedVersion() const
+DocumentFetcher::LowestWantedVersion() const
 {
   const Revision started = this->transfer.version;
   return started != Revision() ? started : std::max(this->installed, this->unreadable).Next();
 }
 
 bool
-DocumentFetch::IsWantedVersionAvailable() const
+DocumentFetcher::IsWantedVersionAvailable() const
 {
   return std::any_of(this->sources.begin(), this->sources.end(), [this](const auto& aSource) {
     return aSource.second >= this->LowestWantedVersion();
@@ -112,7 +112,7 @@
 // OnChunk() additionally requires that a chunk which replaces a started transfer comes from the
 // control host that was requested, which then does not have the started one.
 bool
-DocumentFetch::IsAcceptable(const DocumentChunk& aChunk) const
+DocumentFetcher::IsAcceptable(const DocumentChunk& aChunk) const
 {
   const TransferId& offered = aChunk.transfer;
   const bool baseMatches = offered.base == this->installed && !this->wantsFullDocument;
@@ -126,7 +126,7 @@
 }
 
 std::optional<FetchedDocument>
-DocumentFetch::OnChunk(const HostId& aFrom, const DocumentChunk& aChunk)
+DocumentFetcher::OnChunk(const HostId& aFrom, const DocumentChunk& aChunk)
 {
   const bool wasRequested = this->pending && this->pending->source == aFrom;
   const bool started = this->transfer.version != Revision();
@@ -150,14 +150,14 @@
 }
 
 void
-DocumentFetch::AbandonTransfer()
+DocumentFetcher::AbandonTransfer()
 {
   this->transfer = TransferId();
   this->received.clear();
 }
 
 void
-DocumentFetch::OnProgress()
+DocumentFetcher::OnProgress()
 {
   if (this->pending) {
     const Duration took = this->clock.MonotonicNow() - this->pending->sentAt;
@@ -173,7 +173,7 @@
 }
 
 void
-DocumentFetch::OnTimeout()
+DocumentFetcher::OnTimeout()
 {
   this->timedOut.insert(this->pending->source);
   this->pending.reset();
@@ -183,7 +183,7 @@
 // Returns a control host that has a wanted version and did not time out for this chunk, preferably
 // the one that answered last, else the one with the newest version.
 std::optional<HostId>
-DocumentFetch::ChooseSource() const
+DocumentFetcher::ChooseSource() const
 {
   const Revision least = this->LowestWantedVersion();
   const auto can = [&](const HostId& aHost, Revision aVersion) {
@@ -207,7 +207,7 @@
 
 // As ChooseSource(), but tries the control hosts that timed out again when no other is left.
 std::optional<HostId>
-DocumentFetch::ChooseSourceOrRetry()
+DocumentFetcher::ChooseSourceOrRetry()
 {
   std::optional<HostId> source = this->ChooseSource();
   if (!source && !this->timedOut.empty()) {
@@ -219,7 +219,7 @@
 }
 
 std::optional<OutgoingDocumentRequest>
-DocumentFetch::Next()
+DocumentFetcher::Next()
 {
   if (!this->IsWantedVersionAvailable()) {
     // No control host has the started transfer any more, but others may have a newer version than
--- a/src/coordination/EnginePace.cpp
+++ b/src/coordination/EngineLatencyModel.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/EnginePace.h"
+#include "damasklink/coordination/EngineLatencyModel.h"
 
 #include <algorithm>
 
@@ -30,7 +30,7 @@
 }
 
 void
-EnginePace::RecordPrefill(TokenCount aTokens, Duration aTook)
+EngineLatencyModel::RecordPrefill(TokenCount aTokens, Duration aTook)
 {
   if (aTokens == TokenCount()) {
     return;
@@ -41,13 +41,13 @@
 }
 
 void
-EnginePace::RecordShortPrompt(Duration aTook)
+EngineLatencyModel::RecordShortPrompt(Duration aTook)
 {
   this->baseLatencyMedian.Observe(std::clamp(Milliseconds(aTook), 0.0, kMaxBaseLatency));
 }
 
 void
-EnginePace::RecordRun(Duration aTook)
+EngineLatencyModel::RecordRun(Duration aTook)
 {
   this->runTime += kRunTimeWeight * (Milliseconds(aTook) - this->runTime);
 }
--- a/src/coordination/ExchangePlan.cpp
+++ b/src/coordination/ExchangeRetryPolicy.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ExchangePlan.h"
+#include "damasklink/coordination/ExchangeRetryPolicy.h"
 
 #include <utility>
 
@@ -49,20 +49,20 @@
 }
 
 void
-ExchangePlan::Begin(AttemptId aAttempt, TargetId aTarget)
+ExchangeRetryPolicy::Begin(AttemptId aAttempt, TargetId aTarget)
 {
   this->record.Begin(std::move(aAttempt), std::move(aTarget));
 }
 
 void
-ExchangePlan::Sending()
+ExchangeRetryPolicy::Sending()
 {
   this->record.Advance(AttemptStage::Sending);
   ++this->sent;
 }
 
 ExchangeStep
-ExchangePlan::After(AttemptResult aResult, MonotonicTime aNow, RetryBudget& aBudget)
+ExchangeRetryPolicy::After(AttemptResult aResult, MonotonicTime aNow, RetryBudget& aBudget)
 {
   switch (aResult) {
     case AttemptResult::Delivered:
@@ -92,13 +92,13 @@
 }
 
 ExchangeStep
-ExchangePlan::WithoutTarget() const
+ExchangeRetryPolicy::WithoutTarget() const
 {
   return this->GiveUp(AttemptResult::Unreachable);
 }
 
 bool
-ExchangePlan::MayTryAnother(AttemptResult aResult, MonotonicTime aNow) const
+ExchangeRetryPolicy::MayTryAnother(AttemptResult aResult, MonotonicTime aNow) const
 {
   if (aResult == AttemptResult::Expired || aNow + kMinTimeLeft >= this->limits.endsAt) {
     return false;
@@ -110,7 +110,7 @@
 }
 
 ExchangeStep
-ExchangePlan::GiveUp(AttemptResult aResult) const
+ExchangeRetryPolicy::GiveUp(AttemptResult aResult) const
 {
   if (this->passedOn) {
     return ExchangeStep::CutOff;
@@ -125,7 +125,7 @@
 }
 
 bool
-ExchangePlan::CertainlyNotRun() const
+ExchangeRetryPolicy::CertainlyNotRun() const
 {
   return this->record.Outcome() == RunOutcome::NotRun;
 }
--- a/src/coordination/HubChoice.cpp
+++ b/src/coordination/HubSelector.cpp
@@ -1,9 +1,9 @@
-#include "damasklink/coordination/HubChoice.h"
+#include "damasklink/coordination/HubSelector.h"
 
 namespace damasklink {
 
 int
-HubChoice::RankOf(const HubCandidate& aCandidate) const
+HubSelector::RankOf(const HubCandidate& aCandidate) const
 {
   const int responsive = this->unresponsive.contains(aCandidate.host) ? 0 : 4;
   const int hearsLeader = aCandidate.hearsLeader ? 2 : 0;
@@ -12,7 +12,7 @@
 }
 
 std::optional<HostId>
-HubChoice::Choose(const std::vector<HubCandidate>& aCandidates)
+HubSelector::Choose(const std::vector<HubCandidate>& aCandidates)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   if (this->hub && this->awaitingReplySince && now - *this->awaitingReplySince >= kReplyTimeout) {
@@ -35,7 +35,7 @@
 }
 
 void
-HubChoice::OnReportSent()
+HubSelector::OnReportSent()
 {
   if (!this->awaitingReplySince) {
     this->awaitingReplySince = this->clock.MonotonicNow();
@@ -43,7 +43,7 @@
 }
 
 void
-HubChoice::OnMessageFrom(const HostId& aHost)
+HubSelector::OnMessageFrom(const HostId& aHost)
 {
   this->unresponsive.erase(aHost);
   if (this->hub == aHost) {
@@ -52,7 +52,7 @@
 }
 
 void
-HubChoice::OnLost(const HostId& aHost)
+HubSelector::OnLost(const HostId& aHost)
 {
   this->unresponsive.erase(aHost);
   if (this->hub == aHost) {
--- a/src/coordination/SendsSum.cpp
+++ b/src/coordination/InFlightLoadSum.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/SendsSum.h"
+#include "damasklink/coordination/InFlightLoadSum.h"
 
 #include <algorithm>
 #include <utility>
@@ -24,7 +24,7 @@
 }
 
 void
-SendsSum::Update(const LoadReport& aReport, MonotonicTime aNow)
+InFlightLoadSum::Update(const LoadReport& aReport, MonotonicTime aNow)
 {
   Host& host = this->hosts[aReport.host];
   host.reportedAt = aNow;
@@ -45,7 +45,7 @@
 }
 
 void
-SendsSum::Subtract(const Host& aHost)
+InFlightLoadSum::Subtract(const Host& aHost)
 {
   for (const auto& [target, load] : aHost.loads) {
     LoadCounts& sum = this->sums[target];
@@ -57,7 +57,7 @@
 }
 
 std::vector<TargetId>
-SendsSum::Remove(const HostId& aHost)
+InFlightLoadSum::Remove(const HostId& aHost)
 {
   std::vector<TargetId> targets;
   const auto found = this->hosts.find(aHost);
@@ -73,7 +73,7 @@
 }
 
 std::vector<TargetId>
-SendsSum::RemoveSilentSince(MonotonicTime aTime)
+InFlightLoadSum::RemoveSilentSince(MonotonicTime aTime)
 {
   std::vector<HostId> silent;
   for (const auto& [name, host] : this->hosts) {
@@ -90,7 +90,7 @@
 }
 
 void
-SendsSum::AddTargets(std::set<TargetId>& aTo) const
+InFlightLoadSum::AddTargets(std::set<TargetId>& aTo) const
 {
   for (const auto& [target, load] : this->sums) {
     aTo.insert(target);
@@ -98,7 +98,7 @@
 }
 
 LoadCounts
-SendsSum::Of(const TargetId& aTarget) const
+InFlightLoadSum::Of(const TargetId& aTarget) const
 {
   const auto found = this->sums.find(aTarget);
   return found == this->sums.end() ? LoadCounts() : found->second;
--- a/src/coordination/BrokenRuns.cpp
+++ b/src/coordination/InterruptedRequests.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/BrokenRuns.h"
+#include "damasklink/coordination/InterruptedRequests.h"
 
 #include <utility>
 
 namespace damasklink {
 
 void
-BrokenRuns::RemoveExpired()
+InterruptedRequests::RemoveExpired()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   while (!this->requests.empty() && now - this->requests.front().interruptedAt > kSilenceWindow) {
@@ -14,7 +14,7 @@
 }
 
 void
-BrokenRuns::Add(CrashReport aReport, const Endpoint& aAddress)
+InterruptedRequests::Add(CrashReport aReport, const Endpoint& aAddress)
 {
   this->RemoveExpired();
   if (this->requests.size() >= kMaxInterrupted) {
@@ -24,7 +24,9 @@
 }
 
 void
-BrokenRuns::OnAnswered(const TargetId& aTarget, Incarnation aIncarnation, MonotonicTime aSentAt)
+InterruptedRequests::OnAnswered(const TargetId& aTarget,
+                                Incarnation aIncarnation,
+                                MonotonicTime aSentAt)
 {
   std::erase_if(this->requests, [&](const Interrupted& aRequest) {
     return aRequest.report.target == aTarget && aRequest.report.incarnation == aIncarnation &&
@@ -34,7 +36,7 @@
 
 template<typename Matches>
 std::vector<CrashReport>
-BrokenRuns::Take(const Matches& aMatches)
+InterruptedRequests::Take(const Matches& aMatches)
 {
   this->RemoveExpired();
   std::vector<CrashReport> taken;
@@ -49,7 +51,7 @@
 }
 
 std::vector<CrashReport>
-BrokenRuns::TakeConfirmedByStart(const TargetRecord& aStarted)
+InterruptedRequests::TakeConfirmedByStart(const TargetRecord& aStarted)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   return this->Take([&](const Interrupted& aRequest) {
@@ -61,7 +63,7 @@
 }
 
 std::vector<CrashReport>
-BrokenRuns::TakeConfirmedBySilence(const TargetRecord& aTarget)
+InterruptedRequests::TakeConfirmedBySilence(const TargetRecord& aTarget)
 {
   return this->Take([&](const Interrupted& aRequest) {
     return aRequest.report.target == aTarget.id &&
--- a/src/coordination/SendsHub.cpp
+++ b/src/coordination/LoadReportAggregator.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/SendsHub.h"
+#include "damasklink/coordination/LoadReportAggregator.h"
 
 #include <utility>
 
 namespace damasklink {
 
 void
-SendsHub::PendingUpdate::Add(const LoadReport& aReport)
+LoadReportAggregator::PendingUpdate::Add(const LoadReport& aReport)
 {
   for (const InFlightLoad& entry : aReport.sends) {
     std::vector<SizedPart>& parts = this->sends[entry.target];
@@ -26,7 +26,7 @@
 }
 
 void
-SendsHub::PendingUpdate::MoveExcessesAndFindings(LoadReport& aTo)
+LoadReportAggregator::PendingUpdate::MoveExcessesAndFindings(LoadReport& aTo)
 {
   for (auto& [store, excess] : std::exchange(this->excesses, {})) {
     aTo.excesses.push_back(std::move(excess));
@@ -37,7 +37,7 @@
 }
 
 void
-SendsHub::Update(const LoadReport& aReport, MonotonicTime aNow)
+LoadReportAggregator::Update(const LoadReport& aReport, MonotonicTime aNow)
 {
   if (aReport.last) {
     this->Remove(aReport.host);
@@ -50,14 +50,14 @@
 }
 
 void
-SendsHub::UpdatePeerSum(const LoadReport& aReport, MonotonicTime aNow)
+LoadReportAggregator::UpdatePeerSum(const LoadReport& aReport, MonotonicTime aNow)
 {
   this->peerSums.Update(aReport, aNow);
   this->totals.Add(aReport);
 }
 
 void
-SendsHub::Remove(const HostId& aHost)
+LoadReportAggregator::Remove(const HostId& aHost)
 {
   if (this->publishers.erase(aHost) == 0) {
     return;
@@ -70,13 +70,13 @@
 }
 
 void
-SendsHub::RemovePeersSilentSince(MonotonicTime aTime)
+LoadReportAggregator::RemovePeersSilentSince(MonotonicTime aTime)
 {
   this->MarkTotalsChanged(this->peerSums.RemoveSilentSince(aTime));
 }
 
 void
-SendsHub::MarkTotalsChanged(const std::vector<TargetId>& aTargets)
+LoadReportAggregator::MarkTotalsChanged(const std::vector<TargetId>& aTargets)
 {
   for (const TargetId& target : aTargets) {
     this->totals.sends.try_emplace(target);
@@ -84,7 +84,7 @@
 }
 
 LoadCounts
-SendsHub::TotalOf(const TargetId& aTarget) const
+LoadReportAggregator::TotalOf(const TargetId& aTarget) const
 {
   LoadCounts total = this->sum.Of(aTarget);
   total += this->peerSums.Of(aTarget);
@@ -110,21 +110,21 @@
 } // namespace
 
 LoadReport
-SendsHub::TakeChanges(const HostId& aSelf)
+LoadReportAggregator::TakeChanges(const HostId& aSelf)
 {
   return DrainPending(
     this->changes, aSelf, [this](const TargetId& aTarget) { return this->sum.Of(aTarget); });
 }
 
 LoadReport
-SendsHub::TakeTotals(const HostId& aSelf)
+LoadReportAggregator::TakeTotals(const HostId& aSelf)
 {
   return DrainPending(
     this->totals, aSelf, [this](const TargetId& aTarget) { return this->TotalOf(aTarget); });
 }
 
 LoadReport
-SendsHub::AllTotals(const HostId& aSelf) const
+LoadReportAggregator::AllTotals(const HostId& aSelf) const
 {
   std::set<TargetId> targets;
   this->sum.AddTargets(targets);
--- a/src/coordination/HomeRegions.cpp
+++ b/src/coordination/RegionRestriction.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/HomeRegions.h"
+#include "damasklink/coordination/RegionRestriction.h"
 
 #include <algorithm>
 
@@ -13,9 +13,9 @@
 
 } // namespace
 
-HomeRegions::HomeRegions(const std::vector<RegionId>& aRouteRegions,
-                         const std::vector<RegionId>& aWorkspaceRegions,
-                         const ZoneRegions& aRegions)
+RegionRestriction::RegionRestriction(const std::vector<RegionId>& aRouteRegions,
+                                     const std::vector<RegionId>& aWorkspaceRegions,
+                                     const ZoneRegions& aRegions)
   : restricted(!aRouteRegions.empty() || !aWorkspaceRegions.empty())
 {
   if (!this->restricted) {
--- a/src/coordination/ReturnQueue.cpp
+++ b/src/coordination/RetryScheduler.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ReturnQueue.h"
+#include "damasklink/coordination/RetryScheduler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 
 // Exponential decay with a time constant of one second, a half-life of 0.7 s.
 void
-ReturnQueue::Decay()
+RetryScheduler::Decay()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const double seconds = std::chrono::duration<double>(now - this->decayedAt).count();
@@ -16,14 +16,14 @@
 }
 
 void
-ReturnQueue::OnAdmitted()
+RetryScheduler::OnAdmitted()
 {
   this->Decay();
   this->admitted += 1;
 }
 
 Duration
-ReturnQueue::NextRetryDelay()
+RetryScheduler::NextRetryDelay()
 {
   this->Decay();
   const MonotonicTime now = this->clock.MonotonicNow();
--- a/src/coordination/StorePace.cpp
+++ b/src/coordination/SlowStoreDetector.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StorePace.h"
+#include "damasklink/coordination/SlowStoreDetector.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 namespace damasklink {
 
 void
-StorePace::Observe(const std::string& aStore, double aDelay)
+SlowStoreDetector::Observe(const std::string& aStore, double aDelay)
 {
   const double delay = std::max(aDelay, 0.0);
   StoreFetchDelay& observed = this->unreported[aStore];
@@ -19,7 +19,7 @@
 }
 
 void
-StorePace::Add(const std::string& aStore, std::uint64_t aCount, double aTotal)
+SlowStoreDetector::Add(const std::string& aStore, std::uint64_t aCount, double aTotal)
 {
   const double delay = aTotal / static_cast<double>(aCount);
   Average& average = this->averages[aStore];
@@ -31,7 +31,7 @@
 }
 
 std::vector<StoreFetchDelay>
-StorePace::TakeObservations()
+SlowStoreDetector::TakeObservations()
 {
   std::vector<StoreFetchDelay> taken;
   for (auto& [store, observed] : std::exchange(this->unreported, {})) {
@@ -41,7 +41,7 @@
 }
 
 void
-StorePace::Merge(const std::vector<StoreFetchDelay>& aObservations)
+SlowStoreDetector::Merge(const std::vector<StoreFetchDelay>& aObservations)
 {
   for (const StoreFetchDelay& observed : aObservations) {
     if (observed.count > 0) {
@@ -51,7 +51,7 @@
 }
 
 bool
-StorePace::IsSlow(const std::string& aStore, double aPrefillTime) const
+SlowStoreDetector::IsSlow(const std::string& aStore, double aPrefillTime) const
 {
   const auto found = this->averages.find(aStore);
   if (found == this->averages.end() || found->second.observations < kMinObservationsPerStore) {
@@ -68,7 +68,7 @@
 }
 
 bool
-StorePace::ShouldFetch(const std::string& aStore, double aPrefillTime)
+SlowStoreDetector::ShouldFetch(const std::string& aStore, double aPrefillTime)
 {
   return !this->IsSlow(aStore, aPrefillTime) || this->random() % kProbeInterval == 0;
 }
--- a/src/coordination/SettledWeights.cpp
+++ b/src/coordination/StableWeightVersions.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/SettledWeights.h"
+#include "damasklink/coordination/StableWeightVersions.h"
 
 #include <algorithm>
 
 namespace damasklink {
 
 void
-SettledWeights::Update(const std::vector<TargetRecord>& aEngines)
+StableWeightVersions::Update(const std::vector<TargetRecord>& aEngines)
 {
   std::map<ModelName, std::uint64_t> lowestOfEngines;
   for (const TargetRecord& engine : aEngines) {
@@ -24,7 +24,7 @@
 }
 
 std::map<ModelName, std::uint64_t>
-SettledWeights::MinimumVersions() const
+StableWeightVersions::MinimumVersions() const
 {
   std::map<ModelName, std::uint64_t> settled;
   for (const auto& [model, lowest] : this->lowestVersions) {
--- a/src/coordination/ComeBack.cpp
+++ b/src/coordination/StartupRetryDelay.cpp
@@ -1,9 +1,9 @@
-#include "damasklink/coordination/ComeBack.h"
+#include "damasklink/coordination/StartupRetryDelay.h"
 
 namespace damasklink {
 
 Duration
-ComeBack::DelayDuringStartup(Duration aSinceStart)
+StartupRetryDelay::DelayDuringStartup(Duration aSinceStart)
 {
   if (aSinceStart >= kStartTakes) {
     return kLateStartupDelay;
--- a/src/coordination/StartupWait.cpp
+++ b/src/coordination/StartupWaitLimiter.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/StartupWait.h"
+#include "damasklink/coordination/StartupWaitLimiter.h"
 
 #include <algorithm>
 
 namespace damasklink {
 
 Duration
-StartupWait::Begin(Duration aPatience, std::size_t aBytes)
+StartupWaitLimiter::Begin(Duration aPatience, std::size_t aBytes)
 {
   if (this->calls >= kMostCalls || this->bytes + aBytes > kMostBytes) {
     return Duration::zero();
@@ -20,7 +20,7 @@
 }
 
 void
-StartupWait::End(std::size_t aBytes)
+StartupWaitLimiter::End(std::size_t aBytes)
 {
   --this->calls;
   this->bytes -= aBytes;
--- a/src/coordination/StoredParts.cpp
+++ b/src/coordination/StoredPartIndex.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StoredParts.h"
+#include "damasklink/coordination/StoredPartIndex.h"
 
 #include <algorithm>
 #include <cmath>
@@ -29,7 +29,7 @@
 } // namespace
 
 void
-StoredParts::SetStores(const std::vector<ServingService>& aServices)
+StoredPartIndex::SetStores(const std::vector<ServingService>& aServices)
 {
   std::map<std::string, PromptStore> declared;
   for (const ServingService& service : aServices) {
@@ -52,7 +52,7 @@
 }
 
 std::vector<std::string>
-StoredParts::StoreNames() const
+StoredPartIndex::StoreNames() const
 {
   std::vector<std::string> names;
   for (const auto& [name, store] : this->stores) {
@@ -62,14 +62,14 @@
 }
 
 std::size_t
-StoredParts::CountLiveStores() const
+StoredPartIndex::CountLiveStores() const
 {
   return static_cast<std::size_t>(std::count_if(
     this->stores.begin(), this->stores.end(), [](const auto& aItem) { return aItem.second.live; }));
 }
 
 void
-StoredParts::Apply(const StoreUpdate& aUpdate)
+StoredPartIndex::Apply(const StoreUpdate& aUpdate)
 {
   const auto found = this->stores.find(FormatEndpoint(aUpdate.store));
   if (found == this->stores.end()) {
@@ -97,9 +97,9 @@
 }
 
 const PromptStore*
-StoredParts::Find(const SizedPart& aPart,
-                  const ZoneId& aZone,
-                  const std::set<std::string>& aAvoided) const
+StoredPartIndex::Find(const SizedPart& aPart,
+                      const ZoneId& aZone,
+                      const std::set<std::string>& aAvoided) const
 {
   const PromptStore* best = nullptr;
   double shortest = 0;
@@ -121,7 +121,7 @@
 }
 
 const PromptStore*
-StoredParts::SelectStore(const SizedPart& aPart) const
+StoredPartIndex::SelectStore(const SizedPart& aPart) const
 {
   const PromptStore* best = nullptr;
   double highest = 0;
@@ -146,7 +146,7 @@
 }
 
 double
-StoredParts::TransferTime(const PromptStore& aStore, TokenCount aTokens) const
+StoredPartIndex::TransferTime(const PromptStore& aStore, TokenCount aTokens) const
 {
   const double bytesPerMillisecond = aStore.traits.linkRate * 1e6 / 8 / 1e3;
   const std::chrono::duration<double, std::milli> first = aStore.traits.firstByte;
--- a/src/coordination/TargetBoard.cpp
+++ b/src/coordination/TargetDirectory.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetBoard.h"
+#include "damasklink/coordination/TargetDirectory.h"
 
 #include <algorithm>
 #include <utility>
@@ -25,7 +25,7 @@
 } // namespace
 
 void
-TargetBoard::Take(const HostId& aFrom, const TargetUpdate& aUpdate)
+TargetDirectory::Take(const HostId& aFrom, const TargetUpdate& aUpdate)
 {
   const auto [position, isNew] = this->entries.try_emplace(aUpdate.record.id);
   Entry& entry = position->second;
@@ -53,7 +53,7 @@
 }
 
 void
-TargetBoard::ResetForRestart(const TargetUpdate& aUpdate, Entry& aEntry)
+TargetDirectory::ResetForRestart(const TargetUpdate& aUpdate, Entry& aEntry)
 {
   const TargetId& target = aUpdate.record.id;
   if (aEntry.removed) {
@@ -65,7 +65,7 @@
 }
 
 void
-TargetBoard::MarkEntryRemoved(const TargetId& aTarget, Entry& aEntry)
+TargetDirectory::MarkEntryRemoved(const TargetId& aTarget, Entry& aEntry)
 {
   if (std::exchange(aEntry.removed, true)) {
     return;
@@ -78,7 +78,7 @@
 }
 
 void
-TargetBoard::OnLink(const HostId& aHost, bool aUp)
+TargetDirectory::OnLink(const HostId& aHost, bool aUp)
 {
   const bool changed =
     aUp ? this->connected.insert(aHost).second : this->connected.erase(aHost) > 0;
@@ -88,14 +88,14 @@
 }
 
 void
-TargetBoard::SetEvacuated(std::set<ZoneId> aZones)
+TargetDirectory::SetEvacuated(std::set<ZoneId> aZones)
 {
   this->evacuated = std::move(aZones);
   this->Changed();
 }
 
 std::vector<TargetRecord>
-TargetBoard::InZone(const ZoneId& aZone) const
+TargetDirectory::InZone(const ZoneId& aZone) const
 {
   std::vector<TargetRecord> found;
   for (const auto& [id, entry] : this->entries) {
@@ -107,7 +107,7 @@
 }
 
 bool
-TargetBoard::IsMostlySilent(const ZoneId& aZone) const
+TargetDirectory::IsMostlySilent(const ZoneId& aZone) const
 {
   std::size_t all = 0;
   std::size_t usable = 0;
@@ -121,7 +121,7 @@
 }
 
 void
-TargetBoard::MarkRemoved(const TargetId& aTarget)
+TargetDirectory::MarkRemoved(const TargetId& aTarget)
 {
   const auto found = this->entries.find(aTarget);
   if (found != this->entries.end() && !found->second.removed) {
@@ -131,7 +131,7 @@
 }
 
 const std::vector<TargetRecord>&
-TargetBoard::Usable(const ServiceName& aService) const
+TargetDirectory::Usable(const ServiceName& aService) const
 {
   static const std::vector<TargetRecord> kNone;
   if (this->builtVersion != this->version) {
@@ -142,14 +142,14 @@
 }
 
 const TargetRecord*
-TargetBoard::Find(const TargetId& aTarget) const
+TargetDirectory::Find(const TargetId& aTarget) const
 {
   const auto found = this->entries.find(aTarget);
   return found == this->entries.end() || found->second.removed ? nullptr : &found->second.record;
 }
 
 void
-TargetBoard::Changed()
+TargetDirectory::Changed()
 {
   ++this->version;
 }
@@ -157,7 +157,7 @@
 // Reports of connected hosts take precedence; those of other hosts count only where no connected
 // host has reported.
 bool
-TargetBoard::IsReportedUsable(const Entry& aEntry) const
+TargetDirectory::IsReportedUsable(const Entry& aEntry) const
 {
   bool reported = false;
   bool lastReportUsable = false;
@@ -175,7 +175,7 @@
 }
 
 bool
-TargetBoard::IsPaused(const Entry& aEntry) const
+TargetDirectory::IsPaused(const Entry& aEntry) const
 {
   return std::any_of(aEntry.reports.begin(), aEntry.reports.end(), [&](const auto& aItem) {
     return aItem.second.paused && this->connected.contains(aItem.first);
@@ -183,7 +183,7 @@
 }
 
 void
-TargetBoard::Rebuild() const
+TargetDirectory::Rebuild() const
 {
   this->usable.clear();
   std::map<ServiceName, std::vector<TargetRecord>> paused;
--- a/src/coordination/TargetPicker.cpp
+++ b/src/coordination/TargetSelector.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetPicker.h"
+#include "damasklink/coordination/TargetSelector.h"
 
 #include <algorithm>
 #include <utility>
@@ -39,10 +39,10 @@
   return 0;
 }
 
-TargetPicker::TargetPicker(const TargetHealth& aHealth,
-                           const ZoneReach& aReach,
-                           std::uint64_t aSeed,
-                           SelectionCosts aCosts)
+TargetSelector::TargetSelector(const TargetHealth& aHealth,
+                               const ZoneReachability& aReach,
+                               std::uint64_t aSeed,
+                               SelectionCosts aCosts)
   : health(aHealth)
   , reach(aReach)
   , costs(aCosts)
@@ -51,7 +51,7 @@
 }
 
 const TargetRecord*
-TargetPicker::Choose(const SelectionRequest& aRequest, const std::vector<TargetRecord>& aTargets)
+TargetSelector::Choose(const SelectionRequest& aRequest, const std::vector<TargetRecord>& aTargets)
 {
   std::vector<const TargetRecord*> eligible;
   std::vector<const TargetRecord*> ejected;
@@ -99,8 +99,8 @@
 // Returns the targets to compare for a prompt. Among equals the first one is chosen, so each sample
 // starts at a random position.
 std::vector<const TargetRecord*>
-TargetPicker::Candidates(const SelectionRequest& aRequest,
-                         const std::vector<const TargetRecord*>& aEligible)
+TargetSelector::Candidates(const SelectionRequest& aRequest,
+                           const std::vector<const TargetRecord*>& aEligible)
 {
   std::vector<const TargetRecord*> candidates;
   const std::size_t start = this->random() % aEligible.size();
@@ -129,7 +129,7 @@
 // of each other's sends: if each host chose the least loaded target, all would choose the same one.
 // The choice is therefore random, unless the target is much more loaded than a second random one.
 const TargetRecord*
-TargetPicker::ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aEligible)
+TargetSelector::ChooseWithoutPrompt(const std::vector<const TargetRecord*>& aEligible)
 {
   const TargetRecord* first = aEligible[this->random() % aEligible.size()];
   const TargetRecord* other = aEligible[this->random() % aEligible.size()];
@@ -144,14 +144,14 @@
 // Tests for all parts: the first parts of many prompts are the same and cached on all targets, so
 // only the last shared one distinguishes them.
 bool
-TargetPicker::HoldsAllParts(const SelectionRequest& aRequest, const TargetId& aTarget) const
+TargetSelector::HoldsAllParts(const SelectionRequest& aRequest, const TargetId& aTarget) const
 {
   const std::size_t count = aRequest.parts.size();
   return count > 0 && this->held.LeadingCached(aTarget, aRequest.parts) == count;
 }
 
 TokenCount
-TargetPicker::UncachedTokens(const SelectionRequest& aRequest, const TargetId& aTarget) const
+TargetSelector::UncachedTokens(const SelectionRequest& aRequest, const TargetId& aTarget) const
 {
   std::size_t covered = this->held.LeadingCached(aTarget, aRequest.parts);
   while (covered < aRequest.stored.size() && aRequest.stored[covered]) {
@@ -168,7 +168,7 @@
 // This host's own load plus that of the others: the sums of control hosts less what this host has
 // reported to them.
 LoadCounts
-TargetPicker::LoadOf(const TargetId& aTarget) const
+TargetSelector::LoadOf(const TargetId& aTarget) const
 {
   LoadCounts all = this->sums.Of(aTarget);
   if (const auto own = this->ownReported.find(aTarget); own != this->ownReported.end()) {
@@ -181,10 +181,10 @@
 }
 
 Duration
-TargetPicker::ExpectedFirstEvent(const SelectionRequest& aRequest,
-                                 const TargetRecord& aTarget) const
+TargetSelector::ExpectedFirstEvent(const SelectionRequest& aRequest,
+                                   const TargetRecord& aTarget) const
 {
-  const EnginePace& pace = this->PaceOf(aRequest.model);
+  const EngineLatencyModel& pace = this->LatencyModelOf(aRequest.model);
   const auto uncachedTokens =
     static_cast<double>(this->UncachedTokens(aRequest, aTarget.id).Value());
   const double own = pace.BaseLatency() +
@@ -193,7 +193,7 @@
 }
 
 Duration
-TargetPicker::ExpectedWait(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
+TargetSelector::ExpectedWait(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
 {
   double milliseconds = this->costs.prefillInterleaving * this->QueueDelay(aRequest, aTarget);
   const double used = this->MemoryShare(aRequest, aTarget.id);
@@ -205,9 +205,9 @@
 // free. Requests that wait for a slot have not been prefilled either, so the longer of the two
 // times includes the other.
 double
-TargetPicker::QueueDelay(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
+TargetSelector::QueueDelay(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
 {
-  const EnginePace& pace = this->PaceOf(aRequest.model);
+  const EngineLatencyModel& pace = this->LatencyModelOf(aRequest.model);
   const LoadCounts load = this->LoadOf(aTarget.id);
   const double prefill = pace.MillisecondsPerToken() * static_cast<double>(load.unread);
   const std::uint64_t slots = aTarget.load.slots;
@@ -219,7 +219,7 @@
 }
 
 double
-TargetPicker::MemoryShare(const SelectionRequest& aRequest, const TargetId& aTarget) const
+TargetSelector::MemoryShare(const SelectionRequest& aRequest, const TargetId& aTarget) const
 {
   if (aRequest.cacheTokens == TokenCount()) {
     return 0;
@@ -229,12 +229,12 @@
 }
 
 double
-TargetPicker::CostOf(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
+TargetSelector::CostOf(const SelectionRequest& aRequest, const TargetRecord& aTarget) const
 {
   double cost = aTarget.zone == aRequest.zone ? 0 : this->costs.crossZone;
   const LoadCounts load = this->LoadOf(aTarget.id);
   const auto requests = static_cast<double>(load.requests);
-  const double perToken = this->PaceOf(aRequest.model).MillisecondsPerToken();
+  const double perToken = this->LatencyModelOf(aRequest.model).MillisecondsPerToken();
   const double costPerUncachedToken = perToken * (1 + this->costs.prefillBlocking);
   cost += this->QueueDelay(aRequest, aTarget);
   cost += this->costs.perRunningRequest * requests * (1 + requests / this->costs.requestsToDouble);
@@ -272,9 +272,9 @@
 }
 
 void
-TargetPicker::OnSent(const TargetId& aTarget,
-                     const SelectionRequest& aRequest,
-                     const CallLoad& aLoad)
+TargetSelector::OnSent(const TargetId& aTarget,
+                       const SelectionRequest& aRequest,
+                       const CallLoad& aLoad)
 {
   LoadCounts& load = this->ownLoads[aTarget];
   ++load.requests;
@@ -292,7 +292,7 @@
 }
 
 std::vector<InFlightLoad>
-TargetPicker::TakeSends()
+TargetSelector::TakeSends()
 {
   std::vector<InFlightLoad> sends;
   this->hasUrgent = false;
@@ -310,7 +310,7 @@
 }
 
 void
-TargetPicker::ResendAll()
+TargetSelector::ResendAll()
 {
   this->ownReported.clear();
   for (const auto& [target, load] : this->ownLoads) {
@@ -319,7 +319,7 @@
 }
 
 void
-TargetPicker::ApplySum(const LoadReport& aNews, MonotonicTime aNow)
+TargetSelector::ApplySum(const LoadReport& aNews, MonotonicTime aNow)
 {
   this->sums.Update(aNews, aNow);
   for (const InFlightLoad& sends : aNews.sends) {
@@ -330,9 +330,9 @@
 }
 
 const TargetRecord*
-TargetPicker::FindHolder(const SizedPart& aPart,
-                         const std::vector<TargetRecord>& aTargets,
-                         const TargetRecord& aFor) const
+TargetSelector::FindHolder(const SizedPart& aPart,
+                           const std::vector<TargetRecord>& aTargets,
+                           const TargetRecord& aFor) const
 {
   const TargetRecord* found = nullptr;
   for (const TargetRecord& target : aTargets) {
@@ -347,7 +347,7 @@
 }
 
 void
-TargetPicker::OnRestart(const TargetRecord& aTarget)
+TargetSelector::OnRestart(const TargetRecord& aTarget)
 {
   this->incarnations[aTarget.id] = aTarget.incarnation;
   this->held.Forget(aTarget.id);
@@ -357,26 +357,26 @@
 }
 
 bool
-TargetPicker::IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aLoad) const
+TargetSelector::IsOfEarlierIncarnation(const TargetId& aTarget, const CallLoad& aLoad) const
 {
   const auto found = this->incarnations.find(aTarget);
   return found != this->incarnations.end() && aLoad.incarnation < found->second;
 }
 
-const EnginePace&
-TargetPicker::PaceOf(const ModelName& aModel) const
+const EngineLatencyModel&
+TargetSelector::LatencyModelOf(const ModelName& aModel) const
 {
-  static const EnginePace kDefault;
+  static const EngineLatencyModel kDefault;
   const auto found = this->paces.find(aModel);
   return found == this->paces.end() ? kDefault : found->second;
 }
 
 bool
-TargetPicker::RecordFirstEvent(const TargetId& aTarget,
-                               const SelectionRequest& aRequest,
-                               const CallLoad& aLoad,
-                               bool aFetched,
-                               Duration aTook)
+TargetSelector::RecordFirstEvent(const TargetId& aTarget,
+                                 const SelectionRequest& aRequest,
+                                 const CallLoad& aLoad,
+                                 bool aFetched,
+                                 Duration aTook)
 {
   const std::uint64_t own = aLoad.uncachedTokens.Value();
   const std::uint64_t unread = this->LoadOf(aTarget).unread;
@@ -384,7 +384,7 @@
   if (waitedForOthers) {
     return false;
   }
-  EnginePace& pace = this->paces[aRequest.model];
+  EngineLatencyModel& pace = this->paces[aRequest.model];
   if (own < kLongPrefill) {
     pace.RecordShortPrompt(aTook);
   } else if (!aFetched) {
@@ -394,7 +394,7 @@
 }
 
 void
-TargetPicker::OnFirstEvent(const TargetId& aTarget, CallLoad& aLoad)
+TargetSelector::OnFirstEvent(const TargetId& aTarget, CallLoad& aLoad)
 {
   if (!aLoad.firstEventSeen && !this->IsOfEarlierIncarnation(aTarget, aLoad)) {
     aLoad.firstEventSeen = true;
@@ -405,7 +405,7 @@
 }
 
 void
-TargetPicker::OnEnd(const TargetId& aTarget, const CallLoad& aLoad)
+TargetSelector::OnEnd(const TargetId& aTarget, const CallLoad& aLoad)
 {
   const auto found = this->ownLoads.find(aTarget);
   if (found == this->ownLoads.end() || this->IsOfEarlierIncarnation(aTarget, aLoad)) {
--- a/src/coordination/ZoneReach.cpp
+++ b/src/coordination/ZoneReachability.cpp
@@ -1,9 +1,9 @@
-#include "damasklink/coordination/ZoneReach.h"
+#include "damasklink/coordination/ZoneReachability.h"
 
 namespace damasklink {
 
 void
-ZoneReach::OnStart(const ZoneId& aZone)
+ZoneReachability::OnStart(const ZoneId& aZone)
 {
   const auto found = this->entries.find(aZone);
   if (found != this->entries.end() && found->second.unreachable) {
@@ -12,7 +12,7 @@
 }
 
 void
-ZoneReach::OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSignal aSign)
+ZoneReachability::OnEnd(const ZoneId& aZone, const TargetId& aTarget, HealthSignal aSign)
 {
   if (aSign == HealthSignal::Good) {
     this->entries.erase(aZone);
@@ -38,7 +38,7 @@
 }
 
 void
-ZoneReach::MarkUnreachable(Entry& aEntry)
+ZoneReachability::MarkUnreachable(Entry& aEntry)
 {
   std::uniform_int_distribution<std::int64_t> jitter(0, kRetryDelay.count() / 4);
   aEntry.retryAt = this->clock.MonotonicNow() + kRetryDelay + Duration(jitter(this->random));
@@ -46,7 +46,7 @@
 }
 
 bool
-ZoneReach::IsUnreachable(const ZoneId& aZone) const
+ZoneReachability::IsUnreachable(const ZoneId& aZone) const
 {
   const auto found = this->entries.find(aZone);
   if (found == this->entries.end() || !found->second.unreachable) {
--- a/src/program/ConfigurationFeed.cpp
+++ b/src/program/ConfigurationUpdater.cpp
@@ -1,4 +1,4 @@
-#include "ConfigurationFeed.h"
+#include "ConfigurationUpdater.h"
 
 #include <utility>
 
@@ -9,13 +9,13 @@
 
 namespace damasklink {
 
-ConfigurationFeed::ConfigurationFeed(asio::io_context& aLoop,
-                                     const Clock& aClock,
-                                     const ControlDialect& aDialect,
-                                     EntryPicture& aState,
-                                     PeerSender& aPeers,
-                                     Metrics& aMetrics,
-                                     std::function<void()> aOnInstalled)
+ConfigurationUpdater::ConfigurationUpdater(asio::io_context& aLoop,
+                                           const Clock& aClock,
+                                           const ControlDialect& aDialect,
+                                           EntryHostState& aState,
+                                           PeerSender& aPeers,
+                                           Metrics& aMetrics,
+                                           std::function<void()> aOnInstalled)
   : loop(aLoop)
   , clock(aClock)
   , dialect(aDialect)
@@ -29,21 +29,21 @@
 }
 
 void
-ConfigurationFeed::OnUpdate(const HostId& aFrom, const ServingUpdate& aUpdate)
+ConfigurationUpdater::OnUpdate(const HostId& aFrom, const ServingUpdate& aUpdate)
 {
   this->fetch.OnVersionAnnounced(aFrom, aUpdate.documentVersion);
   this->Step();
 }
 
 void
-ConfigurationFeed::OnDisconnected(const HostId& aHost)
+ConfigurationUpdater::OnDisconnected(const HostId& aHost)
 {
   this->fetch.OnLost(aHost);
   this->Step();
 }
 
 void
-ConfigurationFeed::OnChunk(const HostId& aFrom, const DocumentChunk& aChunk)
+ConfigurationUpdater::OnChunk(const HostId& aFrom, const DocumentChunk& aChunk)
 {
   if (this->reading) {
     // A late duplicate of the transfer that is being read.
@@ -55,12 +55,12 @@
   this->Step();
 }
 
-ConfigurationFeed::ReadResult
-ConfigurationFeed::Read(const Clock& aClock,
-                        const ControlDialect& aDialect,
-                        const HostId& aFrom,
-                        const FetchedDocument& aFetched,
-                        const TextPtr& aBase)
+ConfigurationUpdater::ReadResult
+ConfigurationUpdater::Read(const Clock& aClock,
+                           const ControlDialect& aDialect,
+                           const HostId& aFrom,
+                           const FetchedDocument& aFetched,
+                           const TextPtr& aBase)
 {
   const MonotonicTime start = aClock.MonotonicNow();
   const TransferId& transfer = aFetched.transfer;
@@ -75,7 +75,7 @@
 }
 
 void
-ConfigurationFeed::StartDocumentRead(const HostId& aFrom, FetchedDocument aFetched)
+ConfigurationUpdater::StartDocumentRead(const HostId& aFrom, FetchedDocument aFetched)
 {
   this->reading = true;
   asio::post(this->reader,
@@ -88,7 +88,7 @@
 }
 
 void
-ConfigurationFeed::OnDocumentRead(ReadResult aResult)
+ConfigurationUpdater::OnDocumentRead(ReadResult aResult)
 {
   this->reading = false;
   const TransferId& transfer = aResult.transfer;
@@ -124,7 +124,7 @@
 }
 
 void
-ConfigurationFeed::Step()
+ConfigurationUpdater::Step()
 {
   if (this->reading) {
     return;
--- a/src/program/ConfigurationFeed.h
+++ b/src/program/ConfigurationUpdater.h
@@ -6,8 +6,8 @@
 #include <memory>
 #include <string>
 
-#include "EntryPicture.h"
-#include "damasklink/coordination/DocumentFetch.h"
+#include "EntryHostState.h"
+#include "damasklink/coordination/DocumentFetcher.h"
 #include "damasklink/state/Metrics.h"
 #include "damasklink/transport/EventLoop.h"
 #include "damasklink/transport/PeerNetwork.h"
@@ -16,17 +16,17 @@
 
 // Everything passed to the constructor must outlive the updater. Methods must be called on the
 // thread of the event loop.
-class ConfigurationFeed
+class ConfigurationUpdater
 {
 public:
   // aOnInstalled is called after each configuration that was installed.
-  ConfigurationFeed(asio::io_context& aLoop,
-                    const Clock& aClock,
-                    const ControlDialect& aDialect,
-                    EntryPicture& aState,
-                    PeerSender& aPeers,
-                    Metrics& aMetrics,
-                    std::function<void()> aOnInstalled);
+  ConfigurationUpdater(asio::io_context& aLoop,
+                       const Clock& aClock,
+                       const ControlDialect& aDialect,
+                       EntryHostState& aState,
+                       PeerSender& aPeers,
+                       Metrics& aMetrics,
+                       std::function<void()> aOnInstalled);
 
   // Takes the version that a control host's update announces.
   void OnUpdate(const HostId& aFrom, const ServingUpdate& aUpdate);
@@ -65,11 +65,11 @@
   asio::io_context& loop;
   const Clock& clock;
   const ControlDialect& dialect;
-  EntryPicture& state;
+  EntryHostState& state;
   PeerSender& peers;
   Metrics& metrics;
   std::function<void()> onInstalled;
-  DocumentFetch fetch;
+  DocumentFetcher fetch;
   // The installed document: the next version may be packed as a delta against it.
   TextPtr document;
   // While a document is read none is requested, since the next one is packed against it.
--- a/src/program/ControlCalls.cpp
+++ b/src/program/ControlCallHandler.cpp
@@ -1,4 +1,4 @@
-#include "ControlCalls.h"
+#include "ControlCallHandler.h"
 
 #include <set>
 #include <utility>
@@ -34,14 +34,14 @@
 
 } // namespace
 
-ControlCalls::ControlCalls(const Clock& aClock,
-                           const ServingSettings& aSettings,
-                           const ControlDialect& aDialect,
-                           ServingGroup& aGroup,
-                           ControlPicture& aTracker,
-                           Metrics& aMetrics,
-                           WorkStatistics& aAccount,
-                           std::function<void()> aPublish)
+ControlCallHandler::ControlCallHandler(const Clock& aClock,
+                                       const ServingSettings& aSettings,
+                                       const ControlDialect& aDialect,
+                                       ServingGroup& aGroup,
+                                       TargetTracker& aTracker,
+                                       Metrics& aMetrics,
+                                       WorkStatistics& aAccount,
+                                       std::function<void()> aPublish)
   : clock(aClock)
   , settings(aSettings)
   , dialect(aDialect)
@@ -54,7 +54,7 @@
 }
 
 Awaitable<void>
-ControlCalls::Serve(std::shared_ptr<CallerChannel> aChannel)
+ControlCallHandler::Serve(std::shared_ptr<CallerConnection> aChannel)
 {
   bool keepAlive = true;
   while (keepAlive) {
@@ -74,7 +74,7 @@
 }
 
 Awaitable<HttpResponseMessage>
-ControlCalls::Answer(const HttpRequestMessage& aRequest)
+ControlCallHandler::Answer(const HttpRequestMessage& aRequest)
 {
   auto call = this->Read(aRequest);
   if (!call) {
@@ -111,7 +111,7 @@
 }
 
 Result<ControlCall>
-ControlCalls::Read(const HttpRequestMessage& aRequest)
+ControlCallHandler::Read(const HttpRequestMessage& aRequest)
 {
   const WorkTimer timer(this->account, Work::Heartbeats);
   this->account.CountReceived(Work::Heartbeats, aRequest.body.size());
@@ -119,7 +119,7 @@
 }
 
 HttpResponseMessage
-ControlCalls::HandleHeartbeat(const TargetHeartbeat& aHeartbeat)
+ControlCallHandler::HandleHeartbeat(const TargetHeartbeat& aHeartbeat)
 {
   const WorkTimer timer(this->account, Work::Heartbeats);
   if (!this->tracker.OnHeartbeat(aHeartbeat.record)) {
@@ -139,7 +139,7 @@
 }
 
 HttpResponseMessage
-ControlCalls::HandleDeparture(const TargetDeparture& aDeparture)
+ControlCallHandler::HandleDeparture(const TargetDeparture& aDeparture)
 {
   this->tracker.OnDeparture(aDeparture.target, aDeparture.incarnation);
   this->publishTargets();
@@ -150,7 +150,7 @@
 // records the report for the entry hosts on its side, and answers with an error so that the target
 // reports to another control host, too.
 HttpResponseMessage
-ControlCalls::MakeTargetAnswer() const
+ControlCallHandler::MakeTargetAnswer() const
 {
   if (this->group.HasRecentLeader()) {
     return this->dialect.Acknowledgement();
@@ -160,14 +160,14 @@
 }
 
 HttpResponseMessage
-ControlCalls::MakeCommitAnswer(const Result<ServingCommandResult>& aResult) const
+ControlCallHandler::MakeCommitAnswer(const Result<ServingCommandResult>& aResult) const
 {
   return aResult ? this->dialect.Acknowledgement()
                  : this->dialect.ControlErrorResponse(aResult.error());
 }
 
 Awaitable<HttpResponseMessage>
-ControlCalls::HandleChange(const ConfigChange& aChange)
+ControlCallHandler::HandleChange(const ConfigChange& aChange)
 {
   auto config = this->dialect.ReadConfig(aChange.document);
   auto checked = config ? CheckServingConfig(config.value()) : Result<void>(Fail(config.error()));
@@ -194,7 +194,7 @@
 }
 
 Awaitable<HttpResponseMessage>
-ControlCalls::HandleWeights(const WeightVersionChange& aNamed)
+ControlCallHandler::HandleWeights(const WeightVersionChange& aNamed)
 {
   const ServingCommand command = SetWeightVersion{ aNamed.model, aNamed.version };
   auto result = co_await this->group.Commit(command);
@@ -205,7 +205,7 @@
 }
 
 Awaitable<HttpResponseMessage>
-ControlCalls::HandleRelease(const RequestRelease& aRelease)
+ControlCallHandler::HandleRelease(const RequestRelease& aRelease)
 {
   const ServingCommand command = ReleaseRequest{ aRelease.request };
   auto result = co_await this->group.Commit(command);
@@ -215,7 +215,7 @@
 }
 
 Awaitable<HttpResponseMessage>
-ControlCalls::HandleEvacuation(const EvacuationChange& aChange)
+ControlCallHandler::HandleEvacuation(const EvacuationChange& aChange)
 {
   if (!this->settings.regions.empty() && !this->settings.regions.contains(aChange.zone)) {
     co_return this->dialect.ControlErrorResponse(
@@ -246,7 +246,7 @@
 // A leader within its lease has the newest configuration. Any other host commits a read barrier,
 // and answers only if it has applied the version that the barrier returns.
 Awaitable<HttpResponseMessage>
-ControlCalls::HandleConfigQuery()
+ControlCallHandler::HandleConfigQuery()
 {
   const ServingStateMachine& state = this->group.State();
   if (!this->group.HoldsLease()) {
--- a/src/program/ControlCalls.h
+++ b/src/program/ControlCallHandler.h
@@ -4,33 +4,33 @@
 #include <functional>
 #include <memory>
 
-#include "ControlPicture.h"
 #include "ServingGroup.h"
+#include "TargetTracker.h"
 #include "WorkStatistics.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
-#include "damasklink/transport/CallerChannel.h"
+#include "damasklink/transport/CallerConnection.h"
 
 namespace damasklink {
 
-// Heartbeats and departures go to the ControlPicture, changes to the replicated log, and queries
+// Heartbeats and departures go to the TargetTracker, changes to the replicated log, and queries
 // are answered from its state. Not thread-safe.
-class ControlCalls
+class ControlCallHandler
 {
 public:
   // aPublish sends changes of targets to entry hosts at once. The references must outlive this
   // object.
-  ControlCalls(const Clock& aClock,
-               const ServingSettings& aSettings,
-               const ControlDialect& aDialect,
-               ServingGroup& aGroup,
-               ControlPicture& aTracker,
-               Metrics& aMetrics,
-               WorkStatistics& aAccount,
-               std::function<void()> aPublish);
+  ControlCallHandler(const Clock& aClock,
+                     const ServingSettings& aSettings,
+                     const ControlDialect& aDialect,
+                     ServingGroup& aGroup,
+                     TargetTracker& aTracker,
+                     Metrics& aMetrics,
+                     WorkStatistics& aAccount,
+                     std::function<void()> aPublish);
 
   // Serves the calls of one connection until it is closed.
-  Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
+  Awaitable<void> Serve(std::shared_ptr<CallerConnection> aChannel);
 
 private:
   Awaitable<HttpResponseMessage> Answer(const HttpRequestMessage& aRequest);
@@ -49,7 +49,7 @@
   const ServingSettings& settings;
   const ControlDialect& dialect;
   ServingGroup& group;
-  ControlPicture& tracker;
+  TargetTracker& tracker;
   Metrics& metrics;
   WorkStatistics& account;
   std::function<void()> publishTargets;
--- a/src/program/ControlHost.cpp
+++ b/src/program/ControlHost.cpp
@@ -1,16 +1,16 @@
 #include "ControlHost.h"
 
-#include "ControlCalls.h"
-#include "ControlPicture.h"
+#include "ControlCallHandler.h"
 #include "MetricsServer.h"
-#include "PictureTeller.h"
 #include "RefusalProposer.h"
 #include "RolloutExecutor.h"
 #include "ServingGroup.h"
 #include "ServingSignals.h"
+#include "ServingUpdatePublisher.h"
 #include "StoreWatcher.h"
+#include "TargetTracker.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
-#include "damasklink/coordination/SettledWeights.h"
+#include "damasklink/coordination/StableWeightVersions.h"
 #include "damasklink/protocol/ServingCodec.h"
 #include "damasklink/state/MetricsRegistry.h"
 #include "damasklink/transport/ConnectionListener.h"
@@ -137,17 +137,18 @@
   asio::io_context loop{ 1 };
   PeerMesh mesh;
   ServingGroup group;
-  ControlPicture tracker;
+  TargetTracker tracker;
   StoreWatcher stores;
   RolloutExecutor rollout;
-  SettledWeights settledWeights{ this->clock, kWeightsSettleTime };
+  StableWeightVersions settledWeights{ this->clock, kWeightsSettleTime };
   HostRegistry hosts{ this->settings.host, this->settings.zone };
-  CrashLedger crashes{ this->clock };
+  CrashRegistry crashes{ this->clock };
   RefusalProposer refusals{ this->loop, this->group, this->crashes };
-  PictureTeller publisher{ this->clock, this->settings, this->group, this->stores, this->tracker,
-                           this->hosts, this->crashes,  this->mesh,  this->account };
+  ServingUpdatePublisher publisher{ this->clock,   this->settings, this->group,
+                                    this->stores,  this->tracker,  this->hosts,
+                                    this->crashes, this->mesh,     this->account };
   MetricsServer metricsPage{ this->loop, this->metrics, this->settings.host };
-  ControlCalls calls;
+  ControlCallHandler calls;
   ConnectionListener callers{ this->loop };
   ServingSignals signals;
   asio::steady_timer ticker;
--- a/src/program/EntryHost.cpp
+++ b/src/program/EntryHost.cpp
@@ -6,11 +6,11 @@
 #include <random>
 #include <vector>
 
-#include "ConfigurationFeed.h"
+#include "ConfigurationUpdater.h"
 #include "Exchange.h"
 #include "MetricsServer.h"
-#include "damasklink/coordination/ControlLinks.h"
-#include "damasklink/coordination/HubChoice.h"
+#include "damasklink/coordination/ControlHostSelector.h"
+#include "damasklink/coordination/HubSelector.h"
 #include "damasklink/coordination/ServiceLevelWindows.h"
 #include "damasklink/protocol/ServingCodec.h"
 #include "damasklink/state/MetricsRegistry.h"
@@ -115,12 +115,12 @@
   void OnPeerMessage(const HostId& aPeer, PeerMessage aMessage) override;
 
 private:
-  using Channels = std::list<std::shared_ptr<CallerChannel>>;
+  using Channels = std::list<std::shared_ptr<CallerConnection>>;
 
   Result<void> Listen();
-  Awaitable<void> ServeCaller(std::shared_ptr<CallerChannel> aChannel);
-  Awaitable<void> ServeProbes(std::shared_ptr<CallerChannel> aChannel);
-  Awaitable<void> RespondToUnreadable(CallerChannel& aChannel, const Error& aError);
+  Awaitable<void> ServeCaller(std::shared_ptr<CallerConnection> aChannel);
+  Awaitable<void> ServeProbes(std::shared_ptr<CallerConnection> aChannel);
+  Awaitable<void> RespondToUnreadable(CallerConnection& aChannel, const Error& aError);
   Awaitable<void> Stop();
   void RunHousekeeping();
   std::vector<HubCandidate> HubCandidates() const;
@@ -147,23 +147,23 @@
   ServiceLevelWindows serviceLevels{ this->clock, kMostMetricSeries };
   MetricsRegistry metrics{ this->clock, this->serviceLevels, kMostMetricSeries };
   asio::io_context loop{ 1 };
-  EntryPicture state;
+  EntryHostState state;
   FirstConfiguration firstConfiguration;
   ServiceRetryBudgets retries;
   TargetHealth health;
-  ZoneReach reachability;
-  TargetPicker picker;
-  TargetChannelPool pool;
-  StorePace slowStores;
-  ComeBack startupDelay;
-  ReturnQueue retryScheduler;
-  TargetCheck probe;
-  CrashWatch crashFilter;
-  BrokenRuns interrupted;
+  ZoneReachability reachability;
+  TargetSelector picker;
+  TargetConnectionPool pool;
+  SlowStoreDetector slowStores;
+  StartupRetryDelay startupDelay;
+  RetryScheduler retryScheduler;
+  TargetProbe probe;
+  CrashFilter crashFilter;
+  InterruptedRequests interrupted;
   TargetRateLimiter limits;
   PeerMesh mesh;
   EntryContext context;
-  ConfigurationFeed configuration;
+  ConfigurationUpdater configuration;
   MetricsServer metricsPage{ this->loop, this->metrics, this->settings.host };
   ServingSignals signals;
   asio::steady_timer housekeeping;
@@ -172,9 +172,9 @@
   ConnectionListener probes{ this->loop };
   // The callers' connections.
   Channels open;
-  ControlLinks links{ this->settings.host, this->settings.zone };
+  ControlHostSelector links{ this->settings.host, this->settings.zone };
   // Selects the control host that gets this host's load reports.
-  HubChoice hub{ this->clock, this->settings.zone };
+  HubSelector hub{ this->clock, this->settings.zone };
   bool wasReady = false;
 };
 
@@ -227,7 +227,7 @@
 }
 
 Awaitable<void>
-EntryHost::Impl::ServeCaller(std::shared_ptr<CallerChannel> aChannel)
+EntryHost::Impl::ServeCaller(std::shared_ptr<CallerConnection> aChannel)
 {
   const auto position = this->open.insert(this->open.end(), aChannel);
   bool reusable = true;
@@ -245,7 +245,7 @@
 }
 
 Awaitable<void>
-EntryHost::Impl::RespondToUnreadable(CallerChannel& aChannel, const Error& aError)
+EntryHost::Impl::RespondToUnreadable(CallerConnection& aChannel, const Error& aError)
 {
   if (aError.kind == ErrorKind::Interrupted) {
     co_return;
@@ -266,7 +266,7 @@
 // Answers readiness probes. They have an address of their own, so that a host that is full of
 // callers' connections still answers them.
 Awaitable<void>
-EntryHost::Impl::ServeProbes(std::shared_ptr<CallerChannel> aChannel)
+EntryHost::Impl::ServeProbes(std::shared_ptr<CallerConnection> aChannel)
 {
   while (true) {
     auto request = co_await aChannel->Read(CallerLimits());
@@ -307,7 +307,7 @@
     }
     // A request on an idle connection might not end before the process does.
     this->callers.Close();
-    for (const std::shared_ptr<CallerChannel>& channel : this->open) {
+    for (const std::shared_ptr<CallerConnection>& channel : this->open) {
       channel->CloseIfIdle();
     }
     const auto busy = std::count_if(this->open.begin(), this->open.end(), [](const auto& aChannel) {
@@ -382,7 +382,7 @@
   }
   this->SendLoadReport(changed);
   this->configuration.Step();
-  this->picker.RemoveSumsBefore(this->clock.MonotonicNow() - SendsSum::kSilenceLimit);
+  this->picker.RemoveSumsBefore(this->clock.MonotonicNow() - InFlightLoadSum::kSilenceLimit);
   this->loadReports.expires_after(kLoadReportInterval);
   this->loadReports.async_wait([this](const IoError& aError) {
     if (!aError) {
@@ -441,7 +441,7 @@
     this->mesh.Dial(host);
   }
   const auto healthy = std::count_if(selected.begin(), selected.end(), isHealthy);
-  if (static_cast<std::size_t>(healthy) < ControlLinks::kHealthyLinks) {
+  if (static_cast<std::size_t>(healthy) < ControlHostSelector::kHealthyLinks) {
     return;
   }
   for (const auto& [host, zone] : this->links.Known()) {
--- a/src/program/EntryHost.h
+++ b/src/program/EntryHost.h
@@ -4,7 +4,7 @@
 //   auto stopped = host.Run();
 //
 // Runs one event loop on one thread. It stores nothing on disk: what it routes calls by comes from
-// control hosts (EntryPicture.h). Until the first configuration arrives it is not ready and
+// control hosts (EntryHostState.h). Until the first configuration arrives it is not ready and
 // refuses calls with Retry-After. Without contact to control hosts it goes on with its last state.
 #pragma once
 
--- a/src/program/EntryPicture.cpp
+++ b/src/program/EntryHostState.cpp
@@ -1,4 +1,4 @@
-#include "EntryPicture.h"
+#include "EntryHostState.h"
 
 #include <algorithm>
 #include <iterator>
@@ -20,7 +20,7 @@
 }
 
 void
-EntryPicture::Apply(const HostId& aFrom, const ServingUpdate& aUpdate)
+EntryHostState::Apply(const HostId& aFrom, const ServingUpdate& aUpdate)
 {
   if (this->connected.contains(aFrom) && this->reported.insert(aFrom).second) {
     this->targets.OnLink(aFrom, true);
@@ -64,7 +64,7 @@
 }
 
 void
-EntryPicture::ApplyEvacuations(const HostId& aFrom, const EvacuatedZones& aEvacuations)
+EntryHostState::ApplyEvacuations(const HostId& aFrom, const EvacuatedZones& aEvacuations)
 {
   if (aEvacuations.revision <= this->evacuationRevision) {
     return;
@@ -89,7 +89,7 @@
 }
 
 void
-EntryPicture::InstallRoutes(RoutesPtr aRoutes)
+EntryHostState::InstallRoutes(RoutesPtr aRoutes)
 {
   const Revision installed = this->routes == nullptr ? Revision() : this->routes->Config().version;
   const Revision version = aRoutes->Config().version;
@@ -105,7 +105,7 @@
 }
 
 void
-EntryPicture::OnConnection(const HostId& aHost, bool aUp)
+EntryHostState::OnConnection(const HostId& aHost, bool aUp)
 {
   if (aUp) {
     this->connected.insert(aHost);
@@ -122,30 +122,30 @@
 }
 
 bool
-EntryPicture::IsHealthy(const HostId& aHost) const
+EntryHostState::IsHealthy(const HostId& aHost) const
 {
   return this->reported.contains(aHost) && !this->isolated.contains(aHost);
 }
 
 void
-EntryPicture::SelectStoreSource(const std::optional<HostId>& aHub)
+EntryHostState::SelectStoreSource(const std::optional<HostId>& aHub)
 {
   this->hub = aHub;
-  this->stored = StoredParts();
+  this->stored = StoredPartIndex();
   if (this->routes != nullptr) {
     this->stored.SetStores(this->routes->Config().services);
   }
 }
 
 std::uint64_t
-EntryPicture::WeightVersionOf(const ModelName& aModel) const
+EntryHostState::WeightVersionOf(const ModelName& aModel) const
 {
   const auto found = this->weights.find(aModel);
   return found == this->weights.end() ? 0 : found->second;
 }
 
 std::uint64_t
-EntryPicture::WeightVersionKnownFor(const ModelName& aModel, Duration aAge) const
+EntryHostState::WeightVersionKnownFor(const ModelName& aModel, Duration aAge) const
 {
   const auto found = this->weightsAnnouncedAt.find(aModel);
   if (found == this->weightsAnnouncedAt.end()) {
@@ -160,14 +160,14 @@
   return known;
 }
 
-const StoredParts*
-EntryPicture::Stored() const
+const StoredPartIndex*
+EntryHostState::Stored() const
 {
   return this->hub ? &this->stored : nullptr;
 }
 
 std::uint64_t
-EntryPicture::EntryHosts() const
+EntryHostState::EntryHosts() const
 {
   std::uint64_t largest = 0;
   for (const auto& [host, count] : this->entryHosts) {
@@ -177,7 +177,7 @@
 }
 
 ControlHostZones
-EntryPicture::TakeDiscoveredControlHosts()
+EntryHostState::TakeDiscoveredControlHosts()
 {
   return std::exchange(this->discoveredControlHosts, {});
 }
--- a/src/program/EntryPicture.h
+++ b/src/program/EntryHostState.h
@@ -11,8 +11,8 @@
 
 #include "damasklink/coordination/RouteTable.h"
 #include "damasklink/coordination/ServingMessages.h"
-#include "damasklink/coordination/StoredParts.h"
-#include "damasklink/coordination/TargetBoard.h"
+#include "damasklink/coordination/StoredPartIndex.h"
+#include "damasklink/coordination/TargetDirectory.h"
 #include "damasklink/protocol/ServingDialect.h"
 
 namespace damasklink {
@@ -27,7 +27,7 @@
 
 // Merges the updates of several control hosts.
 //
-//   EntryPicture state(clock);
+//   EntryHostState state(clock);
 //   state.OnConnection(host, true);
 //   state.Apply(host, update);               // For each update of a connected control host.
 //   state.InstallRoutes(routes);             // Read by ReadRoutes() on another thread.
@@ -35,10 +35,10 @@
 //
 // The configuration, versions of weights and evacuations only ever move to newer revisions,
 // whichever control host reports them. Not thread-safe.
-class EntryPicture
+class EntryHostState
 {
 public:
-  explicit EntryPicture(const Clock& aClock)
+  explicit EntryHostState(const Clock& aClock)
     : clock(aClock)
   {
   }
@@ -55,7 +55,7 @@
   // Returns the routes of the installed configuration; null before the first one.
   const RoutesPtr& Routes() const { return this->routes; }
 
-  TargetBoard& Targets() { return this->targets; }
+  TargetDirectory& Targets() { return this->targets; }
 
   // Returns the version of weights that calls for the model should begin on; 0 if none was
   // announced.
@@ -70,7 +70,7 @@
   void SelectStoreSource(const std::optional<HostId>& aHub);
 
   // Returns the index of stored parts; null while no control host is selected for it.
-  const StoredParts* Stored() const;
+  const StoredPartIndex* Stored() const;
 
   // Returns whether the control host is connected and has sent an update on this connection. A
   // suspended process accepts connections too, but sends nothing.
@@ -98,14 +98,14 @@
 
   const Clock& clock;
   RoutesPtr routes;
-  TargetBoard targets;
+  TargetDirectory targets;
   std::map<ModelName, std::uint64_t> weights;
   // When each version was first announced, by model. Never pruned: there are a few a day.
   std::map<ModelName, std::map<std::uint64_t, MonotonicTime>> weightsAnnouncedAt;
   std::map<HostId, std::uint64_t> entryHosts;
   // The control host whose reports of stored parts are used, and what it reported.
   std::optional<HostId> hub;
-  StoredParts stored;
+  StoredPartIndex stored;
   std::set<HostId> connected;
   // The connected hosts that have sent an update on their connection.
   std::set<HostId> reported;
--- a/src/program/Exchange.cpp
+++ b/src/program/Exchange.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-Exchange::Exchange(EntryContext& aContext, CallerChannel& aCaller, HttpRequestMessage aRequest)
+Exchange::Exchange(EntryContext& aContext, CallerConnection& aCaller, HttpRequestMessage aRequest)
   : context(aContext)
   , caller(aCaller)
   , request(std::move(aRequest))
@@ -138,9 +138,9 @@
     return std::nullopt;
   }
   this->allowedRegions =
-    HomeRegions(this->route->allowedRegions,
-                this->workspace == nullptr ? kUnrestricted : this->workspace->allowedRegions,
-                this->context.settings.regions);
+    RegionRestriction(this->route->allowedRegions,
+                      this->workspace == nullptr ? kUnrestricted : this->workspace->allowedRegions,
+                      this->context.settings.regions);
   if (this->allowedRegions.AllowsNoZone()) {
     return Refusal(ErrorKind::NotPermitted,
                    "the route and the workspace have no allowed region in common",
@@ -203,7 +203,7 @@
     TokenCount(this->call.promptTokens.Value() + this->call.maxAnswerTokens.Value());
   this->load.incarnation = aTarget.incarnation;
   this->load.queuedBehindOthers =
-    this->context.picker.LoadOf(aTarget.id).unread >= TargetPicker::kLongPrefill;
+    this->context.picker.LoadOf(aTarget.id).unread >= TargetSelector::kLongPrefill;
   this->context.picker.OnSent(aTarget.id, this->selection, this->load);
   this->context.limits.OnSent(aTarget.id);
   this->context.retryScheduler.OnAdmitted();
@@ -246,15 +246,15 @@
   co_return result;
 }
 
-Awaitable<std::unique_ptr<TargetChannel>>
+Awaitable<std::unique_ptr<TargetConnection>>
 Exchange::Connect(const TargetRecord& aTarget)
 {
-  std::unique_ptr<TargetChannel> idle = this->context.pool.TakeIdle(aTarget.endpoint);
+  std::unique_ptr<TargetConnection> idle = this->context.pool.TakeIdle(aTarget.endpoint);
   if (idle != nullptr) {
     co_return idle;
   }
   auto fresh =
-    std::make_unique<TargetChannel>(this->context.loop.get_executor(), this->context.clock);
+    std::make_unique<TargetConnection>(this->context.loop.get_executor(), this->context.clock);
   const Duration timeout =
     std::clamp(this->TimeLeft(), Duration(std::chrono::milliseconds(1)), kConnectTimeout);
   auto connected = co_await fresh->Connect(aTarget.endpoint, timeout);
--- a/src/program/Exchange.h
+++ b/src/program/Exchange.h
@@ -6,25 +6,25 @@
 #include <optional>
 #include <string>
 
-#include "EntryPicture.h"
+#include "EntryHostState.h"
 #include "FirstConfiguration.h"
-#include "TargetCheck.h"
-#include "damasklink/coordination/BrokenRuns.h"
-#include "damasklink/coordination/ComeBack.h"
-#include "damasklink/coordination/CrashWatch.h"
+#include "TargetProbe.h"
+#include "damasklink/coordination/CrashFilter.h"
 #include "damasklink/coordination/EventFramer.h"
-#include "damasklink/coordination/ExchangePlan.h"
-#include "damasklink/coordination/HomeRegions.h"
+#include "damasklink/coordination/ExchangeRetryPolicy.h"
+#include "damasklink/coordination/InterruptedRequests.h"
+#include "damasklink/coordination/RegionRestriction.h"
 #include "damasklink/coordination/RequestFingerprint.h"
-#include "damasklink/coordination/ReturnQueue.h"
+#include "damasklink/coordination/RetryScheduler.h"
 #include "damasklink/coordination/ServiceRetryBudgets.h"
-#include "damasklink/coordination/StorePace.h"
-#include "damasklink/coordination/TargetPicker.h"
+#include "damasklink/coordination/SlowStoreDetector.h"
+#include "damasklink/coordination/StartupRetryDelay.h"
 #include "damasklink/coordination/TargetRateLimiter.h"
+#include "damasklink/coordination/TargetSelector.h"
 #include "damasklink/protocol/ServingDialect.h"
 #include "damasklink/state/Metrics.h"
-#include "damasklink/transport/CallerChannel.h"
-#include "damasklink/transport/TargetChannel.h"
+#include "damasklink/transport/CallerConnection.h"
+#include "damasklink/transport/TargetConnection.h"
 
 namespace damasklink {
 
@@ -36,19 +36,19 @@
   const ServingSettings& settings;
   const CallDialect& dialect;
   Metrics& metrics;
-  EntryPicture& state;
+  EntryHostState& state;
   FirstConfiguration& firstConfiguration;
   ServiceRetryBudgets& retries;
   TargetHealth& health;
-  ZoneReach& reachability;
-  TargetPicker& picker;
-  TargetChannelPool& pool;
-  StorePace& slowStores;
-  ComeBack& startupDelay;
-  ReturnQueue& retryScheduler;
-  TargetCheck& probe;
-  CrashWatch& crashFilter;
-  BrokenRuns& interrupted;
+  ZoneReachability& reachability;
+  TargetSelector& picker;
+  TargetConnectionPool& pool;
+  SlowStoreDetector& slowStores;
+  StartupRetryDelay& startupDelay;
+  RetryScheduler& retryScheduler;
+  TargetProbe& probe;
+  CrashFilter& crashFilter;
+  InterruptedRequests& interrupted;
   TargetRateLimiter& limits;
   MonotonicTime started;
   // Sends this host's load report to its hub at once, not only at the next interval.
@@ -58,7 +58,7 @@
 };
 
 // Relays one request: resolves its route, selects targets, forwards bytes, and answers the caller
-// when no target does. ExchangePlan decides what follows after each attempt.
+// when no target does. ExchangeRetryPolicy decides what follows after each attempt.
 //
 //   Exchange exchange(context, callerChannel, std::move(request));
 //   const bool reusable = co_await exchange.Run();
@@ -67,7 +67,7 @@
 class Exchange
 {
 public:
-  Exchange(EntryContext& aContext, CallerChannel& aCaller, HttpRequestMessage aRequest);
+  Exchange(EntryContext& aContext, CallerConnection& aCaller, HttpRequestMessage aRequest);
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
 
@@ -104,7 +104,7 @@
   Awaitable<bool> ForwardEvents(const HttpResponseHead& aHead, std::string_view aEvents);
   Awaitable<bool> Finish(ExchangeStep aStep);
   Awaitable<bool> RespondWithError(const CallerError& aError);
-  Awaitable<std::unique_ptr<TargetChannel>> Connect(const TargetRecord& aTarget);
+  Awaitable<std::unique_ptr<TargetConnection>> Connect(const TargetRecord& aTarget);
   // Records whether the target's zone was reached, and logs when the zone becomes unreachable.
   void RecordReachability(const TargetRecord& aTarget, HealthSignal aSignal);
   const TargetRecord* ChooseTarget();
@@ -146,7 +146,7 @@
   void LogEnd(std::string_view aOutcome, int aStatus) const;
 
   EntryContext& context;
-  CallerChannel& caller;
+  CallerConnection& caller;
   HttpRequestMessage request;
   MonotonicTime arrived;
 
@@ -156,7 +156,7 @@
   const WorkspaceEntry* workspace = nullptr;
   CallerRequest call;
   ServiceName service;
-  HomeRegions allowedRegions;
+  RegionRestriction allowedRegions;
   // The result of Targets() where regions are restricted.
   std::vector<TargetRecord> allowedTargets;
   SelectionRequest selection;
@@ -164,9 +164,9 @@
   std::uint64_t weights = 0;
 
   std::optional<RequestFingerprint> fingerprint;
-  std::optional<ExchangePlan> plan;
+  std::optional<ExchangeRetryPolicy> plan;
   std::optional<Watchdog> deadline;
-  std::unique_ptr<TargetChannel> channel;
+  std::unique_ptr<TargetConnection> channel;
   CallLoad load;
   // Slow stores that this call does not fetch from.
   std::set<std::string> avoidedStores;
--- a/src/program/ExchangeReporting.cpp
+++ b/src/program/ExchangeReporting.cpp
@@ -66,7 +66,7 @@
   if (wasRunning) {
     this->context.interrupted.Add(report, aTarget.endpoint);
   }
-  CrashWatch& crashFilter = this->context.crashFilter;
+  CrashFilter& crashFilter = this->context.crashFilter;
   this->context.probe.Run(aTarget,
                           [&crashFilter, report, wasRunning](TerminationEvidence aEvidence) {
                             if (wasRunning || aEvidence == TerminationEvidence::Refused) {
--- a/src/program/ExchangeRouting.cpp
+++ b/src/program/ExchangeRouting.cpp
@@ -74,14 +74,14 @@
     const PartKey key = MakePartKey(this->scope.Value(), part.id.Value());
     this->selection.parts.push_back(SizedPart{ key, part.tokens });
   }
-  const StoredParts* stored = this->context.state.Stored();
+  const StoredPartIndex* stored = this->context.state.Stored();
   if (stored == nullptr) {
     return;
   }
   this->avoidedStores.clear();
   double prefillTime = 0;
   for (const SizedPart& part : this->selection.parts) {
-    prefillTime += this->context.picker.PaceOf(this->call.model).MillisecondsPerToken() *
+    prefillTime += this->context.picker.LatencyModelOf(this->call.model).MillisecondsPerToken() *
                    static_cast<double>(part.tokens.Value());
   }
   for (const std::string& store : stored->StoreNames()) {
@@ -201,7 +201,7 @@
 void
 Exchange::LogOverload(const TargetRecord& aBest) const
 {
-  const TargetPicker& picker = this->context.picker;
+  const TargetSelector& picker = this->context.picker;
   const AdmissionLimits& limits = LimitsOf(this->Priority());
   LogEvent(LogLevel::Info, "refused_as_overloaded")
     .With("request", this->call.request)
@@ -252,7 +252,7 @@
 Exchange::AddPartTransfers(const TargetRecord& aTarget, TargetCall& aTo)
 {
   this->fetchedFrom.clear();
-  const StoredParts* stored = this->context.state.Stored();
+  const StoredPartIndex* stored = this->context.state.Stored();
   if (stored == nullptr || this->selection.parts.empty()) {
     return;
   }
@@ -291,18 +291,19 @@
 }
 
 // Records the time to the first event for the latency models. Where parts came from a store, the
-// time beyond the expected prefill is that store's delay (StorePace).
+// time beyond the expected prefill is that store's delay (SlowStoreDetector).
 void
 Exchange::ObserveFirstEvent(const TargetRecord& aTarget)
 {
   if (this->load.firstEventSeen || this->selection.promptTokens == TokenCount()) {
     return;
   }
-  TargetPicker& picker = this->context.picker;
+  TargetSelector& picker = this->context.picker;
   this->firstEventAt = this->context.clock.MonotonicNow();
   const Duration sinceSend = this->firstEventAt - this->sentAt;
   const std::chrono::duration<double, std::milli> took = sinceSend;
-  const double expected = picker.PaceOf(this->selection.model).Expected(this->load.uncachedTokens);
+  const double expected =
+    picker.LatencyModelOf(this->selection.model).Expected(this->load.uncachedTokens);
   if (picker.RecordFirstEvent(
         aTarget.id, this->selection, this->load, !this->fetchedFrom.empty(), sinceSend)) {
     this->context.slowStores.Observe(this->fetchedFrom, took.count() - expected);
@@ -332,9 +333,9 @@
   if (!this->load.firstEventSeen) {
     return;
   }
-  TargetPicker& picker = this->context.picker;
+  TargetSelector& picker = this->context.picker;
   const double prefillTime =
-    picker.PaceOf(this->selection.model).Expected(this->load.uncachedTokens);
+    picker.LatencyModelOf(this->selection.model).Expected(this->load.uncachedTokens);
   const Duration decodeTime = this->context.clock.MonotonicNow() - this->firstEventAt;
   const auto prefill = std::chrono::duration<double, std::milli>(prefillTime);
   picker.RecordRun(this->selection.model,
--- a/src/program/FirstConfiguration.h
+++ b/src/program/FirstConfiguration.h
@@ -3,13 +3,13 @@
 
 #include <set>
 
-#include "damasklink/coordination/StartupWait.h"
+#include "damasklink/coordination/StartupWaitLimiter.h"
 #include "damasklink/transport/EventLoop.h"
 
 namespace damasklink {
 
-// Must be used on the thread of the event loop only. StartupWait.h limits how many calls wait and
-// how long.
+// Must be used on the thread of the event loop only. StartupWaitLimiter.h limits how many calls
+// wait and how long.
 class FirstConfiguration
 {
 public:
@@ -27,7 +27,7 @@
 
 private:
   asio::io_context& loop;
-  StartupWait waits;
+  StartupWaitLimiter waits;
   // The timers of the waiting calls.
   std::set<asio::steady_timer*> waiting;
 };
--- a/src/program/MetricsServer.cpp
+++ b/src/program/MetricsServer.cpp
@@ -15,7 +15,7 @@
 }
 
 Awaitable<void>
-MetricsServer::Serve(std::shared_ptr<CallerChannel> aChannel)
+MetricsServer::Serve(std::shared_ptr<CallerConnection> aChannel)
 {
   while (true) {
     auto request = co_await aChannel->Read(CallerLimits());
--- a/src/program/MetricsServer.h
+++ b/src/program/MetricsServer.h
@@ -27,7 +27,7 @@
   Result<void> Listen(const Endpoint& aEndpoint);
 
 private:
-  Awaitable<void> Serve(std::shared_ptr<CallerChannel> aChannel);
+  Awaitable<void> Serve(std::shared_ptr<CallerConnection> aChannel);
 
   ConnectionListener listener;
   const MetricsRegistry& registry;
--- a/src/program/RefusalProposer.cpp
+++ b/src/program/RefusalProposer.cpp
@@ -12,7 +12,7 @@
     LogEvent(LogLevel::Warning, "request_refused_from_now")
       .With("fingerprint", refuse->request)
       .With("workspace", refuse->facts.workspace)
-      .With("crashes", CrashLedger::kCrashesToRefuse)
+      .With("crashes", CrashRegistry::kCrashesToRefuse)
       .With("committed", aCommitted);
   } else if (const auto* release = std::get_if<ReleaseRequest>(&aCommand)) {
     LogEvent(LogLevel::Warning, "request_released")
--- a/src/program/RefusalProposer.h
+++ b/src/program/RefusalProposer.h
@@ -4,16 +4,16 @@
 #include <vector>
 
 #include "ServingGroup.h"
-#include "damasklink/coordination/CrashLedger.h"
+#include "damasklink/coordination/CrashRegistry.h"
 
 namespace damasklink {
 
-// On the leader, proposes the refusals and releases that the CrashLedger finds. Not thread-safe.
+// On the leader, proposes the refusals and releases that the CrashRegistry finds. Not thread-safe.
 class RefusalProposer
 {
 public:
   // The references must outlive the work of the loop.
-  RefusalProposer(asio::io_context& aLoop, ServingGroup& aGroup, CrashLedger& aLedger)
+  RefusalProposer(asio::io_context& aLoop, ServingGroup& aGroup, CrashRegistry& aLedger)
     : loop(aLoop)
     , group(aGroup)
     , ledger(aLedger)
@@ -28,7 +28,7 @@
 
   asio::io_context& loop;
   ServingGroup& group;
-  CrashLedger& ledger;
+  CrashRegistry& ledger;
   // True while proposals are in flight; the next ones wait until they are answered.
   bool committing = false;
 };
--- a/src/program/RolloutExecutor.cpp
+++ b/src/program/RolloutExecutor.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "damasklink/transport/Log.h"
-#include "damasklink/transport/TargetChannel.h"
+#include "damasklink/transport/TargetConnection.h"
 
 namespace damasklink {
 namespace {
@@ -84,7 +84,7 @@
 Awaitable<Result<HttpResponseMessage>>
 RolloutExecutor::Call(Endpoint aEndpoint, HttpRequestMessage aMessage)
 {
-  TargetChannel channel(this->loop.get_executor(), this->clock);
+  TargetConnection channel(this->loop.get_executor(), this->clock);
   Watchdog watchdog(this->loop.get_executor(), [&channel] { channel.Close(); });
   watchdog.Arm(kCallTimeout);
   auto connected = co_await channel.Connect(aEndpoint, kCallTimeout);
--- a/src/program/PictureTeller.cpp
+++ b/src/program/ServingUpdatePublisher.cpp
@@ -1,4 +1,4 @@
-#include "PictureTeller.h"
+#include "ServingUpdatePublisher.h"
 
 #include <utility>
 
@@ -27,15 +27,15 @@
 
 } // namespace
 
-PictureTeller::PictureTeller(const Clock& aClock,
-                             const ServingSettings& aSettings,
-                             const ServingGroup& aGroup,
-                             const StoreWatcher& aStores,
-                             ControlPicture& aTracker,
-                             HostRegistry& aHosts,
-                             CrashLedger& aCrashes,
-                             PeerMesh& aMesh,
-                             WorkStatistics& aAccount)
+ServingUpdatePublisher::ServingUpdatePublisher(const Clock& aClock,
+                                               const ServingSettings& aSettings,
+                                               const ServingGroup& aGroup,
+                                               const StoreWatcher& aStores,
+                                               TargetTracker& aTracker,
+                                               HostRegistry& aHosts,
+                                               CrashRegistry& aCrashes,
+                                               PeerMesh& aMesh,
+                                               WorkStatistics& aAccount)
   : clock(aClock)
   , settings(aSettings)
   , group(aGroup)
@@ -50,7 +50,7 @@
 }
 
 void
-PictureTeller::PublishChanges()
+ServingUpdatePublisher::PublishChanges()
 {
   const WorkTimer timer(this->account, Work::Pictures);
   ServingUpdate changes = this->MakeBaseUpdate();
@@ -86,7 +86,7 @@
 
 // Makes an update with the fields that every update for entry hosts has.
 ServingUpdate
-PictureTeller::MakeBaseUpdate() const
+ServingUpdatePublisher::MakeBaseUpdate() const
 {
   ServingUpdate update;
   update.documentVersion = this->group.State().Version();
@@ -95,7 +95,7 @@
 }
 
 ServingUpdate
-PictureTeller::MakeStateUpdate() const
+ServingUpdatePublisher::MakeStateUpdate() const
 {
   ServingUpdate update = this->MakeBaseUpdate();
   update.weights = this->group.State().Weights();
@@ -110,7 +110,7 @@
 // one of the hosts that announced the version. Weights are included if they have changed, not with
 // each configuration.
 void
-PictureTeller::PublishGroupState()
+ServingUpdatePublisher::PublishGroupState()
 {
   const WorkTimer timer(this->account, Work::Pictures);
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
@@ -128,7 +128,7 @@
 }
 
 void
-PictureTeller::Answer(const HostId& aEntryHost, const DocumentRequest& aRequest)
+ServingUpdatePublisher::Answer(const HostId& aEntryHost, const DocumentRequest& aRequest)
 {
   this->document.Publish(this->group.State().Version(), this->group.State().Document());
   if (const std::optional<DocumentChunk> chunk = this->document.Answer(aRequest)) {
@@ -137,7 +137,7 @@
 }
 
 void
-PictureTeller::PublishStores(const std::vector<StoreUpdate>& aUpdates)
+ServingUpdatePublisher::PublishStores(const std::vector<StoreUpdate>& aUpdates)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
   ServingUpdate update = this->MakeBaseUpdate();
@@ -146,7 +146,7 @@
 }
 
 void
-PictureTeller::SendGreeting(const HostId& aPeer)
+ServingUpdatePublisher::SendGreeting(const HostId& aPeer)
 {
   Greeting greeting{ HostRole::Control, this->settings.zone, {} };
   greeting.controlHosts = this->hosts.AllControlHosts();
@@ -158,7 +158,7 @@
 }
 
 void
-PictureTeller::SendAllReports(const HostId& aControlHost)
+ServingUpdatePublisher::SendAllReports(const HostId& aControlHost)
 {
   LoadReport report;
   report.host = this->settings.host;
@@ -170,7 +170,7 @@
 }
 
 void
-PictureTeller::SendSnapshot(const HostId& aEntryHost)
+ServingUpdatePublisher::SendSnapshot(const HostId& aEntryHost)
 {
   // Targets go first: an entry host accepts calls as soon as it has a configuration.
   this->SendAllTargets(aEntryHost);
@@ -180,7 +180,7 @@
 // The cached message may lack heartbeats that changed nothing; it is made again after the next
 // change.
 void
-PictureTeller::SendAllTargets(const HostId& aHost)
+ServingUpdatePublisher::SendAllTargets(const HostId& aHost)
 {
   const WorkTimer timer(this->account, Work::Pictures);
   const ServingUpdate base = this->MakeBaseUpdate();
@@ -199,7 +199,7 @@
 // An entry host gets stored parts only from the control host to which it reports: they change a
 // thousand times a second, and every further copy would be sent between zones.
 void
-PictureTeller::SendAllStores(const HostId& aEntryHost)
+ServingUpdatePublisher::SendAllStores(const HostId& aEntryHost)
 {
   const WorkTimer timer(this->account, Work::StoredParts);
   ServingUpdate update = this->MakeBaseUpdate();
@@ -208,7 +208,7 @@
 }
 
 void
-PictureTeller::OnLoadReport(const HostId& aFrom, const LoadReport& aReport)
+ServingUpdatePublisher::OnLoadReport(const HostId& aFrom, const LoadReport& aReport)
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   const bool fromOwnHost = this->hosts.EntryHosts().contains(aFrom);
@@ -232,7 +232,7 @@
 }
 
 void
-PictureTeller::AddCrashes(const LoadReport& aReport, bool aFromOwnHost)
+ServingUpdatePublisher::AddCrashes(const LoadReport& aReport, bool aFromOwnHost)
 {
   this->crashes.Add(aReport.crashes);
   this->crashes.AddSuccessfulRuns(aReport.sound);
@@ -245,7 +245,7 @@
 }
 
 void
-PictureTeller::AddLimitReports(const LoadReport& aReport, bool aFromOwnHost)
+ServingUpdatePublisher::AddLimitReports(const LoadReport& aReport, bool aFromOwnHost)
 {
   this->limits.Update(aReport.limitReports);
   if (aFromOwnHost) {
@@ -255,7 +255,7 @@
 }
 
 std::vector<TargetLimit>
-PictureTeller::LimitShares() const
+ServingUpdatePublisher::LimitShares() const
 {
   const bool settling = this->clock.MonotonicNow() - this->startedAt < kRegistrySettleTime;
   return this->limits.Shares(settling ? std::set<HostId>() : this->recentHosts.All());
@@ -263,7 +263,7 @@
 
 // Sends the shares of all rate limits if any has changed because of limits, targets or entry hosts.
 void
-PictureTeller::PublishLimits()
+ServingUpdatePublisher::PublishLimits()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   this->recentHosts.Update(this->hosts.AllEntryHosts(), now);
@@ -304,7 +304,7 @@
 // Publishes at once, unless entry hosts were sent totals within kMinUrgentInterval: with hundreds
 // of them, one sends a long prompt every few milliseconds, and each publication goes to all.
 void
-PictureTeller::OnUrgentReport(bool aFromOwnHosts)
+ServingUpdatePublisher::OnUrgentReport(bool aFromOwnHosts)
 {
   this->urgentPending = true;
   this->ownUrgentPending = this->ownUrgentPending || aFromOwnHosts;
@@ -319,10 +319,10 @@
 }
 
 void
-PictureTeller::PublishLoads()
+ServingUpdatePublisher::PublishLoads()
 {
   const WorkTimer timer(this->account, Work::Loads);
-  this->sends.RemovePeersSilentSince(this->clock.MonotonicNow() - SendsSum::kSilenceLimit);
+  this->sends.RemovePeersSilentSince(this->clock.MonotonicNow() - InFlightLoadSum::kSilenceLimit);
   LoadReport own = this->sends.TakeChanges(this->settings.host);
   own.urgent = std::exchange(this->ownUrgentPending, false);
   own.crashes = std::exchange(this->unpublishedCrashes, {});
@@ -336,7 +336,7 @@
 }
 
 void
-PictureTeller::PublishTotals()
+ServingUpdatePublisher::PublishTotals()
 {
   const WorkTimer timer(this->account, Work::Totals);
   this->urgentPending = this->ownUrgentPending;
@@ -348,14 +348,14 @@
 }
 
 void
-PictureTeller::EncodeAndSend(Work aWork, const HostId& aTo, const ServingMessage& aMessage)
+ServingUpdatePublisher::EncodeAndSend(Work aWork, const HostId& aTo, const ServingMessage& aMessage)
 {
   this->Send(aWork, aTo, EncodeServingMessage(aMessage));
 }
 
 // This function and the next two encode a message once, since many hosts get the same bytes.
 void
-PictureTeller::SendToEntryHosts(Work aWork, const ServingMessage& aMessage)
+ServingUpdatePublisher::SendToEntryHosts(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodeCompressed(aMessage);
   for (const HostId& host : this->hosts.EntryHosts()) {
@@ -364,7 +364,7 @@
 }
 
 void
-PictureTeller::SendToControlHosts(Work aWork, const ServingMessage& aMessage)
+ServingUpdatePublisher::SendToControlHosts(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodeCompressed(aMessage);
   for (const auto& [host, zone] : this->hosts.ControlHosts()) {
@@ -373,7 +373,7 @@
 }
 
 void
-PictureTeller::SendToReportingHosts(Work aWork, const ServingMessage& aMessage)
+ServingUpdatePublisher::SendToReportingHosts(Work aWork, const ServingMessage& aMessage)
 {
   const std::string payload = EncodeServingMessage(aMessage);
   for (const HostId& host : this->sends.Publishers()) {
@@ -382,7 +382,7 @@
 }
 
 void
-PictureTeller::Send(Work aWork, const HostId& aTo, std::string aPayload)
+ServingUpdatePublisher::Send(Work aWork, const HostId& aTo, std::string aPayload)
 {
   this->account.CountSent(aWork, aPayload.size());
   this->mesh.Send(aTo, PeerMessage{ Channel::Serving, GroupId(), std::move(aPayload) });
--- a/src/program/PictureTeller.h
+++ b/src/program/ServingUpdatePublisher.h
@@ -6,16 +6,16 @@
 #include <string>
 #include <vector>
 
-#include "ControlPicture.h"
 #include "ServingGroup.h"
 #include "StoreWatcher.h"
+#include "TargetTracker.h"
 #include "WorkStatistics.h"
-#include "damasklink/coordination/CrashLedger.h"
+#include "damasklink/coordination/CrashRegistry.h"
 #include "damasklink/coordination/DocumentPublisher.h"
 #include "damasklink/coordination/HostRegistry.h"
+#include "damasklink/coordination/LoadReportAggregator.h"
 #include "damasklink/coordination/RateLimitAllocator.h"
 #include "damasklink/coordination/RecentHosts.h"
-#include "damasklink/coordination/SendsHub.h"
 #include "damasklink/transport/PeerMesh.h"
 
 namespace damasklink {
@@ -26,18 +26,18 @@
 //
 // A host "reports to" this one if it is an entry host that has this control host as its hub and
 // sends it load reports.
-class PictureTeller
+class ServingUpdatePublisher
 {
 public:
-  PictureTeller(const Clock& aClock,
-                const ServingSettings& aSettings,
-                const ServingGroup& aGroup,
-                const StoreWatcher& aStores,
-                ControlPicture& aTracker,
-                HostRegistry& aHosts,
-                CrashLedger& aCrashes,
-                PeerMesh& aMesh,
-                WorkStatistics& aAccount);
+  ServingUpdatePublisher(const Clock& aClock,
+                         const ServingSettings& aSettings,
+                         const ServingGroup& aGroup,
+                         const StoreWatcher& aStores,
+                         TargetTracker& aTracker,
+                         HostRegistry& aHosts,
+                         CrashRegistry& aCrashes,
+                         PeerMesh& aMesh,
+                         WorkStatistics& aAccount);
 
   // Sends what has changed of targets and hosts since the last call.
   void PublishChanges();
@@ -93,12 +93,12 @@
   const ServingSettings& settings;
   const ServingGroup& group;
   const StoreWatcher& stores;
-  ControlPicture& tracker;
+  TargetTracker& tracker;
   HostRegistry& hosts;
-  CrashLedger& crashes;
+  CrashRegistry& crashes;
   PeerMesh& mesh;
   WorkStatistics& account;
-  SendsHub sends;
+  LoadReportAggregator sends;
   DocumentPublisher document;
   // When totals were last sent to entry hosts.
   MonotonicTime totalsPublishedAt;
--- a/src/program/StoreWatcher.cpp
+++ b/src/program/StoreWatcher.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "damasklink/transport/Log.h"
-#include "damasklink/transport/TargetChannel.h"
+#include "damasklink/transport/TargetConnection.h"
 
 namespace damasklink {
 namespace {
@@ -54,7 +54,7 @@
 
   Endpoint endpoint;
   StoreContentTracker tracker;
-  std::unique_ptr<TargetChannel> channel;
+  std::unique_ptr<TargetConnection> channel;
   MonotonicTime nextList;
   bool reachable = true;
   // Whether a command to free parts is being sent.
@@ -137,7 +137,7 @@
 {
   const HttpRequestMessage request =
     this->dialect.FreeRequest(aStore->endpoint, aStore->tracker.Epoch(), aParts);
-  TargetChannel channel(this->loop.get_executor(), this->clock);
+  TargetConnection channel(this->loop.get_executor(), this->clock);
   Watchdog watchdog(this->loop.get_executor(), [&channel] { channel.Close(); });
   watchdog.Arm(kFreeTimeout);
   int status = 0;
@@ -224,13 +224,13 @@
 StoreWatcher::Request(WatchedStore& aStore, HttpRequestHead aRequest)
 {
   if (aStore.channel == nullptr || !aStore.channel->IsReusable() || !aStore.channel->IsClean()) {
-    aStore.channel = std::make_unique<TargetChannel>(this->loop.get_executor(), this->clock);
+    aStore.channel = std::make_unique<TargetConnection>(this->loop.get_executor(), this->clock);
     auto connected = co_await aStore.channel->Connect(aStore.endpoint, kStoreAnswerTimeout);
     if (!connected) {
       co_return Fail(connected.error());
     }
   }
-  TargetChannel* channel = aStore.channel.get();
+  TargetConnection* channel = aStore.channel.get();
   Watchdog watchdog(this->loop.get_executor(), [channel] { channel->Close(); });
   watchdog.Arm(kEventLongPoll + kStoreAnswerTimeout);
   if (auto sent = co_await channel->Send(aRequest, ""); !sent) {
--- a/src/program/StoreWatcher.h
+++ b/src/program/StoreWatcher.h
@@ -47,7 +47,7 @@
   std::vector<StoreUpdate> Snapshot() const;
 
   // Tells the stores to free parts made by weights older than these, and parts whose writers broke
-  // off. Requires that no call can still read the former (SettledWeights.h).
+  // off. Requires that no call can still read the former (StableWeightVersions.h).
   void FreeUnused(const std::map<ModelName, std::uint64_t>& aWeights);
 
 private:
--- a/src/program/TargetCheck.cpp
+++ b/src/program/TargetProbe.cpp
@@ -1,4 +1,4 @@
-#include "TargetCheck.h"
+#include "TargetProbe.h"
 
 #include <utility>
 
@@ -21,7 +21,7 @@
 } // namespace
 
 void
-TargetCheck::Run(const TargetRecord& aTarget, TerminationHandler aOnTerminated)
+TargetProbe::Run(const TargetRecord& aTarget, TerminationHandler aOnTerminated)
 {
   if (this->waiting.empty()) {
     this->alive.clear();
@@ -35,7 +35,7 @@
 }
 
 Awaitable<void>
-TargetCheck::Check(TargetRecord aTarget)
+TargetProbe::Check(TargetRecord aTarget)
 {
   const std::optional<TerminationEvidence> evidence = co_await this->FindEvidence(aTarget);
   const auto found = this->waiting.find({ aTarget.id, aTarget.incarnation });
@@ -55,7 +55,7 @@
 }
 
 Awaitable<std::optional<TerminationEvidence>>
-TargetCheck::FindEvidence(TargetRecord aTarget)
+TargetProbe::FindEvidence(TargetRecord aTarget)
 {
   asio::steady_timer pause(this->loop);
   for (int drops = 0; drops < kRequiredDrops; ++drops) {
@@ -75,10 +75,10 @@
   co_return alive ? std::nullopt : std::optional(TerminationEvidence::Dropped);
 }
 
-Awaitable<TargetCheck::ConnectResult>
-TargetCheck::Connect(Endpoint aAddress)
+Awaitable<TargetProbe::ConnectResult>
+TargetProbe::Connect(Endpoint aAddress)
 {
-  TargetChannel channel(this->loop.get_executor(), this->clock);
+  TargetConnection channel(this->loop.get_executor(), this->clock);
   const auto connected = co_await channel.Connect(aAddress, kConnectTimeout);
   if (!connected) {
     const bool refused = connected.error().kind == ErrorKind::NotFound;
--- a/src/program/TargetCheck.h
+++ b/src/program/TargetProbe.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "damasklink/coordination/Target.h"
-#include "damasklink/transport/TargetChannel.h"
+#include "damasklink/transport/TargetConnection.h"
 
 namespace damasklink {
 
@@ -28,18 +28,18 @@
 
 // Connects to targets on the event loop.
 //
-//   TargetCheck probe(loop, clock);
+//   TargetProbe probe(loop, clock);
 //   probe.Run(record, [](TerminationEvidence aEvidence) { ... });   // Called if the process ended.
 //   probe.OnBytes(target);                                          // The target is alive.
 //
 // Not thread-safe.
-class TargetCheck
+class TargetProbe
 {
 public:
   using TerminationHandler = std::function<void(TerminationEvidence)>;
 
   // The loop and the clock must outlive the probe, and the probe must outlive the loop's run.
-  TargetCheck(asio::io_context& aLoop, const Clock& aClock)
+  TargetProbe(asio::io_context& aLoop, const Clock& aClock)
     : loop(aLoop)
     , clock(aClock)
   {
--- a/src/program/ControlPicture.cpp
+++ b/src/program/TargetTracker.cpp
@@ -1,4 +1,4 @@
-#include "ControlPicture.h"
+#include "TargetTracker.h"
 
 #include <algorithm>
 #include <iterator>
@@ -9,13 +9,13 @@
 
 namespace damasklink {
 
-ControlPicture::ControlPicture(const Clock& aClock, Duration aSilence)
+TargetTracker::TargetTracker(const Clock& aClock, Duration aSilence)
   : registry(aClock, aSilence)
 {
 }
 
 bool
-ControlPicture::OnHeartbeat(const TargetRecord& aRecord)
+TargetTracker::OnHeartbeat(const TargetRecord& aRecord)
 {
   const TargetRecord* known = this->registry.Find(aRecord.id);
   const bool sameService = known != nullptr && known->service == aRecord.service;
@@ -29,13 +29,13 @@
 }
 
 void
-ControlPicture::OnRelayedRecord(const TargetRecord& aRecord)
+TargetTracker::OnRelayedRecord(const TargetRecord& aRecord)
 {
   this->Merge(aRecord);
 }
 
 bool
-ControlPicture::Merge(const TargetRecord& aRecord)
+TargetTracker::Merge(const TargetRecord& aRecord)
 {
   const bool isNew = this->registry.Merge(aRecord);
   if (isNew) {
@@ -46,7 +46,7 @@
 }
 
 void
-ControlPicture::AddColdTarget(const TargetRecord& aRecord, Duration aColdFor)
+TargetTracker::AddColdTarget(const TargetRecord& aRecord, Duration aColdFor)
 {
   const auto spec = this->coldStartSpecs.find(aRecord.service);
   if (aColdFor > Duration::zero() && spec != this->coldStartSpecs.end()) {
@@ -56,7 +56,7 @@
 }
 
 void
-ControlPicture::OnZoneReturned(const ZoneId& aZone)
+TargetTracker::OnZoneReturned(const ZoneId& aZone)
 {
   for (const TargetRecord& record : this->registry.All()) {
     const auto spec = this->coldStartSpecs.find(record.service);
@@ -67,7 +67,7 @@
 }
 
 void
-ControlPicture::OnDeparture(const TargetId& aTarget, Incarnation aIncarnation)
+TargetTracker::OnDeparture(const TargetId& aTarget, Incarnation aIncarnation)
 {
   TargetRecord record;
   record.incarnation = aIncarnation;
@@ -90,7 +90,7 @@
 }
 
 TargetUpdate
-ControlPicture::MakeTargetUpdate(const TargetRecord& aRecord) const
+TargetTracker::MakeTargetUpdate(const TargetRecord& aRecord) const
 {
   TargetUpdate update;
   update.record = aRecord;
@@ -110,7 +110,7 @@
 }
 
 void
-ControlPicture::FindChanges()
+TargetTracker::FindChanges()
 {
   for (TargetId& target : this->registry.TakeUsabilityChanges()) {
     this->touched.insert(std::move(target));
@@ -143,7 +143,7 @@
 }
 
 std::vector<TargetUpdate>
-ControlPicture::TakeChanges()
+TargetTracker::TakeChanges()
 {
   this->FindChanges();
   std::vector<TargetUpdate> changes;
@@ -154,28 +154,28 @@
 }
 
 std::uint64_t
-ControlPicture::ChangeCount()
+TargetTracker::ChangeCount()
 {
   this->FindChanges();
   return this->changeCount;
 }
 
 const std::vector<TargetRecord>&
-ControlPicture::UsableEngines()
+TargetTracker::UsableEngines()
 {
   this->ListEngines();
   return this->usableEngines;
 }
 
 const std::vector<TargetRecord>&
-ControlPicture::RemainingEngines()
+TargetTracker::RemainingEngines()
 {
   this->ListEngines();
   return this->remainingEngines;
 }
 
 void
-ControlPicture::ListEngines()
+TargetTracker::ListEngines()
 {
   this->FindChanges();
   if (std::exchange(this->enginesListed, true)) {
@@ -197,7 +197,7 @@
 }
 
 void
-ControlPicture::SetPaused(std::set<TargetId> aTargets)
+TargetTracker::SetPaused(std::set<TargetId> aTargets)
 {
   std::set_symmetric_difference(this->paused.begin(),
                                 this->paused.end(),
@@ -208,7 +208,7 @@
 }
 
 void
-ControlPicture::SetReportedWeights(
+TargetTracker::SetReportedWeights(
   const std::map<std::pair<TargetId, ModelName>, std::uint64_t>& aReported)
 {
   if (aReported == this->reported) {
@@ -225,7 +225,7 @@
 }
 
 std::vector<TargetUpdate>
-ControlPicture::TakeDirectUpdates()
+TargetTracker::TakeDirectUpdates()
 {
   std::vector<TargetUpdate> updates;
   for (const auto& [id, record] : std::exchange(this->directRecords, {})) {
@@ -235,7 +235,7 @@
 }
 
 std::vector<TargetUpdate>
-ControlPicture::All() const
+TargetTracker::All() const
 {
   std::vector<TargetUpdate> updates;
   for (const TargetRecord& record : this->registry.All()) {
--- a/src/program/ControlPicture.h
+++ b/src/program/TargetTracker.h
@@ -17,16 +17,16 @@
 // Merges the records of targets, received from the targets or relayed by other control hosts, and
 // collects the updates for entry hosts and for other control hosts. Not thread-safe.
 //
-//   ControlPicture tracker(clock, silence);
+//   TargetTracker tracker(clock, silence);
 //   tracker.OnHeartbeat(record);      // From the target.
 //   tracker.OnRelayedRecord(record);  // From another control host.
 //   tracker.TakeChanges();            // For entry hosts.
 //   tracker.TakeDirectUpdates();      // For other control hosts.
-class ControlPicture
+class TargetTracker
 {
 public:
   // A target without a heartbeat for aSilence counts as silent.
-  ControlPicture(const Clock& aClock, Duration aSilence);
+  TargetTracker(const Clock& aClock, Duration aSilence);
 
   // Returns false and ignores the record if the configuration does not have the target's service:
   // the sender is not a target of the deployment, though it may use the id of one.
--- a/src/transport/CallerChannel.cpp
+++ b/src/transport/CallerConnection.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/CallerChannel.h"
+#include "damasklink/transport/CallerConnection.h"
 
 #include <array>
 
@@ -74,7 +74,7 @@
 
 } // namespace
 
-class CallerChannel::Impl
+class CallerConnection::Impl
 {
 public:
   explicit Impl(TcpSocket aSocket)
@@ -121,20 +121,20 @@
   beast::flat_buffer buffer;
 };
 
-CallerChannel::CallerChannel(TcpSocket aSocket)
+CallerConnection::CallerConnection(TcpSocket aSocket)
   : impl(std::make_unique<Impl>(std::move(aSocket)))
 {
   SetNoDelay(this->impl->socket);
   SetSendTimeout(this->impl->socket, kWriteTimeout);
 }
 
-CallerChannel::~CallerChannel()
+CallerConnection::~CallerConnection()
 {
   ++*this->impl->watch;
 }
 
 Awaitable<Result<HttpRequestMessage>>
-CallerChannel::Read(const CallerLimits& aLimits)
+CallerConnection::Read(const CallerLimits& aLimits)
 {
   Impl& connection = *this->impl;
   const auto headerTimeout = aLimits.headerTimeout;
@@ -178,7 +178,7 @@
 }
 
 Awaitable<bool>
-CallerChannel::WriteWhole(HttpResponseMessage aResponse, bool aClose)
+CallerConnection::WriteWhole(HttpResponseMessage aResponse, bool aClose)
 {
   const std::string head =
     FormatResponseHead(aResponse.head, BodyFraming::Length, aResponse.body.size(), aClose);
@@ -188,7 +188,7 @@
 }
 
 Awaitable<bool>
-CallerChannel::BeginStream(const HttpResponseHead& aHead, std::string_view aChunk, bool aClose)
+CallerConnection::BeginStream(const HttpResponseHead& aHead, std::string_view aChunk, bool aClose)
 {
   std::string bytes = FormatResponseHead(aHead, BodyFraming::Chunks, 0, aClose);
   bytes += Concat(absl::Hex(aChunk.size()), "\r\n", aChunk, "\r\n");
@@ -196,14 +196,14 @@
 }
 
 Awaitable<bool>
-CallerChannel::WriteChunk(std::string_view aChunk)
+CallerConnection::WriteChunk(std::string_view aChunk)
 {
   const std::string bytes = Concat(absl::Hex(aChunk.size()), "\r\n", aChunk, "\r\n");
   co_return co_await this->impl->Write(bytes);
 }
 
 Awaitable<bool>
-CallerChannel::EndStream()
+CallerConnection::EndStream()
 {
   constexpr std::string_view kLastChunk = "0\r\n\r\n";
   const bool written = co_await this->impl->Write(kLastChunk);
@@ -212,7 +212,7 @@
 }
 
 void
-CallerChannel::WatchForDisconnect(std::function<void()> aHandler)
+CallerConnection::WatchForDisconnect(std::function<void()> aHandler)
 {
   Impl* impl = this->impl.get();
   const std::uint64_t number = ++*impl->watch;
@@ -235,7 +235,7 @@
 }
 
 void
-CallerChannel::StopWatching()
+CallerConnection::StopWatching()
 {
   ++*this->impl->watch;
   IoError ignored;
@@ -243,7 +243,7 @@
 }
 
 void
-CallerChannel::CloseIfIdle()
+CallerConnection::CloseIfIdle()
 {
   IoError error;
   if (this->idle && this->impl->socket.available(error) == 0) {
@@ -252,7 +252,7 @@
 }
 
 void
-CallerChannel::Close()
+CallerConnection::Close()
 {
   IoError ignored;
   this->impl->socket.close(ignored);
--- a/src/transport/ConnectionListener.cpp
+++ b/src/transport/ConnectionListener.cpp
@@ -36,7 +36,7 @@
     if (aError) {
       LogEvent(LogLevel::Warning, "accept_failed").With("reason", aError.message());
     } else {
-      auto connection = std::make_shared<CallerChannel>(std::move(aSocket));
+      auto connection = std::make_shared<CallerConnection>(std::move(aSocket));
       asio::co_spawn(this->loop, this->serve(connection), asio::detached);
     }
     this->Accept();
--- a/src/transport/PeerMesh.cpp
+++ b/src/transport/PeerMesh.cpp
@@ -312,7 +312,7 @@
     return;
   }
   this->dialed[aPeer] = nullptr;
-  this->backoffs.insert_or_assign(aPeer, DialPace(this->timing.dial));
+  this->backoffs.insert_or_assign(aPeer, DialBackoff(this->timing.dial));
   this->Connect(aPeer);
 }
 
@@ -423,7 +423,7 @@
       links.erase(found);
     } else {
       found->second = nullptr;
-      DialPace& backoff = this->backoffs.at(peer);
+      DialBackoff& backoff = this->backoffs.at(peer);
       if (aLink->WasUp()) {
         backoff.OnUp();
       } else {
--- a/src/transport/TargetChannel.cpp
+++ b/src/transport/TargetConnection.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/TargetChannel.h"
+#include "damasklink/transport/TargetConnection.h"
 
 #include <array>
 
@@ -47,7 +47,7 @@
 
 } // namespace
 
-class TargetChannel::Impl
+class TargetConnection::Impl
 {
 public:
   explicit Impl(const asio::any_io_executor& aExecutor)
@@ -67,16 +67,16 @@
   bool closes = false;
 };
 
-TargetChannel::TargetChannel(const asio::any_io_executor& aExecutor, const Clock& aClock)
+TargetConnection::TargetConnection(const asio::any_io_executor& aExecutor, const Clock& aClock)
   : clock(aClock)
   , impl(std::make_unique<Impl>(aExecutor))
 {
 }
 
-TargetChannel::~TargetChannel() = default;
+TargetConnection::~TargetConnection() = default;
 
 Awaitable<Result<void>>
-TargetChannel::Connect(const Endpoint& aEndpoint, Duration aTimeout)
+TargetConnection::Connect(const Endpoint& aEndpoint, Duration aTimeout)
 {
   bool timedOut = false;
   Watchdog watchdog(this->impl->socket.get_executor(), [this, &timedOut] {
@@ -100,7 +100,7 @@
 }
 
 Awaitable<bool>
-TargetChannel::StaysOpen(Duration aFor)
+TargetConnection::StaysOpen(Duration aFor)
 {
   TcpSocket& socket = this->impl->socket;
   bool timedOut = false;
@@ -126,7 +126,7 @@
 }
 
 Awaitable<Result<void>>
-TargetChannel::Send(const HttpRequestHead& aHead, std::string_view aBody)
+TargetConnection::Send(const HttpRequestHead& aHead, std::string_view aBody)
 {
   Impl& connection = *this->impl;
   connection.bodyless = aHead.method == "HEAD";
@@ -143,7 +143,7 @@
 }
 
 Awaitable<Result<HttpResponseHead>>
-TargetChannel::ReadHead()
+TargetConnection::ReadHead()
 {
   Impl& connection = *this->impl;
   while (true) {
@@ -176,7 +176,7 @@
 }
 
 Awaitable<Result<std::optional<std::string_view>>>
-TargetChannel::ReadChunk()
+TargetConnection::ReadChunk()
 {
   Impl& connection = *this->impl;
   while (!connection.parser->is_done()) {
@@ -200,7 +200,7 @@
 }
 
 Awaitable<Result<std::string>>
-TargetChannel::ReadRest(std::size_t aMaxBytes, std::function<void()> aOnChunk)
+TargetConnection::ReadRest(std::size_t aMaxBytes, std::function<void()> aOnChunk)
 {
   std::string rest;
   while (true) {
@@ -225,7 +225,7 @@
 }
 
 bool
-TargetChannel::IsReusable() const
+TargetConnection::IsReusable() const
 {
   const Impl& connection = *this->impl;
   const bool complete = connection.parser && connection.parser->is_done() && !connection.sending;
@@ -233,7 +233,7 @@
 }
 
 bool
-TargetChannel::IsClean()
+TargetConnection::IsClean()
 {
   Impl& connection = *this->impl;
   if (!connection.socket.is_open() || connection.buffer.size() > 0) {
@@ -247,15 +247,15 @@
 }
 
 void
-TargetChannel::Close()
+TargetConnection::Close()
 {
   IoError ignored;
   this->impl->broken = true;
   this->impl->socket.close(ignored);
 }
 
-std::unique_ptr<TargetChannel>
-TargetChannelPool::TakeIdle(const Endpoint& aEndpoint)
+std::unique_ptr<TargetConnection>
+TargetConnectionPool::TakeIdle(const Endpoint& aEndpoint)
 {
   const auto found = this->idle.find(FormatEndpoint(aEndpoint));
   if (found == this->idle.end()) {
@@ -263,7 +263,7 @@
   }
   auto& connections = found->second;
   while (!connections.empty()) {
-    std::unique_ptr<TargetChannel> connection = std::move(connections.back());
+    std::unique_ptr<TargetConnection> connection = std::move(connections.back());
     connections.pop_back();
     if (this->clock.MonotonicNow() < connection->IdleUntil() && connection->IsClean()) {
       return connection;
@@ -273,7 +273,7 @@
 }
 
 void
-TargetChannelPool::Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetChannel> aConnection)
+TargetConnectionPool::Keep(const Endpoint& aEndpoint, std::unique_ptr<TargetConnection> aConnection)
 {
   if (!aConnection->IsReusable() || this->clock.MonotonicNow() >= aConnection->IdleUntil()) {
     return;
@@ -286,7 +286,7 @@
 }
 
 void
-TargetChannelPool::CloseExpired()
+TargetConnectionPool::CloseExpired()
 {
   const MonotonicTime now = this->clock.MonotonicNow();
   for (auto& [endpoint, connections] : this->idle) {
--- a/test/coordination/ControlLinksTest.cpp
+++ b/test/coordination/ControlHostSelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ControlLinks.h"
+#include "damasklink/coordination/ControlHostSelector.h"
 
 #include <algorithm>
 #include <set>
@@ -8,10 +8,10 @@
 namespace damasklink {
 namespace {
 
-class ControlLinksTest : public testing::Test
+class ControlHostSelectorTest : public testing::Test
 {
 protected:
-  ControlLinksTest()
+  ControlHostSelectorTest()
   {
     for (const std::string zone : { "a", "b", "c", "d" }) {
       for (const std::string number : { "1", "2" }) {
@@ -32,25 +32,25 @@
     return std::find(wanted.begin(), wanted.end(), HostId(aHost)) != wanted.end();
   }
 
-  ControlLinks links{ HostId("e"), ZoneId("b") };
+  ControlHostSelector links{ HostId("e"), ZoneId("b") };
   std::set<std::string> bad;
 };
 
-TEST_F(ControlLinksTest, PrefersOwnZoneAndOneHostOfAnother)
+TEST_F(ControlHostSelectorTest, PrefersOwnZoneAndOneHostOfAnother)
 {
-  EXPECT_EQ(this->Wanted().size(), ControlLinks::kHealthyLinks);
+  EXPECT_EQ(this->Wanted().size(), ControlHostSelector::kHealthyLinks);
   EXPECT_TRUE(this->Wants("b1"));
   EXPECT_TRUE(this->Wants("b2"));
 }
 
-TEST_F(ControlLinksTest, SelectsAnotherHostBesideAnUnhealthyOne)
+TEST_F(ControlHostSelectorTest, SelectsAnotherHostBesideAnUnhealthyOne)
 {
   this->bad = { "b1" };
-  EXPECT_EQ(this->Wanted().size(), ControlLinks::kHealthyLinks + 1);
+  EXPECT_EQ(this->Wanted().size(), ControlHostSelector::kHealthyLinks + 1);
   EXPECT_TRUE(this->Wants("b1")) << "it may come back";
 }
 
-TEST_F(ControlLinksTest, SelectsAllHostsWhenNoneIsHealthy)
+TEST_F(ControlHostSelectorTest, SelectsAllHostsWhenNoneIsHealthy)
 {
   for (const auto& [host, zone] : this->links.Known()) {
     this->bad.insert(host.Value());
@@ -58,11 +58,11 @@
   EXPECT_EQ(this->Wanted().size(), 8U);
 }
 
-TEST_F(ControlLinksTest, SpreadsEntryHostsOverOtherZones)
+TEST_F(ControlHostSelectorTest, SpreadsEntryHostsOverOtherZones)
 {
   std::set<HostId> others;
   for (int number = 0; number < 40; ++number) {
-    ControlLinks other(HostId("e" + std::to_string(number)), ZoneId("b"));
+    ControlHostSelector other(HostId("e" + std::to_string(number)), ZoneId("b"));
     for (const auto& [host, zone] : this->links.Known()) {
       other.AddHost(host, zone);
     }
@@ -71,7 +71,7 @@
   EXPECT_EQ(others.size(), 6U);
 }
 
-TEST_F(ControlLinksTest, EmptyZoneKeepsTheKnownOne)
+TEST_F(ControlHostSelectorTest, EmptyZoneKeepsTheKnownOne)
 {
   this->links.AddHost(HostId("b1"), ZoneId());
   EXPECT_EQ(this->links.Known().at(HostId("b1")), ZoneId("b"));
--- a/test/coordination/CrashWatchTest.cpp
+++ b/test/coordination/CrashFilterTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashWatch.h"
+#include "damasklink/coordination/CrashFilter.h"
 
 #include <gtest/gtest.h>
 
@@ -12,14 +12,14 @@
 const HostId kTwo("control-2");
 const CrashReport kReport{ kRequest, WorkspaceId("w"), kService, TargetId("t"), Incarnation(1) };
 
-class CrashWatchTest : public testing::Test
+class CrashFilterTest : public testing::Test
 {
 protected:
   ManualClock clock;
-  CrashWatch filter{ this->clock };
+  CrashFilter filter{ this->clock };
 };
 
-TEST_F(CrashWatchTest, IsInactiveWithoutCrashes)
+TEST_F(CrashFilterTest, IsInactiveWithoutCrashes)
 {
   this->filter.SetVerdicts(kOne, CrashingRequests{});
   EXPECT_FALSE(this->filter.IsActive());
@@ -29,20 +29,20 @@
   EXPECT_TRUE(this->filter.IsActive());
 }
 
-TEST_F(CrashWatchTest, SendsReportsOnceToEachControlHost)
+TEST_F(CrashFilterTest, SendsReportsOnceToEachControlHost)
 {
   this->filter.OnCrash(kReport);
   EXPECT_EQ(this->filter.TakeReports(), std::vector<CrashReport>{ kReport });
   EXPECT_TRUE(this->filter.TakeReports().empty());
   this->filter.ResendAll();
   EXPECT_EQ(this->filter.TakeReports(), std::vector<CrashReport>{ kReport });
-  this->clock.Advance(CrashWatch::kReportLifetime);
+  this->clock.Advance(CrashFilter::kReportLifetime);
   this->filter.ResendAll();
   EXPECT_TRUE(this->filter.TakeReports().empty());
   EXPECT_FALSE(this->filter.IsActive());
 }
 
-TEST_F(CrashWatchTest, SendsSuccessfulRunsOfReportedAndSuspectedRequests)
+TEST_F(CrashFilterTest, SendsSuccessfulRunsOfReportedAndSuspectedRequests)
 {
   this->filter.OnCrash(kReport);
   this->filter.OnSuccessfulRun(kSuccessfulRun);
@@ -54,7 +54,7 @@
   EXPECT_EQ(this->filter.TakeSuccessfulRuns(), std::vector<SuccessfulRun>{ suspected });
 }
 
-TEST_F(CrashWatchTest, OneControlHostIsEnoughToRefuse)
+TEST_F(CrashFilterTest, OneControlHostIsEnoughToRefuse)
 {
   this->filter.SetVerdicts(kOne, CrashingRequests{});
   this->filter.SetVerdicts(kTwo, CrashingRequests{ { kRequest }, {} });
@@ -63,7 +63,7 @@
   EXPECT_FALSE(this->filter.IsRefused(kRequest));
 }
 
-TEST_F(CrashWatchTest, LastVerdictsHoldWhileNoControlHostIsConnected)
+TEST_F(CrashFilterTest, LastVerdictsHoldWhileNoControlHostIsConnected)
 {
   this->filter.SetVerdicts(kOne, CrashingRequests{ { kRequest }, {} });
   this->filter.SetVerdicts(kTwo, CrashingRequests{ { kRequest }, {} });
@@ -74,12 +74,12 @@
   EXPECT_FALSE(this->filter.IsRefused(kRequest));
 }
 
-TEST_F(CrashWatchTest, ReportsAreBounded)
+TEST_F(CrashFilterTest, ReportsAreBounded)
 {
-  for (std::uint64_t index = 0; index < 2 * CrashWatch::kMaxReports; ++index) {
+  for (std::uint64_t index = 0; index < 2 * CrashFilter::kMaxReports; ++index) {
     this->filter.OnCrash(CrashReport{ RequestFingerprint(index), {}, {}, TargetId("t"), {} });
   }
-  EXPECT_EQ(this->filter.TakeReports().size(), CrashWatch::kMaxReports);
+  EXPECT_EQ(this->filter.TakeReports().size(), CrashFilter::kMaxReports);
 }
 
 } // namespace
--- a/test/coordination/CrashModelTest.cpp
+++ b/test/coordination/CrashModelTest.cpp
@@ -8,8 +8,8 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "damasklink/coordination/CrashLedger.h"
-#include "damasklink/coordination/CrashWatch.h"
+#include "damasklink/coordination/CrashFilter.h"
+#include "damasklink/coordination/CrashRegistry.h"
 
 namespace damasklink {
 namespace {
@@ -78,9 +78,9 @@
     {
     }
 
-    CrashWatch& Filter() { return *this->instance; }
+    CrashFilter& Filter() { return *this->instance; }
 
-    std::optional<CrashWatch> instance;
+    std::optional<CrashFilter> instance;
     std::size_t hub = 0;
     MonotonicTime downUntil;
     // Whether control hosts have sent it their verdicts since it started.
@@ -94,10 +94,10 @@
     {
     }
 
-    CrashLedger& Registry() { return *this->instance; }
+    CrashRegistry& Registry() { return *this->instance; }
 
     HostId host;
-    std::optional<CrashLedger> instance;
+    std::optional<CrashRegistry> instance;
     CrashingRequests sentVerdicts;
     MonotonicTime downUntil;
   };
@@ -196,7 +196,7 @@
     if (isInformed && this->thirdCrash && this->Now() > *this->thirdCrash + kDetectionTime) {
       ++this->repeatsAfterDetection;
     }
-    if (++this->crashes == static_cast<int>(CrashLedger::kCrashesToRefuse)) {
+    if (++this->crashes == static_cast<int>(CrashRegistry::kCrashesToRefuse)) {
       this->thirdCrash = this->Now();
     }
     this->Crash(target, &entry);
@@ -291,7 +291,7 @@
 
   void TakeReport(const Message& aMessage)
   {
-    CrashLedger& registry = this->controls[aMessage.to].Registry();
+    CrashRegistry& registry = this->controls[aMessage.to].Registry();
     registry.Add(aMessage.report.crashes);
     registry.AddSuccessfulRuns(aMessage.report.sound);
     for (std::size_t other = 0; aMessage.fromEntry && other < this->controls.size(); ++other) {
--- a/test/coordination/CrashLedgerTest.cpp
+++ b/test/coordination/CrashRegistryTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/CrashLedger.h"
+#include "damasklink/coordination/CrashRegistry.h"
 
 #include <gtest/gtest.h>
 
@@ -20,18 +20,18 @@
   };
 }
 
-class CrashLedgerTest : public testing::Test
+class CrashRegistryTest : public testing::Test
 {
 protected:
   bool IsRefused() const { return this->registry.Verdicts().refused.contains(kRequest); }
 
-  void PassSettleTime() { this->clock.Advance(CrashLedger::kSettleTime); }
+  void PassSettleTime() { this->clock.Advance(CrashRegistry::kSettleTime); }
 
   ManualClock clock;
-  CrashLedger registry{ this->clock };
+  CrashRegistry registry{ this->clock };
 };
 
-TEST_F(CrashLedgerTest, RefusesRequestAfterThreeCrashesAndTheSettleTime)
+TEST_F(CrashRegistryTest, RefusesRequestAfterThreeCrashesAndTheSettleTime)
 {
   this->registry.Add({ Crash("a"), Crash("b") });
   this->PassSettleTime();
@@ -45,7 +45,7 @@
   EXPECT_EQ(this->registry.ToRefuse()[0].facts.workspace, kWorkspace);
 }
 
-TEST_F(CrashLedgerTest, CrashReportedBySeveralHostsCountsOnce)
+TEST_F(CrashRegistryTest, CrashReportedBySeveralHostsCountsOnce)
 {
   this->registry.Add({ Crash("a"), Crash("a"), Crash("b") });
   this->registry.Add({ Crash("b"), Crash("a") });
@@ -53,14 +53,14 @@
   EXPECT_FALSE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, IncarnationsOfOneTargetCountSeparately)
+TEST_F(CrashRegistryTest, IncarnationsOfOneTargetCountSeparately)
 {
   this->registry.Add({ Crash("a", kRequest, 1), Crash("a", kRequest, 2), Crash("a", kRequest, 3) });
   this->PassSettleTime();
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, SuccessfulRunResetsTheCount)
+TEST_F(CrashRegistryTest, SuccessfulRunResetsTheCount)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
   this->registry.AddSuccessfulRuns({ kSuccessfulRun });
@@ -69,7 +69,7 @@
   EXPECT_FALSE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, SuccessfulRunAtAnotherServiceClearsNothing)
+TEST_F(CrashRegistryTest, SuccessfulRunAtAnotherServiceClearsNothing)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
   this->registry.AddSuccessfulRuns({ SuccessfulRun{ kRequest, ServiceName("another") } });
@@ -77,7 +77,7 @@
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, LaterCrashesDoNotDelayTheRefusal)
+TEST_F(CrashRegistryTest, LaterCrashesDoNotDelayTheRefusal)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
   this->PassSettleTime();
@@ -85,14 +85,14 @@
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, CommittedRefusalHoldsWithoutReports)
+TEST_F(CrashRegistryTest, CommittedRefusalHoldsWithoutReports)
 {
   this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
   EXPECT_TRUE(this->IsRefused());
   EXPECT_TRUE(this->registry.ToRelease().empty());
 }
 
-TEST_F(CrashLedgerTest, SuccessfulRunReleasesARefusedRequest)
+TEST_F(CrashRegistryTest, SuccessfulRunReleasesARefusedRequest)
 {
   this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
   this->registry.AddSuccessfulRuns({ kSuccessfulRun });
@@ -102,7 +102,7 @@
   EXPECT_TRUE(this->registry.ToRelease().empty());
 }
 
-TEST_F(CrashLedgerTest, ReleasedRequestMustCrashThreeTargetsAgain)
+TEST_F(CrashRegistryTest, ReleasedRequestMustCrashThreeTargetsAgain)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
   this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
@@ -112,29 +112,29 @@
   EXPECT_FALSE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, RefusalExpires)
+TEST_F(CrashRegistryTest, RefusalExpires)
 {
   this->registry.SetRefused({ { kRequest, RefusedRequest{ kWorkspace, this->clock.WallNow() } } });
-  this->clock.Advance(CrashLedger::kRefusalPeriod);
+  this->clock.Advance(CrashRegistry::kRefusalPeriod);
   EXPECT_EQ(this->registry.ToRelease().size(), 1U);
 }
 
-TEST_F(CrashLedgerTest, EvictsRequestsWithFewestCrashesFirst)
+TEST_F(CrashRegistryTest, EvictsRequestsWithFewestCrashesFirst)
 {
   this->registry.Add({ Crash("a"), Crash("b") });
-  for (std::uint64_t other = 0; other < 2 * CrashLedger::kMaxRequests; ++other) {
+  for (std::uint64_t other = 0; other < 2 * CrashRegistry::kMaxRequests; ++other) {
     this->registry.Add({ Crash("x", RequestFingerprint(1000 + other)) });
   }
-  EXPECT_EQ(this->registry.All().size(), CrashLedger::kMaxRequests + 1);
+  EXPECT_EQ(this->registry.All().size(), CrashRegistry::kMaxRequests + 1);
   this->registry.Add({ Crash("c") });
   this->PassSettleTime();
   EXPECT_TRUE(this->IsRefused());
 }
 
-TEST_F(CrashLedgerTest, ReportsOfAllRestoreAnotherControlHost)
+TEST_F(CrashRegistryTest, ReportsOfAllRestoreAnotherControlHost)
 {
   this->registry.Add({ Crash("a"), Crash("b"), Crash("c") });
-  CrashLedger other(this->clock);
+  CrashRegistry other(this->clock);
   other.Add(this->registry.All());
   this->PassSettleTime();
   EXPECT_EQ(other.Verdicts(), this->registry.Verdicts());
--- a/test/coordination/DocumentFetchTest.cpp
+++ b/test/coordination/DocumentFetcherTest.cpp
@@ -1,7 +1,7 @@
 // Tests that an entry host obtains the configuration while control hosts stop responding, are
 // partitioned, restart or are behind. The scenario: thousands of routes are added at once, more
 // follow before those have arrived, and calls saturate the link.
-#include "damasklink/coordination/DocumentFetch.h"
+#include "damasklink/coordination/DocumentFetcher.h"
 
 #include <algorithm>
 #include <random>
@@ -33,7 +33,7 @@
   return text;
 }
 
-class DocumentFetchTest : public ::testing::Test
+class DocumentFetcherTest : public ::testing::Test
 {
 protected:
   // Publishes a document of several chunks, which stands for the one of all control hosts.
@@ -68,19 +68,19 @@
 
   ManualClock clock;
   DocumentPublisher publisher;
-  DocumentFetch fetcher{ this->clock };
+  DocumentFetcher fetcher{ this->clock };
   std::string text;
   std::optional<FetchedDocument> fetched;
 };
 
-TEST_F(DocumentFetchTest, RequestsNothingBeforeAnnouncement)
+TEST_F(DocumentFetcherTest, RequestsNothingBeforeAnnouncement)
 {
   EXPECT_FALSE(this->fetcher.Next());
   this->Announce(kFirst, 0);
   EXPECT_FALSE(this->fetcher.Next());
 }
 
-TEST_F(DocumentFetchTest, FetchesAnnouncedVersionInChunksFromFirstAnnouncer)
+TEST_F(DocumentFetcherTest, FetchesAnnouncedVersionInChunksFromFirstAnnouncer)
 {
   this->Publish(7);
   this->Announce(kSecond, 7);
@@ -94,7 +94,7 @@
   EXPECT_FALSE(this->fetcher.Next());
 }
 
-TEST_F(DocumentFetchTest, DoesNotRequestLowerOrEqualVersions)
+TEST_F(DocumentFetcherTest, DoesNotRequestLowerOrEqualVersions)
 {
   this->fetcher.OnVersionInstalled(Revision(7));
   this->Announce(kFirst, 7);
@@ -102,7 +102,7 @@
   EXPECT_FALSE(this->fetcher.Next());
 }
 
-TEST_F(DocumentFetchTest, ResumesTransferAtAnotherSourceAfterTimeout)
+TEST_F(DocumentFetcherTest, ResumesTransferAtAnotherSourceAfterTimeout)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -121,7 +121,7 @@
     << "received bytes are not requested again";
 }
 
-TEST_F(DocumentFetchTest, PrefersSourceThatAnsweredOverSilentOne)
+TEST_F(DocumentFetcherTest, PrefersSourceThatAnsweredOverSilentOne)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -134,7 +134,7 @@
   EXPECT_EQ(this->fetcher.Next()->source, kSecond);
 }
 
-TEST_F(DocumentFetchTest, ReachesThirdSourceWithinASecondWhenTwoAreSilent)
+TEST_F(DocumentFetcherTest, ReachesThirdSourceWithinASecondWhenTwoAreSilent)
 {
   const HostId third("control-3");
   this->Publish(7);
@@ -152,7 +152,7 @@
   EXPECT_LE(this->clock.MonotonicNow() - started, milliseconds(1010));
 }
 
-TEST_F(DocumentFetchTest, AcceptsLateChunkFromSourceThatTimedOut)
+TEST_F(DocumentFetcherTest, AcceptsLateChunkFromSourceThatTimedOut)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -167,7 +167,7 @@
   EXPECT_FALSE(this->fetcher.Next()) << "a duplicate chunk does not count as an answer";
 }
 
-TEST_F(DocumentFetchTest, RetriesOnlySourceWithBackoff)
+TEST_F(DocumentFetcherTest, RetriesOnlySourceWithBackoff)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -182,7 +182,7 @@
   EXPECT_GT(this->CompleteTransfer(), 0);
 }
 
-TEST_F(DocumentFetchTest, CompletesStartedTransferBeforeNewerVersion)
+TEST_F(DocumentFetcherTest, CompletesStartedTransferBeforeNewerVersion)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -198,7 +198,7 @@
   EXPECT_EQ(this->fetcher.Next()->request.held, Revision(7));
 }
 
-TEST_F(DocumentFetchTest, AnnouncedAtReturnsTimeOfFirstAnnouncement)
+TEST_F(DocumentFetcherTest, AnnouncedAtReturnsTimeOfFirstAnnouncement)
 {
   const MonotonicTime started = this->clock.MonotonicNow();
   this->Announce(kFirst, 7);
@@ -211,7 +211,7 @@
   EXPECT_EQ(this->fetcher.AnnouncedAt(Revision(8)), started + milliseconds(30));
 }
 
-TEST_F(DocumentFetchTest, AbandonsTransferThatNoSourceCanContinue)
+TEST_F(DocumentFetcherTest, AbandonsTransferThatNoSourceCanContinue)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -226,7 +226,7 @@
   EXPECT_EQ(outgoing->request.transfer, TransferId());
 }
 
-TEST_F(DocumentFetchTest, RestartsTransferWhenSourceCannotContinueIt)
+TEST_F(DocumentFetcherTest, RestartsTransferWhenSourceCannotContinueIt)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -242,7 +242,7 @@
   EXPECT_EQ(UnpackText(document->packed, "", kMostBytes).value(), "packed by another program");
 }
 
-TEST_F(DocumentFetchTest, IgnoresUnrequestedChunkOfAnotherTransfer)
+TEST_F(DocumentFetcherTest, IgnoresUnrequestedChunkOfAnotherTransfer)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -255,7 +255,7 @@
   EXPECT_EQ(this->Unpacked(), this->text);
 }
 
-TEST_F(DocumentFetchTest, RejectsChunkThatExceedsItsTransfer)
+TEST_F(DocumentFetcherTest, RejectsChunkThatExceedsItsTransfer)
 {
   this->Announce(kFirst, 7);
   this->fetcher.Next();
@@ -267,7 +267,7 @@
   EXPECT_TRUE(this->fetcher.OnChunk(kFirst, DocumentChunk{ small, 0, "abc" }));
 }
 
-TEST_F(DocumentFetchTest, RequestsFullDocumentWhenDeltaCannotBeUnpacked)
+TEST_F(DocumentFetcherTest, RequestsFullDocumentWhenDeltaCannotBeUnpacked)
 {
   this->fetcher.OnVersionInstalled(Revision(6));
   this->publisher.Publish(Revision(6), RandomText(1000, 6));
@@ -281,7 +281,7 @@
   EXPECT_EQ(this->Unpacked(), this->text);
 }
 
-TEST_F(DocumentFetchTest, SkipsUnreadableVersionUntilTheNextOne)
+TEST_F(DocumentFetcherTest, SkipsUnreadableVersionUntilTheNextOne)
 {
   this->Publish(7);
   this->Announce(kFirst, 7);
@@ -292,7 +292,7 @@
   EXPECT_TRUE(this->fetcher.Next());
 }
 
-TEST_F(DocumentFetchTest, AdaptsChunkSizeToLinkSpeed)
+TEST_F(DocumentFetcherTest, AdaptsChunkSizeToLinkSpeed)
 {
   this->Publish(7, 1'000'000);
   this->Announce(kFirst, 7);
@@ -474,7 +474,7 @@
   ManualClock clock;
   std::mt19937 random;
   std::array<Host, kHosts> hosts;
-  DocumentFetch fetcher{ this->clock };
+  DocumentFetcher fetcher{ this->clock };
   std::vector<InFlightChunk> inFlight;
   MonotonicTime linkFreeAt;
   Revision newest;
@@ -484,7 +484,7 @@
   bool wentBack = false;
 };
 
-RC_GTEST_PROP(DocumentFetchProperty, ObtainsNewestVersionAfterFaultsAndNeverGoesBack, ())
+RC_GTEST_PROP(DocumentFetcherProperty, ObtainsNewestVersionAfterFaultsAndNeverGoesBack, ())
 {
   Deployment deployment(*rc::gen::arbitrary<std::uint32_t>());
   deployment.RunWithFaults(*rc::gen::inRange(1, 600));
--- a/test/coordination/ExchangePlanTest.cpp
+++ b/test/coordination/ExchangeRetryPolicyTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ExchangePlan.h"
+#include "damasklink/coordination/ExchangeRetryPolicy.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -14,10 +14,10 @@
   return ExchangeLimits{ aRepeatable, aMostTargets, kNow + std::chrono::seconds(2) };
 }
 
-class ExchangePlanTest : public ::testing::Test
+class ExchangeRetryPolicyTest : public ::testing::Test
 {
 protected:
-  ExchangeStep Send(ExchangePlan& aPlan, AttemptResult aResult)
+  ExchangeStep Send(ExchangeRetryPolicy& aPlan, AttemptResult aResult)
   {
     aPlan.Begin(AttemptId("a"), TargetId("t"));
     if (aResult != AttemptResult::Unreachable) {
@@ -29,78 +29,78 @@
   RetryBudget budget{ 0, 100 };
 };
 
-TEST_F(ExchangePlanTest, BrokenNonRepeatableCallFails)
+TEST_F(ExchangeRetryPolicyTest, BrokenNonRepeatableCallFails)
 {
-  ExchangePlan plan(MakeLimits(false, 3));
+  ExchangeRetryPolicy plan(MakeLimits(false, 3));
   EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::Fail);
 }
 
-TEST_F(ExchangePlanTest, BrokenRepeatableCallIsRetried)
+TEST_F(ExchangeRetryPolicyTest, BrokenRepeatableCallIsRetried)
 {
-  ExchangePlan plan(MakeLimits(true, 2));
+  ExchangeRetryPolicy plan(MakeLimits(true, 2));
   EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::TryAnother);
   EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::Fail);
 }
 
-TEST_F(ExchangePlanTest, RefusedNonRepeatableCallIsRetried)
+TEST_F(ExchangeRetryPolicyTest, RefusedNonRepeatableCallIsRetried)
 {
-  ExchangePlan plan(MakeLimits(false, 2));
+  ExchangeRetryPolicy plan(MakeLimits(false, 2));
   EXPECT_EQ(this->Send(plan, AttemptResult::Refused), ExchangeStep::TryAnother);
   EXPECT_EQ(this->Send(plan, AttemptResult::Refused), ExchangeStep::Refuse);
 }
 
-TEST_F(ExchangePlanTest, CallThatMayHaveRunIsNeverRefused)
+TEST_F(ExchangeRetryPolicyTest, CallThatMayHaveRunIsNeverRefused)
 {
-  ExchangePlan plan(MakeLimits(true, 2));
+  ExchangeRetryPolicy plan(MakeLimits(true, 2));
   EXPECT_EQ(this->Send(plan, AttemptResult::Broken), ExchangeStep::TryAnother);
   EXPECT_EQ(this->Send(plan, AttemptResult::Refused), ExchangeStep::Fail);
 }
 
-TEST_F(ExchangePlanTest, UnreachableTargetsTakeNothingFromTheBudget)
+TEST_F(ExchangeRetryPolicyTest, UnreachableTargetsTakeNothingFromTheBudget)
 {
   this->budget = RetryBudget(0, 0);
-  ExchangePlan plan(MakeLimits(false, 1));
+  ExchangeRetryPolicy plan(MakeLimits(false, 1));
   EXPECT_EQ(this->Send(plan, AttemptResult::Unreachable), ExchangeStep::TryAnother);
   EXPECT_EQ(this->Send(plan, AttemptResult::Delivered), ExchangeStep::Done);
 }
 
-TEST_F(ExchangePlanTest, UnreachableTargetsAreLimited)
+TEST_F(ExchangeRetryPolicyTest, UnreachableTargetsAreLimited)
 {
-  ExchangePlan plan(MakeLimits(false, 1));
-  for (std::uint64_t tried = 1; tried < ExchangePlan::kMaxUnreachable; ++tried) {
+  ExchangeRetryPolicy plan(MakeLimits(false, 1));
+  for (std::uint64_t tried = 1; tried < ExchangeRetryPolicy::kMaxUnreachable; ++tried) {
     EXPECT_EQ(this->Send(plan, AttemptResult::Unreachable), ExchangeStep::TryAnother);
   }
   EXPECT_EQ(this->Send(plan, AttemptResult::Unreachable), ExchangeStep::Refuse);
 }
 
-TEST_F(ExchangePlanTest, EmptyBudgetEndsTheCall)
+TEST_F(ExchangeRetryPolicyTest, EmptyBudgetEndsTheCall)
 {
   this->budget = RetryBudget(0, 0);
-  ExchangePlan plan(MakeLimits(true, 3));
+  ExchangeRetryPolicy plan(MakeLimits(true, 3));
   EXPECT_EQ(this->Send(plan, AttemptResult::Failed), ExchangeStep::PassOn);
 }
 
-TEST_F(ExchangePlanTest, ExpiredCallIsNotRetried)
+TEST_F(ExchangeRetryPolicyTest, ExpiredCallIsNotRetried)
 {
-  ExchangePlan sent(MakeLimits(true, 3));
+  ExchangeRetryPolicy sent(MakeLimits(true, 3));
   EXPECT_EQ(this->Send(sent, AttemptResult::Expired), ExchangeStep::Expire);
-  ExchangePlan unsent(MakeLimits(true, 3));
+  ExchangeRetryPolicy unsent(MakeLimits(true, 3));
   unsent.Begin(AttemptId("a"), TargetId("t"));
   EXPECT_EQ(unsent.After(AttemptResult::Expired, kNow, this->budget), ExchangeStep::Refuse);
 }
 
-TEST_F(ExchangePlanTest, PartlyDeliveredAnswerIsCutOff)
+TEST_F(ExchangeRetryPolicyTest, PartlyDeliveredAnswerIsCutOff)
 {
-  ExchangePlan plan(MakeLimits(false, 3));
+  ExchangeRetryPolicy plan(MakeLimits(false, 3));
   plan.Begin(AttemptId("a"), TargetId("t"));
   plan.Sending();
   plan.MarkPassedOn();
   EXPECT_EQ(plan.After(AttemptResult::Broken, kNow, this->budget), ExchangeStep::CutOff);
 }
 
-TEST_F(ExchangePlanTest, TooLittleTimeLeftEndsTheCall)
+TEST_F(ExchangeRetryPolicyTest, TooLittleTimeLeftEndsTheCall)
 {
-  ExchangePlan plan(MakeLimits(true, 3));
+  ExchangeRetryPolicy plan(MakeLimits(true, 3));
   plan.Begin(AttemptId("a"), TargetId("t"));
   plan.Sending();
   const MonotonicTime late = plan.Limits().endsAt - std::chrono::milliseconds(10);
@@ -110,12 +110,12 @@
 // For any sequence of results: a call that is not repeatable is sent again only after targets
 // stated that they did not run it, no call is sent to more targets than its route allows, and it is
 // refused as "not run" only when that is true.
-RC_GTEST_PROP(ExchangePlanProperties, NonRepeatableCallsRunAtMostOnceAndRefusalsAreTrue, ())
+RC_GTEST_PROP(ExchangeRetryPolicyProperties, NonRepeatableCallsRunAtMostOnceAndRefusalsAreTrue, ())
 {
   const bool repeatable = *rc::gen::arbitrary<bool>();
   const auto most = *rc::gen::inRange<std::uint64_t>(1, 4);
   RetryBudget budget(0, *rc::gen::inRange(0, 4));
-  ExchangePlan plan(MakeLimits(repeatable, most));
+  ExchangeRetryPolicy plan(MakeLimits(repeatable, most));
   bool mayHaveRun = false;
   std::uint64_t sends = 0;
   ExchangeStep step = ExchangeStep::TryAnother;
--- a/test/coordination/HubChoiceTest.cpp
+++ b/test/coordination/HubSelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/HubChoice.h"
+#include "damasklink/coordination/HubSelector.h"
 
 #include <gtest/gtest.h>
 
@@ -9,20 +9,20 @@
 const HubCandidate kNear{ HostId("near"), kOwnZone, true };
 const HubCandidate kFar{ HostId("far"), ZoneId("z2"), true };
 
-class HubChoiceTest : public ::testing::Test
+class HubSelectorTest : public ::testing::Test
 {
 protected:
   ManualClock clock;
-  HubChoice choice{ this->clock, kOwnZone };
+  HubSelector choice{ this->clock, kOwnZone };
 };
 
-TEST_F(HubChoiceTest, PrefersControlHostOfOwnZone)
+TEST_F(HubSelectorTest, PrefersControlHostOfOwnZone)
 {
   EXPECT_EQ(this->choice.Choose({}), std::nullopt);
   EXPECT_EQ(this->choice.Choose({ kFar, kNear }), kNear.host);
 }
 
-TEST_F(HubChoiceTest, PrefersControlHostThatHearsALeader)
+TEST_F(HubSelectorTest, PrefersControlHostThatHearsALeader)
 {
   HubCandidate isolated = kNear;
   isolated.hearsLeader = false;
@@ -32,14 +32,14 @@
 // While a control host is suspended for seven seconds, its entry hosts must learn of each other's
 // long prompts through another control host after half a second, and must not return to it until it
 // sends again.
-TEST_F(HubChoiceTest, AvoidsUnresponsiveHubUntilItSendsAgain)
+TEST_F(HubSelectorTest, AvoidsUnresponsiveHubUntilItSendsAgain)
 {
   this->choice.Choose({ kNear, kFar });
   this->choice.OnReportSent();
-  this->clock.Advance(HubChoice::kReplyTimeout / 2);
+  this->clock.Advance(HubSelector::kReplyTimeout / 2);
   this->choice.OnReportSent();
   EXPECT_EQ(this->choice.Choose({ kNear, kFar }), kNear.host);
-  this->clock.Advance(HubChoice::kReplyTimeout / 2);
+  this->clock.Advance(HubSelector::kReplyTimeout / 2);
   EXPECT_EQ(this->choice.Choose({ kNear, kFar }), kFar.host);
   this->choice.OnReportSent();
   this->choice.OnMessageFrom(kFar.host);
@@ -49,22 +49,22 @@
   EXPECT_EQ(this->choice.Choose({ kNear, kFar }), kNear.host);
 }
 
-TEST_F(HubChoiceTest, KeepsHubThatWasSentNoReport)
+TEST_F(HubSelectorTest, KeepsHubThatWasSentNoReport)
 {
   this->choice.Choose({ kNear, kFar });
   this->clock.Advance(std::chrono::minutes(1));
   EXPECT_EQ(this->choice.Choose({ kNear, kFar }), kNear.host);
 }
 
-TEST_F(HubChoiceTest, KeepsUnresponsiveHubWhenThereIsNoOther)
+TEST_F(HubSelectorTest, KeepsUnresponsiveHubWhenThereIsNoOther)
 {
   this->choice.Choose({ kNear });
   this->choice.OnReportSent();
-  this->clock.Advance(HubChoice::kReplyTimeout);
+  this->clock.Advance(HubSelector::kReplyTimeout);
   EXPECT_EQ(this->choice.Choose({ kNear }), kNear.host);
 }
 
-TEST_F(HubChoiceTest, SelectsHubAgainAfterReconnect)
+TEST_F(HubSelectorTest, SelectsHubAgainAfterReconnect)
 {
   this->choice.Choose({ kNear });
   this->choice.OnLost(kNear.host);
--- a/test/coordination/BrokenRunsTest.cpp
+++ b/test/coordination/InterruptedRequestsTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/BrokenRuns.h"
+#include "damasklink/coordination/InterruptedRequests.h"
 
 #include <gtest/gtest.h>
 
@@ -29,14 +29,14 @@
                       Incarnation(aIncarnation) };
 }
 
-class BrokenRunsTest : public testing::Test
+class InterruptedRequestsTest : public testing::Test
 {
 protected:
   ManualClock clock;
-  BrokenRuns requests{ this->clock };
+  InterruptedRequests requests{ this->clock };
 };
 
-TEST_F(BrokenRunsTest, RestartUnderTheSameIdConfirmsTheCrash)
+TEST_F(InterruptedRequestsTest, RestartUnderTheSameIdConfirmsTheCrash)
 {
   this->requests.Add(Report(1), kAddress);
   EXPECT_TRUE(this->requests.TakeConfirmedByStart(Target("t", 1)).empty());
@@ -45,7 +45,7 @@
   EXPECT_TRUE(this->requests.IsEmpty());
 }
 
-TEST_F(BrokenRunsTest, AnotherIdAtTheSameAddressConfirmsTheCrash)
+TEST_F(InterruptedRequestsTest, AnotherIdAtTheSameAddressConfirmsTheCrash)
 {
   this->requests.Add(Report(1), kAddress);
   EXPECT_TRUE(
@@ -54,25 +54,25 @@
             std::vector<CrashReport>{ Report(1) });
 }
 
-TEST_F(BrokenRunsTest, LateStartConfirmsNothing)
+TEST_F(InterruptedRequestsTest, LateStartConfirmsNothing)
 {
   this->requests.Add(Report(1), kAddress);
-  this->clock.Advance(BrokenRuns::kRestartWindow + milliseconds(1));
+  this->clock.Advance(InterruptedRequests::kRestartWindow + milliseconds(1));
   EXPECT_TRUE(this->requests.TakeConfirmedByStart(Target("t", 2)).empty());
 }
 
-TEST_F(BrokenRunsTest, SilenceConfirmsTheCrash)
+TEST_F(InterruptedRequestsTest, SilenceConfirmsTheCrash)
 {
   this->requests.Add(Report(1), kAddress);
   this->requests.Add(Report(2, "u"), kAddress);
-  this->clock.Advance(BrokenRuns::kSilenceWindow);
+  this->clock.Advance(InterruptedRequests::kSilenceWindow);
   EXPECT_EQ(this->requests.TakeConfirmedBySilence(Target("t", 1)),
             std::vector<CrashReport>{ Report(1) });
   EXPECT_FALSE(this->requests.IsEmpty());
 }
 
 // A target may break or garble a single answer and keep running.
-TEST_F(BrokenRunsTest, AnswerToALaterRequestClearsTheTarget)
+TEST_F(InterruptedRequestsTest, AnswerToALaterRequestClearsTheTarget)
 {
   this->requests.Add(Report(1), kAddress);
   this->clock.Advance(milliseconds(1));
@@ -80,7 +80,7 @@
   EXPECT_TRUE(this->requests.TakeConfirmedBySilence(Target("t", 1)).empty());
 }
 
-TEST_F(BrokenRunsTest, AnswerToAnEarlierRequestClearsNothing)
+TEST_F(InterruptedRequestsTest, AnswerToAnEarlierRequestClearsNothing)
 {
   const MonotonicTime before = this->clock.MonotonicNow();
   this->clock.Advance(milliseconds(1));
@@ -89,13 +89,13 @@
   EXPECT_EQ(this->requests.TakeConfirmedBySilence(Target("t", 1)).size(), 1U);
 }
 
-TEST_F(BrokenRunsTest, KeepsNoMoreThanTheMaximum)
+TEST_F(InterruptedRequestsTest, KeepsNoMoreThanTheMaximum)
 {
-  for (std::uint64_t request = 0; request <= BrokenRuns::kMaxInterrupted; ++request) {
+  for (std::uint64_t request = 0; request <= InterruptedRequests::kMaxInterrupted; ++request) {
     this->requests.Add(Report(request), kAddress);
   }
   EXPECT_EQ(this->requests.TakeConfirmedBySilence(Target("t", 1)).size(),
-            BrokenRuns::kMaxInterrupted);
+            InterruptedRequests::kMaxInterrupted);
 }
 
 } // namespace
--- a/test/coordination/SendsHubTest.cpp
+++ b/test/coordination/LoadReportAggregatorTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/SendsHub.h"
+#include "damasklink/coordination/LoadReportAggregator.h"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
   return InFlightLoad{ TargetId(aTarget), aRequests, TokenCount(aRequests * 10), TokenCount(), {} };
 }
 
-class SendsHubTest : public testing::Test
+class LoadReportAggregatorTest : public testing::Test
 {
 protected:
   void Update(const std::string& aHost, std::vector<InFlightLoad> aLoads)
@@ -23,10 +23,10 @@
   }
 
   ManualClock clock;
-  SendsHub aggregator;
+  LoadReportAggregator aggregator;
 };
 
-TEST_F(SendsHubTest, AddsUpTheLoadOfHosts)
+TEST_F(LoadReportAggregatorTest, AddsUpTheLoadOfHosts)
 {
   this->Update("x", { Load("a", 2) });
   this->Update("y", { Load("a", 3), Load("b", 1) });
@@ -35,7 +35,7 @@
   EXPECT_EQ(report.sends, (std::vector<InFlightLoad>{ Load("a", 5), Load("b", 1) }));
 }
 
-TEST_F(SendsHubTest, TakeChangesReturnsOnlyChangedTargets)
+TEST_F(LoadReportAggregatorTest, TakeChangesReturnsOnlyChangedTargets)
 {
   this->Update("x", { Load("a", 2), Load("b", 1) });
   this->aggregator.TakeChanges(kSelf);
@@ -44,14 +44,14 @@
   EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Load("b", 4) });
 }
 
-TEST_F(SendsHubTest, LaterUpdateOfAHostReplacesEarlierOnes)
+TEST_F(LoadReportAggregatorTest, LaterUpdateOfAHostReplacesEarlierOnes)
 {
   this->Update("x", { Load("a", 2) });
   this->Update("x", { Load("a", 1) });
   EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Load("a", 1) });
 }
 
-TEST_F(SendsHubTest, RemovingAHostSubtractsItsLoad)
+TEST_F(LoadReportAggregatorTest, RemovingAHostSubtractsItsLoad)
 {
   this->Update("x", { Load("a", 2) });
   this->Update("y", { Load("a", 3) });
@@ -61,7 +61,7 @@
   EXPECT_EQ(this->aggregator.Publishers(), std::set<HostId>{ HostId("y") });
 }
 
-TEST_F(SendsHubTest, LastUpdateOfAHostRemovesIt)
+TEST_F(LoadReportAggregatorTest, LastUpdateOfAHostRemovesIt)
 {
   this->Update("x", { Load("a", 2) });
   this->aggregator.Update(LoadReport{ HostId("x"), {}, {}, {}, true }, this->clock.MonotonicNow());
@@ -69,7 +69,7 @@
   EXPECT_EQ(this->aggregator.TakeChanges(kSelf).sends, std::vector<InFlightLoad>{ Load("a", 0) });
 }
 
-TEST_F(SendsHubTest, AddsUpStoreExcessesOnce)
+TEST_F(LoadReportAggregatorTest, AddsUpStoreExcessesOnce)
 {
   this->aggregator.Update(
     LoadReport{ HostId("x"), {}, { StoreFetchDelay{ "s", 2, 10 } }, {}, false },
@@ -82,7 +82,7 @@
   EXPECT_TRUE(this->aggregator.TakeChanges(kSelf).excesses.empty());
 }
 
-TEST_F(SendsHubTest, ReturnsPartsOfAllHostsOnce)
+TEST_F(LoadReportAggregatorTest, ReturnsPartsOfAllHostsOnce)
 {
   InFlightLoad first = Load("a", 1);
   first.parts = { SizedPart{ PartKey(1), TokenCount(800) } };
@@ -97,7 +97,7 @@
   EXPECT_TRUE(this->aggregator.TakeChanges(kSelf).sends.front().parts.empty());
 }
 
-TEST_F(SendsHubTest, TotalsIncludeOtherControlHosts)
+TEST_F(LoadReportAggregatorTest, TotalsIncludeOtherControlHosts)
 {
   this->Update("x", { Load("a", 2) });
   this->aggregator.UpdatePeerSum(
@@ -110,7 +110,7 @@
   EXPECT_TRUE(this->aggregator.TakeTotals(kSelf).sends.empty());
 }
 
-TEST_F(SendsHubTest, RemovingASilentControlHostSubtractsItsLoad)
+TEST_F(LoadReportAggregatorTest, RemovingASilentControlHostSubtractsItsLoad)
 {
   this->Update("x", { Load("a", 2) });
   this->aggregator.UpdatePeerSum(LoadReport{ HostId("north"), { Load("a", 5) }, {}, {}, false },
@@ -121,7 +121,7 @@
   EXPECT_EQ(this->aggregator.TakeTotals(kSelf).sends, std::vector<InFlightLoad>{ Load("a", 2) });
 }
 
-TEST_F(SendsHubTest, AllTotalsContainEveryTargetInUse)
+TEST_F(LoadReportAggregatorTest, AllTotalsContainEveryTargetInUse)
 {
   this->Update("x", { Load("a", 2) });
   this->aggregator.UpdatePeerSum(LoadReport{ HostId("north"), { Load("b", 1) }, {}, {}, false },
@@ -131,7 +131,7 @@
             (std::vector<InFlightLoad>{ Load("a", 2), Load("b", 1) }));
 }
 
-TEST_F(SendsHubTest, ReturnsFindingsOfAllHostsOnce)
+TEST_F(LoadReportAggregatorTest, ReturnsFindingsOfAllHostsOnce)
 {
   this->aggregator.Update(
     LoadReport{ HostId("x"), {}, {}, { TargetReachabilityReport{ TargetId("a"), 1, 0 } }, false },
@@ -149,13 +149,13 @@
 // 195 entry hosts in five zones with one control host each, and 98 targets. Each entry host reports
 // changes at some targets. The totals that an entry host gets contain each target once, whatever
 // the number of hosts.
-TEST(SendsHubLoadTest, TotalsDoNotGrowWithTheNumberOfHosts)
+TEST(LoadReportAggregatorLoadTest, TotalsDoNotGrowWithTheNumberOfHosts)
 {
   constexpr int kTargets = 98;
   constexpr int kControlHosts = 5;
   const auto sizeOfTotals = [](int aEntryHosts) {
     ManualClock clock;
-    std::vector<SendsHub> controlHosts(kControlHosts);
+    std::vector<LoadReportAggregator> controlHosts(kControlHosts);
     for (int host = 0; host < aEntryHosts; ++host) {
       LoadReport report;
       report.host = HostId("entry-" + std::to_string(host));
--- a/test/coordination/HomeRegionsTest.cpp
+++ b/test/coordination/RegionRestrictionTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/HomeRegions.h"
+#include "damasklink/coordination/RegionRestriction.h"
 
 #include <gtest/gtest.h>
 
@@ -11,18 +11,18 @@
                             { ZoneId("n2"), kNorth },
                             { ZoneId("s1"), kSouth } };
 
-TEST(HomeRegionsTest, EmptyListsRestrictNothing)
+TEST(RegionRestrictionTest, EmptyListsRestrictNothing)
 {
-  const HomeRegions homes({}, {}, kRegions);
+  const RegionRestriction homes({}, {}, kRegions);
   EXPECT_FALSE(homes.IsRestricted());
   EXPECT_TRUE(homes.Allows(ZoneId("elsewhere")));
   EXPECT_TRUE(homes.Text().empty());
 }
 
-TEST(HomeRegionsTest, RouteOrWorkspaceAloneRestricts)
+TEST(RegionRestrictionTest, RouteOrWorkspaceAloneRestricts)
 {
-  for (const HomeRegions& homes :
-       { HomeRegions({ kNorth }, {}, kRegions), HomeRegions({}, { kNorth }, kRegions) }) {
+  for (const RegionRestriction& homes : { RegionRestriction({ kNorth }, {}, kRegions),
+                                          RegionRestriction({}, { kNorth }, kRegions) }) {
     EXPECT_TRUE(homes.Allows(ZoneId("n2")));
     EXPECT_FALSE(homes.Allows(ZoneId("s1")));
     EXPECT_FALSE(homes.Allows(ZoneId("elsewhere")));
@@ -30,17 +30,17 @@
   }
 }
 
-TEST(HomeRegionsTest, AllowsOnlyRegionsInBothLists)
+TEST(RegionRestrictionTest, AllowsOnlyRegionsInBothLists)
 {
-  const HomeRegions homes({ kSouth, kNorth }, { kSouth }, kRegions);
+  const RegionRestriction homes({ kSouth, kNorth }, { kSouth }, kRegions);
   EXPECT_TRUE(homes.Allows(ZoneId("s1")));
   EXPECT_FALSE(homes.Allows(ZoneId("n1")));
 }
 
-TEST(HomeRegionsTest, AllowsNoZoneWithoutCommonRegion)
+TEST(RegionRestrictionTest, AllowsNoZoneWithoutCommonRegion)
 {
-  EXPECT_TRUE(HomeRegions({ kSouth }, { kNorth }, kRegions).AllowsNoZone());
-  EXPECT_FALSE(HomeRegions({ kSouth }, {}, kRegions).AllowsNoZone());
+  EXPECT_TRUE(RegionRestriction({ kSouth }, { kNorth }, kRegions).AllowsNoZone());
+  EXPECT_FALSE(RegionRestriction({ kSouth }, {}, kRegions).AllowsNoZone());
 }
 
 } // namespace
--- a/test/coordination/ReturnQueueTest.cpp
+++ b/test/coordination/RetrySchedulerTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/ReturnQueue.h"
+#include "damasklink/coordination/RetryScheduler.h"
 
 #include <algorithm>
 #include <functional>
@@ -10,7 +10,7 @@
 namespace {
 
 // Simulates targets of a fixed rate behind one host. Refused callers retry once.
-class ReturnQueueTest : public ::testing::Test
+class RetrySchedulerTest : public ::testing::Test
 {
 protected:
   static constexpr Duration kStep = std::chrono::milliseconds(10);
@@ -54,42 +54,42 @@
   }
 
   ManualClock clock;
-  ReturnQueue scheduler{ this->clock, 1 };
+  RetryScheduler scheduler{ this->clock, 1 };
 };
 
 // After an outage of all hosts the calls of two seconds arrive within 0.8 s, followed by the usual
 // load of 80 % of what the targets can take. With equal delays the refused callers return together
 // and are refused again.
-TEST_F(ReturnQueueTest, SpreadsRetriesAfterOutage)
+TEST_F(RetrySchedulerTest, SpreadsRetriesAfterOutage)
 {
   const auto surge = [](Duration aNow) {
     return aNow < std::chrono::milliseconds(800) ? 0.25 : 0.08;
   };
   constexpr Duration kTime = std::chrono::seconds(6);
   const int withEqualDelays =
-    this->CountRefusedTwice(surge, kTime, 0.1, [] { return ReturnQueue::kMinRetryDelay; });
+    this->CountRefusedTwice(surge, kTime, 0.1, [] { return RetryScheduler::kMinRetryDelay; });
   const int withScheduler =
     this->CountRefusedTwice(surge, kTime, 0.1, [this] { return this->scheduler.NextRetryDelay(); });
   EXPECT_GT(withEqualDelays, 4);
   EXPECT_LE(withScheduler * 2, withEqualDelays);
 }
 
-TEST_F(ReturnQueueTest, SingleRefusedCallerGetsMinDelay)
+TEST_F(RetrySchedulerTest, SingleRefusedCallerGetsMinDelay)
 {
   for (int call = 0; call < 20; ++call) {
     this->scheduler.OnAdmitted();
   }
-  EXPECT_EQ(this->scheduler.NextRetryDelay(), ReturnQueue::kMinRetryDelay);
+  EXPECT_EQ(this->scheduler.NextRetryDelay(), RetryScheduler::kMinRetryDelay);
   this->clock.Advance(std::chrono::seconds(2));
-  EXPECT_EQ(this->scheduler.NextRetryDelay(), ReturnQueue::kMinRetryDelay);
+  EXPECT_EQ(this->scheduler.NextRetryDelay(), RetryScheduler::kMinRetryDelay);
 }
 
-TEST_F(ReturnQueueTest, DelayStaysWithinBounds)
+TEST_F(RetrySchedulerTest, DelayStaysWithinBounds)
 {
   for (int caller = 0; caller < 1'000; ++caller) {
     const Duration after = this->scheduler.NextRetryDelay();
-    EXPECT_GE(after, ReturnQueue::kMinRetryDelay);
-    EXPECT_LE(after, ReturnQueue::kMaxRetryDelay);
+    EXPECT_GE(after, RetryScheduler::kMinRetryDelay);
+    EXPECT_LE(after, RetryScheduler::kMaxRetryDelay);
   }
 }
 
--- a/test/coordination/StorePaceTest.cpp
+++ b/test/coordination/SlowStoreDetectorTest.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/StorePace.h"
+#include "damasklink/coordination/SlowStoreDetector.h"
 
 #include <gtest/gtest.h>
 
 namespace damasklink {
 namespace {
 
-class StorePaceTest : public ::testing::Test
+class SlowStoreDetectorTest : public ::testing::Test
 {
 protected:
   void Observe(const std::string& aStore, double aDelay, int aTimes)
@@ -15,10 +15,10 @@
     }
   }
 
-  StorePace detector{ 1 };
+  SlowStoreDetector detector{ 1 };
 };
 
-TEST_F(StorePaceTest, DetectsStoreMuchSlowerThanOthers)
+TEST_F(SlowStoreDetectorTest, DetectsStoreMuchSlowerThanOthers)
 {
   this->Observe("a", 30, 10);
   this->Observe("b", 30, 10);
@@ -28,7 +28,7 @@
   EXPECT_FALSE(this->detector.IsSlow("a"));
 }
 
-TEST_F(StorePaceTest, ReportsNoStoreWhenAllAreSlow)
+TEST_F(SlowStoreDetectorTest, ReportsNoStoreWhenAllAreSlow)
 {
   this->Observe("a", 1500, 10);
   this->Observe("b", 1800, 10);
@@ -36,14 +36,14 @@
   EXPECT_FALSE(this->detector.IsSlow("b"));
 }
 
-TEST_F(StorePaceTest, ComparesOnlyStoreWithPromptsWithoutFetch)
+TEST_F(SlowStoreDetectorTest, ComparesOnlyStoreWithPromptsWithoutFetch)
 {
   this->Observe("", 20, 10);
   this->Observe("a", 700, 10);
   EXPECT_TRUE(this->detector.IsSlow("a"));
 }
 
-TEST_F(StorePaceTest, ProbesSlowStoreAndRecovers)
+TEST_F(SlowStoreDetectorTest, ProbesSlowStoreAndRecovers)
 {
   this->Observe("a", 30, 10);
   this->Observe("b", 900, 10);
@@ -57,7 +57,7 @@
   EXPECT_FALSE(this->detector.IsSlow("b"));
 }
 
-TEST_F(StorePaceTest, IgnoresSingleOutlier)
+TEST_F(SlowStoreDetectorTest, IgnoresSingleOutlier)
 {
   this->Observe("a", 30, 10);
   this->Observe("b", 5000, 1);
@@ -67,7 +67,7 @@
 // A part of 12,800 tokens is fetched in about 130 ms and prefilled in 340 ms, during which the
 // engine prefills no other prompt. So a store that is 250 ms slower than the others is still the
 // better source for it, but not for a part that is prefilled in 8 ms.
-TEST_F(StorePaceTest, ToleratesSlowerStoreForLongParts)
+TEST_F(SlowStoreDetectorTest, ToleratesSlowerStoreForLongParts)
 {
   for (int time = 0; time < 20; ++time) {
     this->detector.Observe("slow", 300);
--- a/test/coordination/SettledWeightsTest.cpp
+++ b/test/coordination/StableWeightVersionsTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/SettledWeights.h"
+#include "damasklink/coordination/StableWeightVersions.h"
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
   return record;
 }
 
-class SettledWeightsTest : public ::testing::Test
+class StableWeightVersionsTest : public ::testing::Test
 {
 protected:
   std::uint64_t MinimumVersion() const
@@ -27,10 +27,10 @@
   }
 
   ManualClock clock;
-  SettledWeights settled{ this->clock, kSettlingTime };
+  StableWeightVersions settled{ this->clock, kSettlingTime };
 };
 
-TEST_F(SettledWeightsTest, ReportsLowestVersionAfterSettlingTime)
+TEST_F(StableWeightVersionsTest, ReportsLowestVersionAfterSettlingTime)
 {
   this->settled.Update({ Engine(2), Engine(3) });
   EXPECT_EQ(this->MinimumVersion(), 0U);
@@ -39,7 +39,7 @@
   EXPECT_EQ(this->MinimumVersion(), 2U);
 }
 
-TEST_F(SettledWeightsTest, UpgradeOfLastEngineRestartsSettlingTime)
+TEST_F(StableWeightVersionsTest, UpgradeOfLastEngineRestartsSettlingTime)
 {
   this->settled.Update({ Engine(1), Engine(2) });
   this->clock.Advance(kSettlingTime);
@@ -49,7 +49,7 @@
   EXPECT_EQ(this->MinimumVersion(), 2U);
 }
 
-TEST_F(SettledWeightsTest, EngineWithOlderWeightsRestartsSettlingTime)
+TEST_F(StableWeightVersionsTest, EngineWithOlderWeightsRestartsSettlingTime)
 {
   this->settled.Update({ Engine(2) });
   this->clock.Advance(kSettlingTime);
--- a/test/coordination/StartupWaitTest.cpp
+++ b/test/coordination/StartupWaitLimiterTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StartupWait.h"
+#include "damasklink/coordination/StartupWaitLimiter.h"
 
 #include <deque>
 
@@ -10,18 +10,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(StartupWaitTest, WaitIsBoundedShareOfCallerPatience)
+TEST(StartupWaitLimiterTest, WaitIsBoundedShareOfCallerPatience)
 {
-  StartupWait wait;
+  StartupWaitLimiter wait;
   EXPECT_EQ(wait.Begin(milliseconds(400), 1), milliseconds(100));
-  EXPECT_EQ(wait.Begin(seconds(12), 1), StartupWait::kLongestWait);
+  EXPECT_EQ(wait.Begin(seconds(12), 1), StartupWaitLimiter::kLongestWait);
   EXPECT_EQ(wait.Begin(Duration::zero(), 1), Duration::zero());
 }
 
-TEST(StartupWaitTest, RefusesCallsBeyondCountLimit)
+TEST(StartupWaitLimiterTest, RefusesCallsBeyondCountLimit)
 {
-  StartupWait wait;
-  for (std::size_t call = 0; call < StartupWait::kMostCalls; ++call) {
+  StartupWaitLimiter wait;
+  for (std::size_t call = 0; call < StartupWaitLimiter::kMostCalls; ++call) {
     EXPECT_GT(wait.Begin(seconds(1), 1), Duration::zero());
   }
   EXPECT_EQ(wait.Begin(seconds(1), 1), Duration::zero());
@@ -29,22 +29,22 @@
   EXPECT_GT(wait.Begin(seconds(1), 1), Duration::zero());
 }
 
-TEST(StartupWaitTest, RefusesCallsBeyondByteLimit)
+TEST(StartupWaitLimiterTest, RefusesCallsBeyondByteLimit)
 {
-  StartupWait wait;
-  EXPECT_GT(wait.Begin(seconds(1), StartupWait::kMostBytes), Duration::zero());
+  StartupWaitLimiter wait;
+  EXPECT_GT(wait.Begin(seconds(1), StartupWaitLimiter::kMostBytes), Duration::zero());
   EXPECT_EQ(wait.Begin(seconds(1), 1), Duration::zero());
 }
 
 // After a power failure of one second, 80 hosts get 1,000 calls a second, and the configuration
 // arrives 130 ms after the hosts have started. Counts the calls that need not be retried by their
 // callers.
-TEST(StartupWaitTest, ServesCallsThatArriveJustBeforeFirstConfiguration)
+TEST(StartupWaitLimiterTest, ServesCallsThatArriveJustBeforeFirstConfiguration)
 {
   constexpr std::size_t kHosts = 80;
   constexpr Duration kBetweenCalls = milliseconds(1);
   constexpr Duration kConfigured = milliseconds(130);
-  std::deque<StartupWait> hosts(kHosts);
+  std::deque<StartupWaitLimiter> hosts(kHosts);
   std::size_t served = 0;
   std::size_t calls = 0;
   for (Duration at = Duration::zero(); at < kConfigured; at += kBetweenCalls) {
--- a/test/coordination/StoredPartsTest.cpp
+++ b/test/coordination/StoredPartIndexTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/StoredParts.h"
+#include "damasklink/coordination/StoredPartIndex.h"
 
 #include <gtest/gtest.h>
 
@@ -13,10 +13,10 @@
   return SizedPart{ PartKey(aKey), TokenCount(aTokens) };
 }
 
-class StoredPartsTest : public ::testing::Test
+class StoredPartIndexTest : public ::testing::Test
 {
 protected:
-  StoredPartsTest()
+  StoredPartIndexTest()
   {
     this->services = { Store("10.0.0.1", "z", 100'000), Store("10.0.0.2", "y", 300'000) };
     this->stored.SetStores(this->services);
@@ -52,23 +52,23 @@
   }
 
   std::vector<ServingService> services;
-  StoredParts stored;
+  StoredPartIndex stored;
 };
 
-TEST_F(StoredPartsTest, FindsOnlyReportedParts)
+TEST_F(StoredPartIndexTest, FindsOnlyReportedParts)
 {
   this->Report("10.0.0.2", { Part(1) });
   EXPECT_EQ(this->Found(Part(1)), "10.0.0.2");
   EXPECT_EQ(this->Found(Part(2)), "");
 }
 
-TEST_F(StoredPartsTest, DoesNotFindIncompletePart)
+TEST_F(StoredPartIndexTest, DoesNotFindIncompletePart)
 {
   this->Report("10.0.0.2", { Part(1, 400) });
   EXPECT_EQ(this->Found(Part(1, 1000)), "");
 }
 
-TEST_F(StoredPartsTest, PrefersStoreInOwnZone)
+TEST_F(StoredPartIndexTest, PrefersStoreInOwnZone)
 {
   this->Report("10.0.0.1", { Part(1) });
   this->Report("10.0.0.2", { Part(1) });
@@ -76,7 +76,7 @@
   EXPECT_EQ(this->Found(Part(1), { "10.0.0.1:8006" }), "10.0.0.2");
 }
 
-TEST_F(StoredPartsTest, FindsNothingInUnreachableStore)
+TEST_F(StoredPartIndexTest, FindsNothingInUnreachableStore)
 {
   this->Report("10.0.0.2", { Part(1) });
   this->Report("10.0.0.2", {}, false);
@@ -85,7 +85,7 @@
   EXPECT_EQ(this->Found(Part(1)), "");
 }
 
-TEST_F(StoredPartsTest, PlacesPartsInProportionToLinkRate)
+TEST_F(StoredPartIndexTest, PlacesPartsInProportionToLinkRate)
 {
   this->services[0].store->linkRate = 100'000;
   this->services[1].store->linkRate = 300'000;
@@ -98,7 +98,7 @@
   EXPECT_NEAR(faster, 750, 60);
 }
 
-TEST_F(StoredPartsTest, PlacesNothingInFullStore)
+TEST_F(StoredPartIndexTest, PlacesNothingInFullStore)
 {
   this->Report("10.0.0.2", { Part(9999, 299'000) });
   for (std::uint64_t key = 0; key < 100; ++key) {
@@ -106,7 +106,7 @@
   }
 }
 
-TEST_F(StoredPartsTest, DoesNotMovePartsOfUnreachableStore)
+TEST_F(StoredPartIndexTest, DoesNotMovePartsOfUnreachableStore)
 {
   std::uint64_t key = 0;
   while (this->stored.SelectStore(Part(key))->traits.endpoint.address != "10.0.0.2") {
@@ -116,7 +116,7 @@
   EXPECT_EQ(this->stored.SelectStore(Part(key)), nullptr);
 }
 
-TEST_F(StoredPartsTest, ForgetsStoreRemovedFromConfiguration)
+TEST_F(StoredPartIndexTest, ForgetsStoreRemovedFromConfiguration)
 {
   this->Report("10.0.0.2", { Part(1) });
   this->services.pop_back();
@@ -124,7 +124,7 @@
   EXPECT_EQ(this->Found(Part(1)), "");
 }
 
-TEST_F(StoredPartsTest, CountsReservedSpaceAsUsed)
+TEST_F(StoredPartIndexTest, CountsReservedSpaceAsUsed)
 {
   StoreUpdate update;
   update.store = Endpoint{ "10.0.0.1", 8006 };
--- a/test/coordination/TargetBoardTest.cpp
+++ b/test/coordination/TargetDirectoryTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetBoard.h"
+#include "damasklink/coordination/TargetDirectory.h"
 
 #include <algorithm>
 
@@ -23,10 +23,10 @@
   return update;
 }
 
-class TargetBoardTest : public ::testing::Test
+class TargetDirectoryTest : public ::testing::Test
 {
 protected:
-  TargetBoardTest()
+  TargetDirectoryTest()
   {
     this->board.OnLink(kFirst, true);
     this->board.OnLink(kSecond, true);
@@ -34,24 +34,24 @@
 
   std::size_t Usable() const { return this->board.Usable(kService).size(); }
 
-  TargetBoard board;
+  TargetDirectory board;
 };
 
-TEST_F(TargetBoardTest, ReportedTargetIsUsable)
+TEST_F(TargetDirectoryTest, ReportedTargetIsUsable)
 {
   this->board.Take(kFirst, MakeUpdate("t", 1, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 1U);
   EXPECT_TRUE(this->board.Usable(ServiceName("other")).empty());
 }
 
-TEST_F(TargetBoardTest, LeavingTargetStaysRemoved)
+TEST_F(TargetDirectoryTest, LeavingTargetStaysRemoved)
 {
   this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Leaving));
   this->board.Take(kSecond, MakeUpdate("t", 6, TargetAvailability::Usable));
   EXPECT_EQ(this->Usable(), 0U);
 }
 
-TEST_F(TargetBoardTest, TargetIsUsableWhileAnyConnectedHostReportsIt)
+TEST_F(TargetDirectoryTest, TargetIsUsableWhileAnyConnectedHostReportsIt)
 {
   this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Silent));
   this->board.Take(kSecond, MakeUpdate("t", 5, TargetAvailability::Usable));
@@ -59,7 +59,7 @@
   EXPECT_EQ(this->Usable(), 2U);
 }
 
-TEST_F(TargetBoardTest, ConnectedHostOverridesDisconnectedOne)
+TEST_F(TargetDirectoryTest, ConnectedHostOverridesDisconnectedOne)
 {
   this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Silent));
   this->board.Take(kFirst, MakeUpdate("u", 5, TargetAvailability::Usable));
@@ -68,7 +68,7 @@
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, LastReportsCountWithoutConnectedHosts)
+TEST_F(TargetDirectoryTest, LastReportsCountWithoutConnectedHosts)
 {
   this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Usable));
   this->board.OnLink(kFirst, false);
@@ -76,13 +76,13 @@
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, SilentTargetsAreUsedWithoutAlternatives)
+TEST_F(TargetDirectoryTest, SilentTargetsAreUsedWithoutAlternatives)
 {
   this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Silent));
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, PausedTargetIsUnusedWhileAnotherIsUsable)
+TEST_F(TargetDirectoryTest, PausedTargetIsUnusedWhileAnotherIsUsable)
 {
   TargetUpdate paused = MakeUpdate("t", 5, TargetAvailability::Usable);
   paused.paused = true;
@@ -92,7 +92,7 @@
   EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("u"));
 }
 
-TEST_F(TargetBoardTest, MarkRemovedHidesTheTarget)
+TEST_F(TargetDirectoryTest, MarkRemovedHidesTheTarget)
 {
   this->board.Take(kFirst, MakeUpdate("t", 5, TargetAvailability::Usable));
   this->board.MarkRemoved(TargetId("t"));
@@ -100,9 +100,9 @@
   EXPECT_EQ(this->board.Find(TargetId("t")), nullptr);
 }
 
-TEST_F(TargetBoardTest, OldestRemovedTargetsAreForgotten)
+TEST_F(TargetDirectoryTest, OldestRemovedTargetsAreForgotten)
 {
-  for (std::size_t number = 0; number <= TargetBoard::kMaxRemoved; ++number) {
+  for (std::size_t number = 0; number <= TargetDirectory::kMaxRemoved; ++number) {
     const std::string id = "t" + std::to_string(number);
     this->board.Take(kFirst, MakeUpdate(id, 1, TargetAvailability::Usable));
     this->board.MarkRemoved(TargetId(id));
@@ -114,7 +114,7 @@
   EXPECT_EQ(this->board.Usable(kService).front().id, TargetId("t0"));
 }
 
-TEST_F(TargetBoardTest, OlderRecordDoesNotReplaceTheNewerOne)
+TEST_F(TargetDirectoryTest, OlderRecordDoesNotReplaceTheNewerOne)
 {
   TargetUpdate newer = MakeUpdate("t", 5, TargetAvailability::Usable);
   newer.record.load.slots = 7;
@@ -131,7 +131,7 @@
   return update;
 }
 
-TEST_F(TargetBoardTest, RestartedTargetIsUsableAfterLeaving)
+TEST_F(TargetDirectoryTest, RestartedTargetIsUsableAfterLeaving)
 {
   this->board.Take(kFirst, MakeUpdateOf(1000, 50, TargetAvailability::Leaving));
   this->board.Take(kSecond, MakeUpdateOf(2000, 1, TargetAvailability::Usable));
@@ -140,7 +140,7 @@
   EXPECT_TRUE(this->board.TakeRestarted().empty());
 }
 
-TEST_F(TargetBoardTest, UpdatesOfAnEarlierIncarnationAreIgnored)
+TEST_F(TargetDirectoryTest, UpdatesOfAnEarlierIncarnationAreIgnored)
 {
   this->board.Take(kFirst, MakeUpdateOf(2000, 1, TargetAvailability::Usable));
   this->board.Take(kSecond, MakeUpdateOf(1000, 50, TargetAvailability::Leaving));
@@ -149,7 +149,7 @@
   EXPECT_TRUE(this->board.TakeRestarted().empty());
 }
 
-TEST_F(TargetBoardTest, RemovedTargetReturnsWithItsNextIncarnation)
+TEST_F(TargetDirectoryTest, RemovedTargetReturnsWithItsNextIncarnation)
 {
   this->board.Take(kFirst, MakeUpdateOf(1000, 5, TargetAvailability::Usable));
   this->board.MarkRemoved(TargetId("t"));
@@ -159,7 +159,7 @@
   EXPECT_EQ(this->Usable(), 1U);
 }
 
-TEST_F(TargetBoardTest, DiscoveredTargetsAreReturnedOnce)
+TEST_F(TargetDirectoryTest, DiscoveredTargetsAreReturnedOnce)
 {
   this->board.Take(kFirst, MakeUpdate("t", 1, TargetAvailability::Usable));
   this->board.Take(kSecond, MakeUpdate("t", 2, TargetAvailability::Usable));
@@ -170,7 +170,7 @@
   EXPECT_TRUE(this->board.TakeDiscovered().empty());
 }
 
-TEST_F(TargetBoardTest, ZoneIsMostlySilentAboveHalf)
+TEST_F(TargetDirectoryTest, ZoneIsMostlySilentAboveHalf)
 {
   this->board.Take(kFirst, MakeUpdate("a", 1, TargetAvailability::Usable));
   this->board.Take(kFirst, MakeUpdate("b", 1, TargetAvailability::Silent));
@@ -181,7 +181,7 @@
 
 // Updates may arrive late and in any order: the board must depend only on those about the
 // newest incarnation of a target.
-RC_GTEST_PROP(TargetBoardProperty, EarlierIncarnationsLeaveNoTrace, ())
+RC_GTEST_PROP(TargetDirectoryProperty, EarlierIncarnationsLeaveNoTrace, ())
 {
   struct Report
   {
@@ -199,9 +199,9 @@
   for (const Report& report : reports) {
     newest = std::max(newest, report.incarnation);
   }
-  TargetBoard all;
-  TargetBoard newestOnly;
-  for (TargetBoard* board : { &all, &newestOnly }) {
+  TargetDirectory all;
+  TargetDirectory newestOnly;
+  for (TargetDirectory* board : { &all, &newestOnly }) {
     board->OnLink(kFirst, true);
     board->OnLink(kSecond, true);
   }
@@ -216,7 +216,7 @@
   RC_ASSERT(all.Usable(kService) == newestOnly.Usable(kService));
 }
 
-TEST_F(TargetBoardTest, EvacuatedZoneIsUnusableEvenWithoutAlternatives)
+TEST_F(TargetDirectoryTest, EvacuatedZoneIsUnusableEvenWithoutAlternatives)
 {
   const ZoneId zone("hall");
   TargetUpdate update = MakeUpdate("t", 1, TargetAvailability::Usable);
