--- a/test/coordination/TargetPickerTest.cpp
+++ b/test/coordination/TargetSelectorTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/coordination/TargetPicker.h"
+#include "damasklink/coordination/TargetSelector.h"
 
 #include <map>
 #include <string>
@@ -17,11 +17,11 @@
   return record;
 }
 
-class TargetPickerTest : public ::testing::Test
+class TargetSelectorTest : public ::testing::Test
 {
 protected:
   // The tests use calls with a prompt unless they set promptTokens to zero.
-  TargetPickerTest() { this->request.promptTokens = TokenCount(1); }
+  TargetSelectorTest() { this->request.promptTokens = TokenCount(1); }
 
   std::string Choose()
   {
@@ -38,20 +38,20 @@
 
   ManualClock clock;
   TargetHealth health{ this->clock, 1 };
-  ZoneReach reach{ this->clock, 1 };
-  TargetPicker picker{ this->health, this->reach, 1 };
+  ZoneReachability reach{ this->clock, 1 };
+  TargetSelector picker{ this->health, this->reach, 1 };
   SelectionRequest request;
   std::vector<TargetRecord> targets{ Target("a", "z"), Target("b", "z"), Target("c", "z") };
 };
 
-TEST_F(TargetPickerTest, LeastLoadedTargetIsChosen)
+TEST_F(TargetSelectorTest, LeastLoadedTargetIsChosen)
 {
   this->AddRequests("a", 3);
   this->AddRequests("c", 2);
   EXPECT_EQ(this->Choose(), "b");
 }
 
-TEST_F(TargetPickerTest, CallsWithoutPromptSpreadOverSimilarlyLoadedTargets)
+TEST_F(TargetSelectorTest, CallsWithoutPromptSpreadOverSimilarlyLoadedTargets)
 {
   this->request.promptTokens = TokenCount();
   this->AddRequests("a", 2);
@@ -65,7 +65,7 @@
   EXPECT_GT(chosen["c"], 70);
 }
 
-TEST_F(TargetPickerTest, CallsWithoutPromptMostlyAvoidAnOverloadedTarget)
+TEST_F(TargetSelectorTest, CallsWithoutPromptMostlyAvoidAnOverloadedTarget)
 {
   this->request.promptTokens = TokenCount();
   this->AddRequests("a", 40);
@@ -79,7 +79,7 @@
   EXPECT_LT(chosen, 60);
 }
 
-TEST_F(TargetPickerTest, EndedRequestsNoLongerCount)
+TEST_F(TargetSelectorTest, EndedRequestsNoLongerCount)
 {
   this->AddRequests("a", 3);
   this->AddRequests("b", 1);
@@ -90,7 +90,7 @@
   EXPECT_EQ(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, ExcludedTargetsAreNotChosen)
+TEST_F(TargetSelectorTest, ExcludedTargetsAreNotChosen)
 {
   this->request.excluded = { TargetId("a"), TargetId("b") };
   EXPECT_EQ(this->Choose(), "c");
@@ -98,14 +98,14 @@
   EXPECT_EQ(this->Choose(), "");
 }
 
-TEST_F(TargetPickerTest, OwnZoneIsPreferredAtEqualLoad)
+TEST_F(TargetSelectorTest, OwnZoneIsPreferredAtEqualLoad)
 {
   this->targets = { Target("a", "other"), Target("b", "z"), Target("c", "other") };
   this->request.zone = ZoneId("z");
   EXPECT_EQ(this->Choose(), "b");
 }
 
-TEST_F(TargetPickerTest, TargetWithTheCachedPartIsChosen)
+TEST_F(TargetSelectorTest, TargetWithTheCachedPartIsChosen)
 {
   this->request.promptTokens = TokenCount(9000);
   this->request.parts = { SizedPart{ PartKey(1), TokenCount(8000) } };
@@ -115,7 +115,7 @@
   EXPECT_EQ(this->picker.UncachedTokens(this->request, TargetId("a")), TokenCount(9000));
 }
 
-TEST_F(TargetPickerTest, QueuedPrefillCounts)
+TEST_F(TargetSelectorTest, QueuedPrefillCounts)
 {
   SelectionRequest longRequest;
   longRequest.promptTokens = TokenCount(9000);
@@ -127,7 +127,7 @@
   EXPECT_NE(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, WeightsBelowTheMinimumAreUsedOnlyWithoutAlternatives)
+TEST_F(TargetSelectorTest, WeightsBelowTheMinimumAreUsedOnlyWithoutAlternatives)
 {
   this->targets[0].models = { ServedModel{ ModelName("m"), WeightVersion("1"), {} } };
   this->targets[1].models = { ServedModel{ ModelName("m"), WeightVersion("2"), {} } };
@@ -143,7 +143,7 @@
   EXPECT_NE(this->Choose(), "");
 }
 
-TEST_F(TargetPickerTest, LoadFromOtherHostsCounts)
+TEST_F(TargetSelectorTest, LoadFromOtherHostsCounts)
 {
   const InFlightLoad many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
   const InFlightLoad some{ TargetId("b"), 5, TokenCount(), TokenCount(), {} };
@@ -157,7 +157,7 @@
   EXPECT_EQ(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, SumsOfSilentControlHostsAreForgotten)
+TEST_F(TargetSelectorTest, SumsOfSilentControlHostsAreForgotten)
 {
   const InFlightLoad many{ TargetId("a"), 9, TokenCount(), TokenCount(), {} };
   this->picker.ApplySum(LoadReport{ HostId("gone"), { many }, {}, {}, false },
@@ -170,7 +170,7 @@
   EXPECT_EQ(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, OwnLoadInASumIsNotCountedTwice)
+TEST_F(TargetSelectorTest, OwnLoadInASumIsNotCountedTwice)
 {
   this->AddRequests("a", 2);
   this->AddRequests("b", 3);
@@ -182,7 +182,7 @@
   EXPECT_EQ(this->Choose(), "a") << "the load is 2, not 4";
 }
 
-TEST_F(TargetPickerTest, FullReportFollowsAChangeOfControlHost)
+TEST_F(TargetSelectorTest, FullReportFollowsAChangeOfControlHost)
 {
   this->AddRequests("a", 2);
   this->picker.TakeSends();
@@ -192,7 +192,7 @@
   EXPECT_EQ(sends.front().requests, 2U);
 }
 
-TEST_F(TargetPickerTest, SendsAreReportedOnceWithTheirParts)
+TEST_F(TargetSelectorTest, SendsAreReportedOnceWithTheirParts)
 {
   this->request.parts = { SizedPart{ PartKey(1), TokenCount(800) } };
   this->picker.OnSent(TargetId("a"), this->request, CallLoad{});
@@ -205,7 +205,7 @@
   ASSERT_EQ(this->picker.TakeSends().size(), 1U);
 }
 
-TEST_F(TargetPickerTest, TargetWithFullMemoryIsAvoided)
+TEST_F(TargetSelectorTest, TargetWithFullMemoryIsAvoided)
 {
   this->request.promptTokens = TokenCount(10'000);
   this->request.cacheTokens = TokenCount(100'000);
@@ -218,7 +218,7 @@
   EXPECT_NE(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, HolderInTheSameZoneIsPreferred)
+TEST_F(TargetSelectorTest, HolderInTheSameZoneIsPreferred)
 {
   this->targets = { Target("a", "far"), Target("b", "near"), Target("c", "near") };
   const SizedPart part{ PartKey(1), TokenCount(800) };
@@ -230,7 +230,7 @@
   EXPECT_EQ(this->picker.FindHolder(part, this->targets, this->targets[2])->id, TargetId("b"));
 }
 
-TEST_F(TargetPickerTest, EjectedTargetIsNotChosen)
+TEST_F(TargetSelectorTest, EjectedTargetIsNotChosen)
 {
   for (int failure = 0; failure < TargetHealth::kConsecutiveFailures; ++failure) {
     this->health.OnEnd(TargetId("a"), HealthSignal::Bad);
@@ -240,7 +240,7 @@
   EXPECT_NE(this->Choose(), "a");
 }
 
-TEST_F(TargetPickerTest, TargetsOfAnUnreachableZoneAreTheLastChoice)
+TEST_F(TargetSelectorTest, TargetsOfAnUnreachableZoneAreTheLastChoice)
 {
   this->targets = { Target("a", "near"), Target("b", "far"), Target("c", "far") };
   for (const char* unreachable : { "b", "c", "d" }) {
@@ -252,7 +252,7 @@
   EXPECT_NE(this->Choose(), "");
 }
 
-TEST_F(TargetPickerTest, EjectedTargetsAreUsedWhenMostAreEjected)
+TEST_F(TargetSelectorTest, EjectedTargetsAreUsedWhenMostAreEjected)
 {
   for (const char* id : { "a", "b" }) {
     for (int failure = 0; failure < TargetHealth::kConsecutiveFailures; ++failure) {
@@ -263,7 +263,7 @@
   EXPECT_NE(this->Choose(), "c");
 }
 
-TEST_F(TargetPickerTest, RestartClearsCachedPartsAndLoad)
+TEST_F(TargetSelectorTest, RestartClearsCachedPartsAndLoad)
 {
   this->request.parts = { SizedPart{ PartKey(1), TokenCount(9000) } };
   this->request.promptTokens = TokenCount(12'000);
@@ -289,20 +289,20 @@
 }
 
 // A long prompt that the other hosts learn of within a millisecond gets no calls sent behind it.
-TEST_F(TargetPickerTest, LongPrefillIsReportedAtOnce)
+TEST_F(TargetSelectorTest, LongPrefillIsReportedAtOnce)
 {
   CallLoad work;
-  work.uncachedTokens = TokenCount(TargetPicker::kLongPrefill - 1);
+  work.uncachedTokens = TokenCount(TargetSelector::kLongPrefill - 1);
   this->picker.OnSent(TargetId("a"), this->request, work);
   EXPECT_FALSE(this->picker.HasUrgentSends());
-  work.uncachedTokens = TokenCount(TargetPicker::kLongPrefill);
+  work.uncachedTokens = TokenCount(TargetSelector::kLongPrefill);
   this->picker.OnSent(TargetId("a"), this->request, work);
   EXPECT_TRUE(this->picker.HasUrgentSends());
   this->picker.TakeSends();
   EXPECT_FALSE(this->picker.HasUrgentSends());
 }
 
-TEST_F(TargetPickerTest, FirstEventsBehindOtherPrefillsAreNotMeasured)
+TEST_F(TargetSelectorTest, FirstEventsBehindOtherPrefillsAreNotMeasured)
 {
   this->request.model = ModelName("m");
   CallLoad work;
@@ -312,18 +312,19 @@
   for (int observation = 0; observation < 20; ++observation) {
     EXPECT_FALSE(this->picker.RecordFirstEvent(TargetId("a"), this->request, work, false, took));
   }
-  EXPECT_EQ(this->picker.PaceOf(this->request.model).MillisecondsPerToken(),
-            EnginePace::kDefaultPerToken);
+  EXPECT_EQ(this->picker.LatencyModelOf(this->request.model).MillisecondsPerToken(),
+            EngineLatencyModel::kDefaultPerToken);
   work.queuedBehindOthers = false;
   for (int observation = 0; observation < 20; ++observation) {
     EXPECT_TRUE(this->picker.RecordFirstEvent(TargetId("a"), this->request, work, false, took));
   }
-  EXPECT_NEAR(this->picker.PaceOf(this->request.model).MillisecondsPerToken(), 0.084, 0.001);
+  EXPECT_NEAR(
+    this->picker.LatencyModelOf(this->request.model).MillisecondsPerToken(), 0.084, 0.001);
 }
 
 // Transferring a part of 12,800 tokens takes 67 ms within the zone of its store and twice as long
 // to another zone: more than a few more requests at the target cost.
-TEST_F(TargetPickerTest, LongStoredPartDrawsTheCallToTheZoneOfItsStore)
+TEST_F(TargetSelectorTest, LongStoredPartDrawsTheCallToTheZoneOfItsStore)
 {
   this->targets = { Target("far", "z"), Target("near", "store") };
   this->request.zone = ZoneId("z");
@@ -340,7 +341,7 @@
 // Guards against refusing prompts because they are long: engines that prefill 38 tokens a
 // millisecond get prompts of up to 46,000 tokens among many short ones, and all of them wait
 // equally long.
-TEST_F(TargetPickerTest, ExpectedWaitIsIndependentOfPromptLength)
+TEST_F(TargetSelectorTest, ExpectedWaitIsIndependentOfPromptLength)
 {
   this->request.model = ModelName("m");
   for (int observation = 0; observation < 20; ++observation) {
@@ -364,7 +365,7 @@
 }
 
 // With few slots and short prompts, the slots of an engine are full long before its memory is.
-TEST_F(TargetPickerTest, ExpectedWaitCountsFullSlots)
+TEST_F(TargetSelectorTest, ExpectedWaitCountsFullSlots)
 {
   constexpr int kSlots = 16;
   for (TargetRecord& target : this->targets) {
@@ -387,14 +388,14 @@
   EXPECT_EQ(this->Choose(), "b");
 }
 
-TEST_F(TargetPickerTest, UnknownSlotsAddNoWait)
+TEST_F(TargetSelectorTest, UnknownSlotsAddNoWait)
 {
   this->AddRequests("a", 500);
   EXPECT_EQ(this->picker.ExpectedWait(this->request, this->targets.front()), Duration(0));
 }
 
 // A hundred equally loaded targets in five zones, a fifth of them in the host's own zone.
-TEST_F(TargetPickerTest, MostPromptsStayInTheirZoneAmongManyTargets)
+TEST_F(TargetSelectorTest, MostPromptsStayInTheirZoneAmongManyTargets)
 {
   this->targets.clear();
   for (int number = 0; number < 100; ++number) {
@@ -417,7 +418,7 @@
 
 // Guards against refusing calls when nearly all targets are full, as after restarts when targets
 // take little load: a sample would miss the only one with free memory.
-TEST_F(TargetPickerTest, CompareAllFindsTheOnlyTargetWithFreeMemory)
+TEST_F(TargetSelectorTest, CompareAllFindsTheOnlyTargetWithFreeMemory)
 {
   this->request.cacheTokens = TokenCount(1000);
   this->targets.clear();
--- a/test/coordination/ZoneReachTest.cpp
+++ b/test/coordination/ZoneReachabilityTest.cpp
@@ -1,11 +1,11 @@
-#include "damasklink/coordination/ZoneReach.h"
+#include "damasklink/coordination/ZoneReachability.h"
 
 #include <gtest/gtest.h>
 
 namespace damasklink {
 namespace {
 
-class ZoneReachTest : public testing::Test
+class ZoneReachabilityTest : public testing::Test
 {
 protected:
   // Reports aCount different targets of the zone as not reached.
@@ -20,19 +20,19 @@
 
   ManualClock clock;
   ZoneId zone{ "far" };
-  ZoneReach reach{ this->clock, 1 };
+  ZoneReachability reach{ this->clock, 1 };
 };
 
-TEST_F(ZoneReachTest, ZoneIsUnreachableWhenSeveralTargetsFailTogether)
+TEST_F(ZoneReachabilityTest, ZoneIsUnreachableWhenSeveralTargetsFailTogether)
 {
-  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
   EXPECT_FALSE(this->IsUnreachable());
-  this->FailTargets(ZoneReach::kUnreachableTargets);
+  this->FailTargets(ZoneReachability::kUnreachableTargets);
   EXPECT_TRUE(this->IsUnreachable());
   EXPECT_FALSE(this->reach.IsUnreachable(ZoneId("near")));
 }
 
-TEST_F(ZoneReachTest, RepeatedFailuresOfOneTargetDoNotAffectZone)
+TEST_F(ZoneReachabilityTest, RepeatedFailuresOfOneTargetDoNotAffectZone)
 {
   for (int time = 0; time < 10; ++time) {
     this->FailTargets(1);
@@ -40,53 +40,53 @@
   EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, SuccessfulCallResetsFailures)
+TEST_F(ZoneReachabilityTest, SuccessfulCallResetsFailures)
 {
-  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
   this->reach.OnEnd(this->zone, TargetId("good"), HealthSignal::Good);
-  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, ReceivedBytesResetFailures)
+TEST_F(ZoneReachabilityTest, ReceivedBytesResetFailures)
 {
-  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
   this->reach.OnBytes(this->zone);
-  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
   EXPECT_FALSE(this->IsUnreachable());
-  this->FailTargets(ZoneReach::kUnreachableTargets);
+  this->FailTargets(ZoneReachability::kUnreachableTargets);
   EXPECT_TRUE(this->IsUnreachable());
   this->reach.OnBytes(this->zone);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, FailuresOutsideDetectionWindowDoNotAddUp)
+TEST_F(ZoneReachabilityTest, FailuresOutsideDetectionWindowDoNotAddUp)
 {
-  this->FailTargets(ZoneReach::kUnreachableTargets - 1);
-  this->clock.Advance(ZoneReach::kDetectionWindow * 2);
+  this->FailTargets(ZoneReachability::kUnreachableTargets - 1);
+  this->clock.Advance(ZoneReachability::kDetectionWindow * 2);
   this->reach.OnEnd(this->zone, TargetId("another"), HealthSignal::NotReached);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, ProbesZoneWithOneCallAtATimeAfterRetryDelay)
+TEST_F(ZoneReachabilityTest, ProbesZoneWithOneCallAtATimeAfterRetryDelay)
 {
-  this->FailTargets(ZoneReach::kUnreachableTargets);
-  this->clock.Advance(ZoneReach::kRetryDelay * 2);
+  this->FailTargets(ZoneReachability::kUnreachableTargets);
+  this->clock.Advance(ZoneReachability::kRetryDelay * 2);
   EXPECT_FALSE(this->IsUnreachable());
   this->reach.OnStart(this->zone);
   EXPECT_TRUE(this->IsUnreachable());
   this->reach.OnEnd(this->zone, TargetId("0"), HealthSignal::NotReached);
   EXPECT_TRUE(this->IsUnreachable());
-  this->clock.Advance(ZoneReach::kRetryDelay * 2);
+  this->clock.Advance(ZoneReachability::kRetryDelay * 2);
   this->reach.OnStart(this->zone);
   this->reach.OnEnd(this->zone, TargetId("0"), HealthSignal::Good);
   EXPECT_FALSE(this->IsUnreachable());
 }
 
-TEST_F(ZoneReachTest, InconclusiveProbeAllowsAnother)
+TEST_F(ZoneReachabilityTest, InconclusiveProbeAllowsAnother)
 {
-  this->FailTargets(ZoneReach::kUnreachableTargets);
-  this->clock.Advance(ZoneReach::kRetryDelay * 2);
+  this->FailTargets(ZoneReachability::kUnreachableTargets);
+  this->clock.Advance(ZoneReachability::kRetryDelay * 2);
   this->reach.OnStart(this->zone);
   this->reach.OnEnd(this->zone, TargetId("0"), HealthSignal::None);
   EXPECT_FALSE(this->IsUnreachable());
--- a/test/program/ConfigurationFeedTest.cpp
+++ b/test/program/ConfigurationUpdaterTest.cpp
@@ -1,4 +1,4 @@
-#include "program/ConfigurationFeed.h"
+#include "program/ConfigurationUpdater.h"
 
 #include <absl/synchronization/notification.h>
 #include <gtest/gtest.h>
@@ -77,7 +77,7 @@
   std::vector<std::pair<HostId, DocumentRequest>> sent;
 };
 
-class ConfigurationFeedTest : public ::testing::Test
+class ConfigurationUpdaterTest : public ::testing::Test
 {
 protected:
   void Announce(const HostId& aHost, std::uint64_t aVersion)
@@ -112,21 +112,21 @@
   asio::io_context loop;
   ManualClock clock;
   SlowDialect dialect;
-  EntryPicture state{ this->clock };
+  EntryHostState state{ this->clock };
   RecordedRequests requests;
   NoMetrics metrics;
   DocumentPublisher source;
   int installed = 0;
-  ConfigurationFeed updater{ this->loop,
-                             this->clock,
-                             this->dialect,
-                             this->state,
-                             this->requests,
-                             this->metrics,
-                             [this] { ++this->installed; } };
+  ConfigurationUpdater updater{ this->loop,
+                                this->clock,
+                                this->dialect,
+                                this->state,
+                                this->requests,
+                                this->metrics,
+                                [this] { ++this->installed; } };
 };
 
-TEST_F(ConfigurationFeedTest, InstallsEachAnnouncedVersion)
+TEST_F(ConfigurationUpdaterTest, InstallsEachAnnouncedVersion)
 {
   this->source.Publish(Revision(3), Document(3, 500));
   this->Announce(kControl, 3);
@@ -140,7 +140,7 @@
   EXPECT_EQ(this->installed, 2);
 }
 
-TEST_F(ConfigurationFeedTest, ReadingDocumentDoesNotBlockLoopAndSuspendsRequests)
+TEST_F(ConfigurationUpdaterTest, ReadingDocumentDoesNotBlockLoopAndSuspendsRequests)
 {
   this->dialect.held = true;
   this->source.Publish(Revision(3), Document(3));
@@ -160,7 +160,7 @@
   this->RunUntilInstalled(4);
 }
 
-TEST_F(ConfigurationFeedTest, FetchesFullDocumentWhenDeltaBaseDiffers)
+TEST_F(ConfigurationUpdaterTest, FetchesFullDocumentWhenDeltaBaseDiffers)
 {
   this->source.Publish(Revision(3), Document(3, 500));
   this->Announce(kControl, 3);
@@ -180,7 +180,7 @@
   this->RunUntilInstalled(5);
 }
 
-TEST_F(ConfigurationFeedTest, UnreadableDocumentKeepsCurrentConfiguration)
+TEST_F(ConfigurationUpdaterTest, UnreadableDocumentKeepsCurrentConfiguration)
 {
   this->source.Publish(Revision(3), Document(3));
   this->Announce(kControl, 3);
--- a/test/program/EntryPictureTest.cpp
+++ b/test/program/EntryHostStateTest.cpp
@@ -1,4 +1,4 @@
-#include "program/EntryPicture.h"
+#include "program/EntryHostState.h"
 
 #include <gtest/gtest.h>
 
@@ -17,10 +17,10 @@
   return "{\"version\":" + std::to_string(aVersion) + "}";
 }
 
-class EntryPictureTest : public ::testing::Test
+class EntryHostStateTest : public ::testing::Test
 {
 protected:
-  EntryPictureTest()
+  EntryHostStateTest()
   {
     this->state.OnConnection(kFirst, true);
     this->state.OnConnection(kSecond, true);
@@ -40,10 +40,10 @@
 
   ManualClock clock;
   platform::Dialect dialect;
-  EntryPicture state{ this->clock };
+  EntryHostState state{ this->clock };
 };
 
-TEST_F(EntryPictureTest, IgnoresOlderConfiguration)
+TEST_F(EntryHostStateTest, IgnoresOlderConfiguration)
 {
   EXPECT_EQ(this->state.Routes(), nullptr);
   this->InstallRoutes(7);
@@ -53,21 +53,21 @@
   EXPECT_EQ(this->state.Routes()->Config().version, Revision(9));
 }
 
-TEST_F(EntryPictureTest, UnreadableDocumentKeepsCurrentConfiguration)
+TEST_F(EntryHostStateTest, UnreadableDocumentKeepsCurrentConfiguration)
 {
   this->InstallRoutes(7);
   EXPECT_FALSE(ReadRoutes(this->dialect, "{\"version\":"));
   EXPECT_EQ(this->state.Routes()->Config().version, Revision(7));
 }
 
-TEST_F(EntryPictureTest, UpdateWithoutDocumentKeepsRoutes)
+TEST_F(EntryHostStateTest, UpdateWithoutDocumentKeepsRoutes)
 {
   this->InstallRoutes(7);
   this->state.Apply(kFirst, ServingUpdate{});
   ASSERT_NE(this->state.Routes(), nullptr);
 }
 
-TEST_F(EntryPictureTest, TracksAgeOfEachWeightVersion)
+TEST_F(EntryHostStateTest, TracksAgeOfEachWeightVersion)
 {
   this->AnnounceWeights(2);
   this->clock.Advance(std::chrono::seconds(5));
@@ -80,14 +80,14 @@
   EXPECT_EQ(this->state.WeightVersionKnownFor(kModel, std::chrono::seconds(7)), 3U);
 }
 
-TEST_F(EntryPictureTest, IgnoresOlderWeightVersion)
+TEST_F(EntryHostStateTest, IgnoresOlderWeightVersion)
 {
   this->AnnounceWeights(3);
   this->AnnounceWeights(2);
   EXPECT_EQ(this->state.WeightVersionOf(kModel), 3U);
 }
 
-TEST_F(EntryPictureTest, CountsEntryHostsReportedByConnectedControlHosts)
+TEST_F(EntryHostStateTest, CountsEntryHostsReportedByConnectedControlHosts)
 {
   ServingUpdate update;
   update.entryHosts = 9;
@@ -99,7 +99,7 @@
   EXPECT_EQ(this->state.EntryHosts(), 4U);
 }
 
-TEST_F(EntryPictureTest, DropsStoredPartsWhenTheirControlHostDisconnects)
+TEST_F(EntryHostStateTest, DropsStoredPartsWhenTheirControlHostDisconnects)
 {
   this->state.SelectStoreSource(kFirst);
   this->state.OnConnection(kSecond, false);
@@ -110,7 +110,7 @@
   EXPECT_EQ(this->state.Stored(), nullptr) << "must be selected again after a reconnection";
 }
 
-TEST_F(EntryPictureTest, TakesStoredPartsFromSelectedControlHostOnly)
+TEST_F(EntryHostStateTest, TakesStoredPartsFromSelectedControlHostOnly)
 {
   const std::string config =
     R"({"version":1,"services":[{"name":"store","kv-store":"172.20.0.2:8006",)"
@@ -130,7 +130,7 @@
     << "reports of the host selected before are dropped";
 }
 
-TEST_F(EntryPictureTest, IsolatedControlHostIsNotHealthy)
+TEST_F(EntryHostStateTest, IsolatedControlHostIsNotHealthy)
 {
   this->state.Apply(kFirst, ServingUpdate());
   EXPECT_TRUE(this->state.IsHealthy(kFirst));
@@ -144,7 +144,7 @@
 }
 
 // The kernel accepts connections for a suspended process, so a connection proves nothing.
-TEST_F(EntryPictureTest, ControlHostIsNotHealthyBeforeFirstUpdateOnItsConnection)
+TEST_F(EntryHostStateTest, ControlHostIsNotHealthyBeforeFirstUpdateOnItsConnection)
 {
   EXPECT_FALSE(this->state.HasReported(kFirst));
   EXPECT_FALSE(this->state.IsHealthy(kFirst));
@@ -167,7 +167,7 @@
   EXPECT_EQ(this->state.Targets().Usable(ServiceName("s")).front().id, TargetId("other"));
 }
 
-TEST_F(EntryPictureTest, IgnoresOlderEvacuations)
+TEST_F(EntryHostStateTest, IgnoresOlderEvacuations)
 {
   const ZoneId zone("hall");
   ServingUpdate newer;
--- a/test/program/ExchangeFixture.h
+++ b/test/program/ExchangeFixture.h
@@ -146,7 +146,7 @@
   Awaitable<void> Serve()
   {
     auto [error, socket] = co_await this->acceptor.async_accept(kAsValue);
-    CallerChannel channel(std::move(socket));
+    CallerConnection channel(std::move(socket));
     bool reusable = true;
     while (reusable) {
       auto request = co_await channel.Read(CallerLimits());
@@ -212,19 +212,19 @@
   ServingSettings settings;
   platform::Dialect dialect;
   NoMetrics metrics;
-  EntryPicture state{ this->clock };
+  EntryHostState state{ this->clock };
   FirstConfiguration firstConfiguration{ this->loop };
   ServiceRetryBudgets retries{ RetryAllowance{} };
   TargetHealth health{ this->clock, 1 };
-  ZoneReach reachability{ this->clock, 1 };
-  TargetPicker picker{ this->health, this->reachability, 1 };
-  TargetChannelPool pool{ this->clock };
-  StorePace slowStores{ 1 };
-  ComeBack startupDelay{ 1 };
-  ReturnQueue retryScheduler{ this->clock, 1 };
-  TargetCheck probe{ this->loop, this->clock };
-  CrashWatch crashFilter{ this->clock };
-  BrokenRuns interrupted{ this->clock };
+  ZoneReachability reachability{ this->clock, 1 };
+  TargetSelector picker{ this->health, this->reachability, 1 };
+  TargetConnectionPool pool{ this->clock };
+  SlowStoreDetector slowStores{ 1 };
+  StartupRetryDelay startupDelay{ 1 };
+  RetryScheduler retryScheduler{ this->clock, 1 };
+  TargetProbe probe{ this->loop, this->clock };
+  CrashFilter crashFilter{ this->clock };
+  InterruptedRequests interrupted{ this->clock };
   HostId self{ "entry" };
   TargetRateLimiter limits{ this->clock, this->self };
   EntryContext context{ this->loop,
--- a/test/program/ControlPictureTest.cpp
+++ b/test/program/TargetTrackerTest.cpp
@@ -1,4 +1,4 @@
-#include "program/ControlPicture.h"
+#include "program/TargetTracker.h"
 
 #include <gtest/gtest.h>
 
@@ -19,14 +19,14 @@
   return record;
 }
 
-class ControlPictureTest : public ::testing::Test
+class TargetTrackerTest : public ::testing::Test
 {
 protected:
   ManualClock clock;
-  ControlPicture tracker{ this->clock, kSilence };
+  TargetTracker tracker{ this->clock, kSilence };
 };
 
-TEST_F(ControlPictureTest, UnchangedHeartbeatIsNoChange)
+TEST_F(TargetTrackerTest, UnchangedHeartbeatIsNoChange)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   ASSERT_EQ(this->tracker.TakeChanges().size(), 1U);
@@ -34,7 +34,7 @@
   EXPECT_TRUE(this->tracker.TakeChanges().empty());
 }
 
-TEST_F(ControlPictureTest, SilenceIsAChange)
+TEST_F(TargetTrackerTest, SilenceIsAChange)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   this->tracker.TakeChanges();
@@ -44,7 +44,7 @@
   EXPECT_EQ(changes.front().standing, TargetAvailability::Silent);
 }
 
-TEST_F(ControlPictureTest, DepartedTargetStaysLeavingAfterLateHeartbeat)
+TEST_F(TargetTrackerTest, DepartedTargetStaysLeavingAfterLateHeartbeat)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   this->tracker.OnDeparture(TargetId("t"));
@@ -54,7 +54,7 @@
   EXPECT_EQ(changes.front().standing, TargetAvailability::Leaving);
 }
 
-TEST_F(ControlPictureTest, NewTargetReplacesOldOneAtSameAddress)
+TEST_F(TargetTrackerTest, NewTargetReplacesOldOneAtSameAddress)
 {
   this->tracker.OnHeartbeat(Record("old", 5));
   this->tracker.OnHeartbeat(Record("new", 1));
@@ -63,7 +63,7 @@
   EXPECT_TRUE(this->tracker.Registry().IsUsable(TargetId("new")));
 }
 
-TEST_F(ControlPictureTest, LateHeartbeatOfReplacedTargetIsUndoneByNextOfNewTarget)
+TEST_F(TargetTrackerTest, LateHeartbeatOfReplacedTargetIsUndoneByNextOfNewTarget)
 {
   this->tracker.OnHeartbeat(Record("new", 1));
   this->tracker.OnHeartbeat(Record("old", 5));
@@ -71,7 +71,7 @@
   EXPECT_TRUE(this->tracker.Registry().IsUsable(TargetId("new")));
 }
 
-TEST_F(ControlPictureTest, OnlyDirectRecordsArePassedOn)
+TEST_F(TargetTrackerTest, OnlyDirectRecordsArePassedOn)
 {
   this->tracker.OnHeartbeat(Record("direct", 1, 1));
   this->tracker.OnRelayedRecord(Record("second", 1, 2));
@@ -81,7 +81,7 @@
   EXPECT_TRUE(this->tracker.TakeDirectUpdates().empty());
 }
 
-TEST_F(ControlPictureTest, ReportedWeightsOverrideOlderHeartbeats)
+TEST_F(TargetTrackerTest, ReportedWeightsOverrideOlderHeartbeats)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   this->tracker.TakeChanges();
@@ -91,7 +91,7 @@
   EXPECT_EQ(changes.front().record.models.front().version, WeightVersion("2"));
 }
 
-TEST_F(ControlPictureTest, RestartedTargetBeginsNewHeartbeatSequence)
+TEST_F(TargetTrackerTest, RestartedTargetBeginsNewHeartbeatSequence)
 {
   TargetRecord earlier = Record("t", 50);
   earlier.incarnation = Incarnation(1000);
@@ -109,7 +109,7 @@
   EXPECT_EQ(changes.front().record.incarnation, Incarnation(2000));
 }
 
-TEST_F(ControlPictureTest, ListsEnginesInTheirCurrentState)
+TEST_F(TargetTrackerTest, ListsEnginesInTheirCurrentState)
 {
   this->tracker.OnHeartbeat(Record("a", 1, 1));
   this->tracker.OnHeartbeat(Record("b", 1, 2));
@@ -131,7 +131,7 @@
   EXPECT_EQ(this->tracker.UsableEngines().front().models.front().version, WeightVersion("2"));
 }
 
-TEST_F(ControlPictureTest, PublishesPauseAndResumeOnceEach)
+TEST_F(TargetTrackerTest, PublishesPauseAndResumeOnceEach)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   this->tracker.TakeChanges();
@@ -145,7 +145,7 @@
   }
 }
 
-TEST_F(ControlPictureTest, RefusesTargetOfUnknownServiceAndKeepsKnownTargetOfSameId)
+TEST_F(TargetTrackerTest, RefusesTargetOfUnknownServiceAndKeepsKnownTargetOfSameId)
 {
   this->tracker.SetServices({ ServiceName("s") });
   this->tracker.OnHeartbeat(Record("t", 1));
@@ -158,7 +158,7 @@
   EXPECT_EQ(changes.front().record.service, ServiceName("s"));
 }
 
-TEST_F(ControlPictureTest, TargetOfRemovedServiceMaySignOff)
+TEST_F(TargetTrackerTest, TargetOfRemovedServiceMaySignOff)
 {
   this->tracker.OnHeartbeat(Record("t", 1));
   this->tracker.SetServices({ ServiceName("other") });
@@ -167,7 +167,7 @@
   EXPECT_TRUE(this->tracker.OnHeartbeat(leaving));
 }
 
-TEST_F(ControlPictureTest, ReturnsColdTargetsOnce)
+TEST_F(TargetTrackerTest, ReturnsColdTargetsOnce)
 {
   const ColdStartSpec spec{ RequestRate{ 16 }, std::chrono::seconds(3) };
   this->tracker.SetColdStartSpecs({ { ServiceName("s"), spec } });
@@ -180,7 +180,7 @@
   EXPECT_TRUE(this->tracker.TakeColdTargets().empty());
 }
 
-TEST_F(ControlPictureTest, TargetsOfServicesWithoutColdStartSpecAreNeverCold)
+TEST_F(TargetTrackerTest, TargetsOfServicesWithoutColdStartSpecAreNeverCold)
 {
   TargetRecord record = Record("t", 1);
   record.coldFor = std::chrono::seconds(2);
@@ -188,7 +188,7 @@
   EXPECT_TRUE(this->tracker.TakeColdTargets().empty());
 }
 
-TEST_F(ControlPictureTest, TargetsOfReturnedZoneCountAsCold)
+TEST_F(TargetTrackerTest, TargetsOfReturnedZoneCountAsCold)
 {
   const ColdStartSpec spec{ RequestRate{ 16 }, std::chrono::seconds(3) };
   this->tracker.SetColdStartSpecs({ { ServiceName("s"), spec } });
--- a/test/transport/CallerChannelTest.cpp
+++ b/test/transport/CallerConnectionTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/CallerChannel.h"
+#include "damasklink/transport/CallerConnection.h"
 
 #include <thread>
 
@@ -10,14 +10,14 @@
 namespace {
 
 // Writes to one end of a connection and reads requests from the other.
-class CallerChannelTest : public ::testing::Test
+class CallerConnectionTest : public ::testing::Test
 {
 protected:
-  CallerChannelTest()
+  CallerConnectionTest()
     : acceptor(this->loop, TcpEndpoint(asio::ip::make_address("127.0.0.1"), 0))
   {
     this->caller.connect(this->acceptor.local_endpoint());
-    this->connection = std::make_unique<CallerChannel>(this->acceptor.accept());
+    this->connection = std::make_unique<CallerConnection>(this->acceptor.accept());
   }
 
   void Send(const std::string& aBytes) { asio::write(this->caller, asio::buffer(aBytes)); }
@@ -48,11 +48,11 @@
   asio::io_context loop;
   TcpAcceptor acceptor;
   TcpSocket caller{ this->loop };
-  std::unique_ptr<CallerChannel> connection;
+  std::unique_ptr<CallerConnection> connection;
   CallerLimits limits;
 };
 
-TEST_F(CallerChannelTest, ReadsBodyWithContentLength)
+TEST_F(CallerConnectionTest, ReadsBodyWithContentLength)
 {
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc");
   const auto request = this->Read();
@@ -61,7 +61,7 @@
   EXPECT_EQ(request.value().body, "abc");
 }
 
-TEST_F(CallerChannelTest, ReadsChunkedBody)
+TEST_F(CallerConnectionTest, ReadsChunkedBody)
 {
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
              "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
@@ -70,66 +70,66 @@
   EXPECT_EQ(request.value().body, "abcde");
 }
 
-TEST_F(CallerChannelTest, ReadsPipelinedRequestsOneByOne)
+TEST_F(CallerConnectionTest, ReadsPipelinedRequestsOneByOne)
 {
   this->Send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   EXPECT_EQ(this->Read().value().head.target, "/1");
   EXPECT_EQ(this->Read().value().head.target, "/2");
 }
 
-TEST_F(CallerChannelTest, RefusesContentLengthBesideChunkedEncoding)
+TEST_F(CallerConnectionTest, RefusesContentLengthBesideChunkedEncoding)
 {
   EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
                           "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n\r\n"),
             ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, RefusesRepeatedContentLength)
+TEST_F(CallerConnectionTest, RefusesRepeatedContentLength)
 {
   EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
                           "Content-Length: 3\r\n\r\nabc"),
             ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, RefusesBareLineFeed)
+TEST_F(CallerConnectionTest, RefusesBareLineFeed)
 {
   EXPECT_EQ(this->ErrorOf("GET /a HTTP/1.1\nHost: h\n\n"), ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, RefusesSpaceBeforeColon)
+TEST_F(CallerConnectionTest, RefusesSpaceBeforeColon)
 {
   EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length : 3\r\n\r\nabc"),
             ErrorKind::InvalidArgument);
 }
 
-TEST_F(CallerChannelTest, RefusesHeadAboveLimit)
+TEST_F(CallerConnectionTest, RefusesHeadAboveLimit)
 {
   this->limits.headerBytes = 100;
   EXPECT_EQ(this->ErrorOf("GET /a HTTP/1.1\r\nHost: " + std::string(200, 'h') + "\r\n\r\n"),
             ErrorKind::Overloaded);
 }
 
-TEST_F(CallerChannelTest, RefusesBodyAboveLimitBeforeReadingIt)
+TEST_F(CallerConnectionTest, RefusesBodyAboveLimitBeforeReadingIt)
 {
   this->limits.bodyBytes = 10;
   EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"),
             ErrorKind::NotPermitted);
 }
 
-TEST_F(CallerChannelTest, SlowHeadExceedsDeadline)
+TEST_F(CallerConnectionTest, SlowHeadExceedsDeadline)
 {
   this->limits.headerTimeout = std::chrono::milliseconds(20);
   EXPECT_EQ(this->ErrorOf("GET /a HTT"), ErrorKind::DeadlineExceeded);
 }
 
-TEST_F(CallerChannelTest, IdleTimeoutIsInterrupted)
+TEST_F(CallerConnectionTest, IdleTimeoutIsInterrupted)
 {
   this->limits.idleTimeout = std::chrono::milliseconds(20);
   EXPECT_EQ(this->ErrorOf(""), ErrorKind::Interrupted);
   EXPECT_TRUE(this->connection->IsIdle());
 }
 
-TEST_F(CallerChannelTest, CloseBetweenRequestsIsInterrupted)
+TEST_F(CallerConnectionTest, CloseBetweenRequestsIsInterrupted)
 {
   this->caller.close();
   const auto read = this->Read();
@@ -137,14 +137,14 @@
   EXPECT_EQ(read.error().kind, ErrorKind::Interrupted);
 }
 
-TEST_F(CallerChannelTest, CloseIfIdleKeepsConnectionWithWaitingRequest)
+TEST_F(CallerConnectionTest, CloseIfIdleKeepsConnectionWithWaitingRequest)
 {
   this->Send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
   this->connection->CloseIfIdle();
   EXPECT_EQ(this->Read().value().head.target, "/a");
 }
 
-TEST_F(CallerChannelTest, CloseIfIdleClosesIdleConnection)
+TEST_F(CallerConnectionTest, CloseIfIdleClosesIdleConnection)
 {
   this->connection->CloseIfIdle();
   char byte = 0;
@@ -154,7 +154,7 @@
 }
 
 // The idle timeout does not limit a whole body: on a slow link it takes longer than that.
-TEST_F(CallerChannelTest, ReadsSlowBodyThatKeepsArriving)
+TEST_F(CallerConnectionTest, ReadsSlowBodyThatKeepsArriving)
 {
   this->limits.idleTimeout = std::chrono::seconds(1);
   this->Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\n");
@@ -170,7 +170,7 @@
   EXPECT_EQ(request.value().body.size(), 40U);
 }
 
-TEST_F(CallerChannelTest, StalledBodyExceedsDeadline)
+TEST_F(CallerConnectionTest, StalledBodyExceedsDeadline)
 {
   this->limits.idleTimeout = std::chrono::milliseconds(100);
   EXPECT_EQ(this->ErrorOf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n\r\nx"),
@@ -178,7 +178,7 @@
 }
 
 // Writing a response continues as long as the caller reads from it.
-TEST_F(CallerChannelTest, WritesLargeResponseToSlowReader)
+TEST_F(CallerConnectionTest, WritesLargeResponseToSlowReader)
 {
   HttpResponseMessage response;
   response.head.status = 200;
--- a/test/transport/DialPaceTest.cpp
+++ b/test/transport/DialBackoffTest.cpp
@@ -1,4 +1,4 @@
-#include "damasklink/transport/DialPace.h"
+#include "damasklink/transport/DialBackoff.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 Duration
 ConnectTime(Duration aUpAt)
 {
-  DialPace backoff{ DialTiming() };
+  DialBackoff backoff{ DialTiming() };
   Duration time{ 0 };
   while (time < aUpAt) {
     time += backoff.ConnectTimeout();
@@ -22,16 +22,16 @@
 
 // All hosts lost power and restart within half a second of each other. The first ones must
 // connect soon to the last ones, since callers are not served before that.
-TEST(DialPaceTest, ConnectsSoonAfterPeerStarts)
+TEST(DialBackoffTest, ConnectsSoonAfterPeerStarts)
 {
   for (Duration up{ 0 }; up < std::chrono::milliseconds(800); up += std::chrono::milliseconds(10)) {
     EXPECT_LE(ConnectTime(up), up + std::chrono::milliseconds(200));
   }
 }
 
-TEST(DialPaceTest, DialsUnreachablePeerAboutOncePerSecond)
+TEST(DialBackoffTest, DialsUnreachablePeerAboutOncePerSecond)
 {
-  DialPace backoff{ DialTiming() };
+  DialBackoff backoff{ DialTiming() };
   Duration passed{ 0 };
   int attempts = 0;
   for (; passed < std::chrono::minutes(1); ++attempts) {
@@ -42,18 +42,18 @@
 }
 
 // On a congested link, packets are queued for up to half a second.
-TEST(DialPaceTest, LaterAttemptsAllowForCongestedLink)
+TEST(DialBackoffTest, LaterAttemptsAllowForCongestedLink)
 {
-  DialPace backoff{ DialTiming() };
+  DialBackoff backoff{ DialTiming() };
   for (int attempt = 0; attempt < DialTiming().firstAttempts; ++attempt) {
     backoff.OnFailed();
   }
   EXPECT_GE(backoff.ConnectTimeout(), std::chrono::milliseconds(600));
 }
 
-TEST(DialPaceTest, RedialsSoonAfterLostConnection)
+TEST(DialBackoffTest, RedialsSoonAfterLostConnection)
 {
-  DialPace backoff{ DialTiming() };
+  DialBackoff backoff{ DialTiming() };
   for (int attempt = 0; attempt < 20; ++attempt) {
     backoff.OnFailed();
   }
